--- a/crates/core/lib.rs
+++ b/crates/core/lib.rs
@@ -37,8 +37,8 @@
 //! "#;
 //! let set = objects::check(&[objects::Source::new("teams.toml", text)])?;
 //! let team = set.team("red").expect("checked above");
-//! let group = ledger::group_of(&team.name, "trip/hotel", 2);
-//! assert_eq!(group, ledger::group_of(&team.name, "trip", 2), "sub-agents share the group");
+//! let group = ledger::group_of_program(&team.name, "trip/hotel", 2);
+//! assert_eq!(group, ledger::group_of_program(&team.name, "trip", 2), "sub-agents share the group");
 //! # Ok::<(), objects::Findings>(())
 //! ```
 
--- a/crates/ledger/src/catalog.rs
+++ b/crates/ledger/src/catalog.rs
@@ -21,11 +21,11 @@
 
 use self::{
     instances::Instances,
-    publish::{Recent, Results},
+    publish::{PublicationResults, RecentPublications},
 };
 use crate::error::RestoreError;
 
-pub use self::instances::View;
+pub use self::instances::InstanceView;
 
 /// One object of the set.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -68,8 +68,8 @@
     objects: BTreeMap<ObjectKey, Bytes>,
     /// The current set as a list, built when it is first asked for.
     full_set: OnceLock<Arc<[Object]>>,
-    recent: Recent,
-    results: Results,
+    recent: RecentPublications,
+    results: PublicationResults,
     instances: Instances,
     groups: u32,
 }
@@ -136,7 +136,7 @@
     }
 
     /// Number of program groups; 0 until it is fixed.
-    pub fn groups(&self) -> u32 {
+    pub fn group_count(&self) -> u32 {
         self.groups
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Instances that were declared gone not long ago, with their incarnations.
-    pub fn gone(&self) -> Vec<(String, u64)> {
+    pub fn gone_instances(&self) -> Vec<(String, u64)> {
         let gone = self.instances.gone.values().filter(|g| g.gone);
         gone.map(|g| (g.instance.clone(), g.incarnation)).collect()
     }
@@ -183,7 +183,7 @@
     }
 
     /// The registered instances and their epoch.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> InstanceView {
         self.instances.view()
     }
 }
--- a/crates/ledger/src/catalog/instances.rs
+++ b/crates/ledger/src/catalog/instances.rs
@@ -8,11 +8,11 @@
 };
 
 /// How long a gone incarnation is remembered; no message of it is under way for so long.
-const KEPT_GONE_MS: u64 = 24 * 60 * 60 * 1000;
+const GONE_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// The registered instances at one epoch.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct InstanceView {
     /// Rises with each change of the instances.
     pub epoch: u64,
     /// Sorted by name.
@@ -28,9 +28,10 @@
 
 impl Instances {
     pub(super) fn register(&mut self, register: RegisterInstance) -> Answer {
-        let after_gone = self.gone.get(&register.instance).map(|g| g.incarnation.saturating_add(1));
+        let lowest_after_gone =
+            self.gone.get(&register.instance).map(|g| g.incarnation.saturating_add(1));
         let live = self.live.get(&register.instance);
-        let lowest = after_gone.max(live.map(|l| l.incarnation)).unwrap_or(0);
+        let lowest = lowest_after_gone.max(live.map(|l| l.incarnation)).unwrap_or(0);
         if register.incarnation < lowest {
             return Answer::StaleIncarnation(StaleIncarnation { lowest_incarnation: lowest });
         }
@@ -42,24 +43,24 @@
     }
 
     pub(super) fn remove(&mut self, gone: InstanceGone, now_ms: u64) -> Answer {
-        self.gone.retain(|_, g| now_ms.saturating_sub(g.at_ms) < KEPT_GONE_MS);
+        self.gone.retain(|_, g| now_ms.saturating_sub(g.at_ms) < GONE_RETENTION_MS);
         let InstanceGone { instance, incarnation } = gone;
         if self.live.get(&instance).is_some_and(|live| live.incarnation <= incarnation) {
             self.live.remove(&instance);
             self.epoch += 1;
         }
         let known = self.gone.get(&instance).map_or(0, |g| g.incarnation);
-        let mark = GoneInstance {
+        let latest = GoneInstance {
             instance: instance.clone(),
             incarnation: incarnation.max(known),
             at_ms: now_ms,
             gone: true,
         };
-        self.gone.insert(instance, mark);
+        self.gone.insert(instance, latest);
         Answer::InstanceRemoved(InstanceRemoved { epoch: self.epoch })
     }
 
-    pub(super) fn view(&self) -> View {
-        View { epoch: self.epoch, instances: self.live.values().cloned().collect() }
+    pub(super) fn view(&self) -> InstanceView {
+        InstanceView { epoch: self.epoch, instances: self.live.values().cloned().collect() }
     }
 }
--- a/crates/ledger/src/catalog/publish.rs
+++ b/crates/ledger/src/catalog/publish.rs
@@ -15,14 +15,14 @@
 use super::Catalog;
 
 /// Results kept whatever their age.
-const KEPT_RESULTS: usize = 10_000;
+const MIN_RETAINED_RESULTS: usize = 10_000;
 /// Results younger than this are kept whatever their number.
-const KEPT_RESULTS_MS: u64 = 24 * 60 * 60 * 1000;
+const RESULT_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 /// Publications whose changes are kept. At 3,300 a day this is about a day.
-const KEPT_PUBLICATIONS: usize = 4096;
+const MAX_RETAINED_PUBLICATIONS: usize = 4096;
 /// Size of all kept changes. Beyond it an instance is sent the whole set, which is of this order
 /// for 30,000 teams.
-const KEPT_CHANGES_BYTES: usize = 16 << 20;
+const MAX_RETAINED_CHANGES_BYTES: usize = 16 << 20;
 
 impl Catalog {
     pub(super) fn publish(&mut self, publish: Publish) -> Answer {
@@ -92,18 +92,19 @@
 
 /// Changes of the latest publications, oldest first, without a gap.
 #[derive(Debug, Default)]
-pub(super) struct Recent {
+pub(super) struct RecentPublications {
     pub(super) list: VecDeque<Publication>,
     bytes: usize,
 }
 
-impl Recent {
+impl RecentPublications {
     pub(super) fn add(&mut self, publication: Publication) {
         self.bytes += publication.encoded_len();
         self.list.push_back(publication);
         // The latest is kept in any case: it names the winner of a race.
         while self.list.len() > 1
-            && (self.list.len() > KEPT_PUBLICATIONS || self.bytes > KEPT_CHANGES_BYTES)
+            && (self.list.len() > MAX_RETAINED_PUBLICATIONS
+                || self.bytes > MAX_RETAINED_CHANGES_BYTES)
         {
             let oldest = self.list.pop_front();
             self.bytes -= oldest.map_or(0, |p| p.encoded_len());
@@ -151,14 +152,14 @@
 
 /// Answers to publications by request id, in the order in which they were given.
 #[derive(Debug, Default)]
-pub(super) struct Results {
+pub(super) struct PublicationResults {
     pub(super) list: VecDeque<PublicationResult>,
     /// Number of each result, counted from the first one ever kept.
     numbers: BTreeMap<String, u64>,
     first: u64,
 }
 
-impl Results {
+impl PublicationResults {
     fn get(&self, request_id: &str) -> Option<&PublicationResult> {
         let number = self.numbers.get(request_id)?;
         self.list.get((number - self.first) as usize)
@@ -173,9 +174,9 @@
     }
 
     fn trim(&mut self, now_ms: u64) {
-        while self.list.len() > KEPT_RESULTS {
+        while self.list.len() > MIN_RETAINED_RESULTS {
             let Some(oldest) = self.list.front() else { return };
-            if now_ms.saturating_sub(oldest.at_ms) < KEPT_RESULTS_MS {
+            if now_ms.saturating_sub(oldest.at_ms) < RESULT_RETENTION_MS {
                 return;
             }
             self.numbers.remove(&oldest.request_id);
--- a/crates/ledger/src/catalog/snapshot.rs
+++ b/crates/ledger/src/catalog/snapshot.rs
@@ -7,9 +7,9 @@
 use super::{
     Catalog,
     instances::Instances,
-    publish::{Recent, Results},
+    publish::{PublicationResults, RecentPublications},
 };
-use crate::error::{MAX_NUMBER, RestoreError, SNAPSHOT_FORMAT};
+use crate::error::{MAX_COUNTER, RestoreError, SNAPSHOT_FORMAT};
 
 impl Catalog {
     pub(super) fn to_message(&self) -> CatalogSnapshot {
@@ -37,10 +37,10 @@
         if message.format != SNAPSHOT_FORMAT {
             return Err(RestoreError::Format(message.format));
         }
-        if message.generation >= MAX_NUMBER || message.epoch >= MAX_NUMBER {
+        if message.generation >= MAX_COUNTER || message.epoch >= MAX_COUNTER {
             return Err(RestoreError::Inconsistent("a number is beyond what can be reached"));
         }
-        let mut recent = Recent::default();
+        let mut recent = RecentPublications::default();
         let count = message.recent.len() as u64;
         for (n, publication) in message.recent.into_iter().enumerate() {
             // The last publication is the current generation, and none is missing in between.
@@ -50,7 +50,7 @@
             }
             recent.add(publication);
         }
-        let mut results = Results::default();
+        let mut results = PublicationResults::default();
         for result in message.results {
             if !results.add(result) {
                 return Err(RestoreError::Inconsistent("request id occurs twice"));
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -19,4 +19,4 @@
 
 /// A snapshot with a greater generation, epoch or claim is refused, so that these can be counted up
 /// without a check for overflow.
-pub(crate) const MAX_NUMBER: u64 = u64::MAX / 2;
+pub(crate) const MAX_COUNTER: u64 = u64::MAX / 2;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -53,8 +53,8 @@
 };
 use prost::Message;
 
-use self::{call::Call, program::Program, sweep::InstanceMark};
-use crate::{error::RestoreError, names::Key};
+use self::{call::Call, program::Program, sweep::KnownIncarnation};
+use crate::{error::RestoreError, names::TeamKey};
 
 const HOUR_MS: u64 = 60 * 60 * 1000;
 
@@ -84,17 +84,17 @@
 
 /// Where an open call is found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Place {
+enum CallLocation {
     /// The last turn of this program.
-    Turn(Key),
+    Turn(TeamKey),
     /// A call without a program, by idempotency key.
-    Keyed(Key),
+    Keyed(TeamKey),
 }
 
 /// An open claim, indexed by its number.
 #[derive(Clone, Debug)]
 struct OpenClaim {
-    place: Place,
+    location: CallLocation,
     instance: Arc<str>,
     incarnation: u64,
     deadline_ms: u64,
@@ -108,11 +108,11 @@
     /// Last number given to a claim or a release order.
     last_number: u64,
     settings: Settings,
-    programs: BTreeMap<Key, Program>,
+    programs: BTreeMap<TeamKey, Program>,
     /// Calls without a program.
-    calls: BTreeMap<Key, Call>,
+    calls: BTreeMap<TeamKey, Call>,
     orders: BTreeMap<u64, ReleaseOrder>,
-    instances: BTreeMap<Arc<str>, InstanceMark>,
+    instances: BTreeMap<Arc<str>, KnownIncarnation>,
     overruns: u64,
 
     // Derived from the fields above, and rebuilt from a snapshot.
@@ -120,11 +120,11 @@
     team_bytes: BTreeMap<Arc<str>, u64>,
     /// For each program a time at or before the one at which it is to be ended or dropped. The
     /// entries differ between replicas, so their order must not affect any result.
-    due: BTreeSet<(u64, Key)>,
-    calls_due: BTreeSet<(u64, Key)>,
+    programs_due: BTreeSet<(u64, TeamKey)>,
+    calls_due: BTreeSet<(u64, TeamKey)>,
 
     /// Broken invariants seen by this replica since its start.
-    violations: u64,
+    invariant_violations: u64,
 }
 
 impl Ledger {
@@ -139,7 +139,7 @@
         self.index = index;
         let answer = match LedgerCommand::decode(data) {
             Ok(LedgerCommand { now_ms, command: Some(command) }) => {
-                match check::command(&command) {
+                match check::check_command(&command) {
                     Ok(()) => self.execute(now_ms, command),
                     Err(message) => invalid(message),
                 }
@@ -203,13 +203,13 @@
     }
 
     /// Answers whose cost was above the call's reservation.
-    pub fn overruns(&self) -> u64 {
+    pub fn cost_overruns(&self) -> u64 {
         self.overruns
     }
 
     /// Broken invariants seen by this replica since its start; any but 0 is a fault of this crate.
-    pub fn violations(&self) -> u64 {
-        self.violations
+    pub fn invariant_violations(&self) -> u64 {
+        self.invariant_violations
     }
 
     fn next_number(&mut self) -> u64 {
@@ -236,9 +236,9 @@
     }
 
     /// Reports a broken invariant: a panic in debug builds, else a log line and a count.
-    fn assert(&mut self, holds: bool, invariant: &str, key: &Key) {
+    fn check_invariant(&mut self, holds: bool, invariant: &str, key: &TeamKey) {
         if !holds {
-            self.violations += 1;
+            self.invariant_violations += 1;
             log::error!("invariant broken for {}/{}: {invariant}", key.team, key.name);
         }
         debug_assert!(holds, "invariant broken for {}/{}: {invariant}", key.team, key.name);
--- a/crates/ledger/src/ledger/begin.rs
+++ b/crates/ledger/src/ledger/begin.rs
@@ -8,11 +8,11 @@
 };
 
 use super::{
-    Ledger, OpenClaim, Place,
+    CallLocation, Ledger, OpenClaim,
     call::{Call, Resend, State},
-    program::{Ceilings, Lookup, PROGRAM_OVERHEAD_BYTES, Program},
+    program::{PROGRAM_OVERHEAD_BYTES, Program, ProgramLimits, TurnLookup},
 };
-use crate::names::Key;
+use crate::names::TeamKey;
 
 impl Ledger {
     pub(super) fn begin(&mut self, begin: Begin) -> Answer {
@@ -21,52 +21,58 @@
         }
         match &begin.program {
             Some(program) => {
-                let key = Key::new(&begin.team, program);
+                let key = TeamKey::new(&begin.team, program);
                 self.begin_turn(&key, &begin)
             }
             None => {
-                let key = Key::new(&begin.team, &begin.idempotency_key);
+                let key = TeamKey::new(&begin.team, &begin.idempotency_key);
                 self.begin_keyed(&key, &begin)
             }
         }
     }
 
-    fn begin_turn(&mut self, key: &Key, begin: &Begin) -> Answer {
-        let lineage = key.lineage();
-        self.end_overdue(&lineage);
+    fn begin_turn(&mut self, key: &TeamKey, begin: &Begin) -> Answer {
+        let path = key.ancestors_and_self();
+        self.end_expired(&path);
         let (is_reclaim, ahead) = match self.programs.get(key).map(|p| p.lookup(begin)) {
-            Some(Lookup::Answer(answer)) => return answer,
-            Some(Lookup::Next) => (false, None),
-            Some(Lookup::Reclaim) => (true, None),
-            Some(Lookup::Ahead(ahead)) => (false, Some(ahead)),
+            Some(TurnLookup::Answer(answer)) => return answer,
+            Some(TurnLookup::Next) => (false, None),
+            Some(TurnLookup::Reclaim) => (true, None),
+            Some(TurnLookup::Ahead(ahead)) => (false, Some(ahead)),
             None => (false, Program::ahead_of_first(begin)),
         };
-        let ended = lineage.iter().find_map(|level| self.programs.get(level)?.ended);
+        let ended = path.iter().find_map(|level| self.programs.get(level)?.ended);
         if let Some(end) = ended {
             return Answer::Ended(Ended { cause: end.cause.into() });
         }
         if let Some(ahead) = ahead {
             return Answer::OutOfOrder(ahead);
         }
-        if let Err(refusal) = self.check_room(&lineage, begin, is_reclaim) {
+        if let Err(refusal) = self.check_limits(&path, begin, is_reclaim) {
             return refusal;
         }
         if is_reclaim {
             self.remove_abandoned(key);
         }
-        self.create_missing(&lineage, begin);
+        self.create_missing_programs(&path, begin);
         self.grant_turn(key, begin)
     }
 
     /// Checks the team's store and the limits of the program and its ancestors.
-    fn check_room(&self, lineage: &[Key], begin: &Begin, is_reclaim: bool) -> Result<(), Answer> {
-        let missing = lineage.iter().filter(|level| !self.programs.contains_key(level)).count();
-        let abandoned = lineage.last().and_then(|key| self.programs.get(key)?.pending());
-        let freed = abandoned.filter(|_| is_reclaim).map_or(0, Call::bytes);
-        self.check_store(begin, missing as u64 * PROGRAM_OVERHEAD_BYTES, freed)?;
+    fn check_limits(
+        &self,
+        path: &[TeamKey],
+        begin: &Begin,
+        is_reclaim: bool,
+    ) -> Result<(), Answer> {
+        let missing = path.iter().filter(|level| !self.programs.contains_key(level)).count();
+        let abandoned = path.last().and_then(|key| self.programs.get(key)?.pending());
+        let freed_bytes = abandoned.filter(|_| is_reclaim).map_or(0, Call::bytes);
+        self.check_store_capacity(begin, missing as u64 * PROGRAM_OVERHEAD_BYTES, freed_bytes)?;
 
-        let new = Program::new(Ceilings::new(begin.limits.as_ref(), &self.settings), self.now_ms);
-        let levels = || lineage.iter().map(|level| self.programs.get(level).unwrap_or(&new));
+        let new =
+            Program::new(ProgramLimits::new(begin.limits.as_ref(), &self.settings), self.now_ms);
+        let levels = || path.iter().map(|level| self.programs.get(level).unwrap_or(&new));
         let has_turn = |p: &Program| is_reclaim || p.turns_used < p.limits.turns;
         if !levels().all(has_turn) {
             return Err(Answer::TurnLimit(TurnLimit {}));
@@ -80,82 +86,87 @@
 
     /// Refuses a call whose answer might not fit. Answers that were promised to be kept are never
     /// dropped to make room.
-    fn check_store(&self, begin: &Begin, more: u64, freed: u64) -> Result<(), Answer> {
+    fn check_store_capacity(
+        &self,
+        begin: &Begin,
+        extra_bytes: u64,
+        freed_bytes: u64,
+    ) -> Result<(), Answer> {
         let used_bytes = self.used_bytes(&begin.team);
-        let needed = Call::worst_case_bytes(begin).saturating_add(more);
+        let needed = Call::worst_case_bytes(begin).saturating_add(extra_bytes);
         let limit_bytes = self.settings.team_bytes;
-        if used_bytes.saturating_sub(freed).saturating_add(needed) > limit_bytes {
+        if used_bytes.saturating_sub(freed_bytes).saturating_add(needed) > limit_bytes {
             return Err(Answer::StoreFull(StoreFull { used_bytes, limit_bytes }));
         }
         Ok(())
     }
 
-    fn remove_abandoned(&mut self, key: &Key) {
+    fn remove_abandoned(&mut self, key: &TeamKey) {
         let Some(call) = self.programs.get_mut(key).and_then(Program::pop) else { return };
-        let is_idle = matches!(call.state, State::Claimable);
-        self.assert(is_idle, "only an abandoned call may be replaced", key);
+        let is_claimable = matches!(call.state, State::Claimable);
+        self.check_invariant(is_claimable, "only an abandoned call may be replaced", key);
         self.remove_bytes(&key.team, call.bytes());
-        self.return_turn(key);
+        self.refund_turn(key);
     }
 
-    fn create_missing(&mut self, lineage: &[Key], begin: &Begin) {
-        for level in lineage
+    fn create_missing_programs(&mut self, path: &[TeamKey], begin: &Begin) {
+        for level in path
             .iter()
             .filter(|level| !self.programs.contains_key(level))
             .cloned()
             .collect::<Vec<_>>()
         {
-            let limits = Ceilings::new(begin.limits.as_ref(), &self.settings);
+            let limits = ProgramLimits::new(begin.limits.as_ref(), &self.settings);
             let program = Program::new(limits, self.now_ms);
-            self.due.insert((program.due_ms(self.now_ms), level.clone()));
+            self.programs_due.insert((program.due_ms(self.now_ms), level.clone()));
             self.add_bytes(&level.team, program.bytes());
             self.programs.insert(level, program);
         }
     }
 
-    fn grant_turn(&mut self, key: &Key, begin: &Begin) -> Answer {
+    fn grant_turn(&mut self, key: &TeamKey, begin: &Begin) -> Answer {
         let claim = self.next_number();
         let call = Call::new(begin, claim, self.now_ms);
-        self.track(Place::Turn(key.clone()), &call);
+        self.index_open_call(CallLocation::Turn(key.clone()), &call);
         self.add_bytes(&key.team, call.bytes());
         let Some(program) = self.programs.get_mut(key) else { return super::invalid("no program") };
         let endpoints = call.open().map(|open| open.endpoints.clone()).unwrap_or_default();
         program.endpoints.extend(endpoints);
         let last_claim = program.turns.last().map_or(0, |call| call.claim);
         let turn = program.push(call);
-        self.assert(claim > last_claim, "claims rise", key);
+        self.check_invariant(claim > last_claim, "claims rise", key);
         self.charge(key, begin.reserve_tokens);
         Answer::Granted(Granted { claim, turn })
     }
 
-    fn begin_keyed(&mut self, key: &Key, begin: &Begin) -> Answer {
-        let abandoned = match self.calls.get(key).map(|call| (call.resend(begin, 0), call)) {
+    fn begin_keyed(&mut self, key: &TeamKey, begin: &Begin) -> Answer {
+        let abandoned = match self.calls.get(key).map(|call| (call.answer_resend(begin, 0), call)) {
             Some((Resend::Answer(answer), _)) => return answer,
             Some((Resend::Reclaim, call)) => Some((call.bytes(), call.claim, call.keep_until_ms)),
             None => None,
         };
-        let (freed, last_claim, keep_until_ms) = abandoned.unwrap_or_default();
-        if let Err(refusal) = self.check_store(begin, 0, freed) {
+        let (freed_bytes, last_claim, keep_until_ms) = abandoned.unwrap_or_default();
+        if let Err(refusal) = self.check_store_capacity(begin, 0, freed_bytes) {
             return refusal;
         }
         if abandoned.is_some() {
             self.calls_due.remove(&(keep_until_ms, key.clone()));
-            self.remove_bytes(&key.team, freed);
+            self.remove_bytes(&key.team, freed_bytes);
         }
         let claim = self.next_number();
         let call = Call::new(begin, claim, self.now_ms);
-        self.track(Place::Keyed(key.clone()), &call);
+        self.index_open_call(CallLocation::Keyed(key.clone()), &call);
         self.add_bytes(&key.team, call.bytes());
         self.calls.insert(key.clone(), call);
-        self.assert(claim > last_claim, "claims rise", key);
+        self.check_invariant(claim > last_claim, "claims rise", key);
         Answer::Granted(Granted { claim, turn: 0 })
     }
 
     /// Adds an open call to the index by claim.
-    pub(super) fn track(&mut self, place: Place, call: &Call) {
+    pub(super) fn index_open_call(&mut self, location: CallLocation, call: &Call) {
         if let Some(open) = call.open() {
             let claim = OpenClaim {
-                place,
+                location,
                 instance: open.claimant.instance.as_str().into(),
                 incarnation: open.claimant.incarnation,
                 deadline_ms: open.deadline_ms,
@@ -168,13 +179,13 @@
     /// program has ended, because its release orders are out already.
     pub(super) fn dispatch(&mut self, dispatch: Dispatch) -> Answer {
         let Some(id) = dispatch.call.as_ref() else { return super::invalid("call is missing") };
-        let (place, turn) = super::end::locate(id);
-        let is_held = self.call(&place, turn).is_some_and(|call| call.claim == dispatch.claim);
+        let (location, turn) = super::end::locate(id);
+        let is_held = self.call(&location, turn).is_some_and(|call| call.claim == dispatch.claim);
         if !is_held {
             return Answer::Stale(Stale {});
         }
         let endpoint: Arc<str> = dispatch.endpoint.as_str().into();
-        if let Place::Turn(key) = &place
+        if let CallLocation::Turn(key) = &location
             && let Some(program) = self.programs.get_mut(key)
         {
             if let Some(end) = program.ended {
@@ -184,7 +195,7 @@
                 program.endpoints.insert(endpoint.clone());
             }
         }
-        match self.call_mut(&place, turn).map(|call| &mut call.state) {
+        match self.call_mut(&location, turn).map(|call| &mut call.state) {
             Some(State::Open(open)) => {
                 if !open.endpoints.contains(&endpoint) {
                     open.endpoints.push(endpoint);
--- a/crates/ledger/src/ledger/budget.rs
+++ b/crates/ledger/src/ledger/budget.rs
@@ -2,7 +2,7 @@
 //! program and its descendants together stay within the budget of each of them.
 
 use super::{Ledger, program::Program};
-use crate::names::Key;
+use crate::names::TeamKey;
 
 /// How a call's reservation is settled.
 #[derive(Clone, Copy, Debug)]
@@ -10,7 +10,7 @@
     pub(super) reserved: u64,
     pub(super) cost: u64,
     /// Whether the call counts as a turn that was used.
-    pub(super) is_used: bool,
+    pub(super) uses_turn: bool,
 }
 
 impl Program {
@@ -31,7 +31,7 @@
     fn settle(&mut self, settlement: Settlement, now_ms: u64) {
         self.reserved = self.reserved.saturating_sub(settlement.reserved);
         self.open = self.open.saturating_sub(1);
-        self.turns_used = self.turns_used.saturating_sub(u32::from(!settlement.is_used));
+        self.turns_used = self.turns_used.saturating_sub(u32::from(!settlement.uses_turn));
         self.touched_ms = now_ms;
         let spent = settlement.cost.min(self.remaining());
         self.spent += spent;
@@ -40,47 +40,51 @@
 }
 
 impl Ledger {
-    pub(super) fn charge(&mut self, key: &Key, tokens: u64) {
+    pub(super) fn charge(&mut self, key: &TeamKey, tokens: u64) {
         let now_ms = self.now_ms;
-        for level in key.lineage() {
+        for level in key.ancestors_and_self() {
             if let Some(program) = self.programs.get_mut(&level) {
                 program.charge(tokens, now_ms);
             }
-            self.assert_program(&level);
+            self.check_program_invariants(&level);
         }
     }
 
-    pub(super) fn settle(&mut self, key: &Key, settlement: Settlement) {
+    pub(super) fn settle(&mut self, key: &TeamKey, settlement: Settlement) {
         let now_ms = self.now_ms;
         if settlement.cost > settlement.reserved {
             self.overruns = self.overruns.saturating_add(1);
             let Settlement { reserved, cost, .. } = settlement;
             log::error!("call of {}/{} cost {cost}, reserved {reserved}", key.team, key.name);
         }
-        for level in key.lineage() {
+        for level in key.ancestors_and_self() {
             if let Some(program) = self.programs.get_mut(&level) {
                 program.settle(settlement, now_ms);
             }
-            self.assert_program(&level);
+            self.check_program_invariants(&level);
         }
     }
 
     /// Gives back a turn whose abandoned call is replaced.
-    pub(super) fn return_turn(&mut self, key: &Key) {
-        for level in key.lineage() {
+    pub(super) fn refund_turn(&mut self, key: &TeamKey) {
+        for level in key.ancestors_and_self() {
             if let Some(program) = self.programs.get_mut(&level) {
                 program.turns_used = program.turns_used.saturating_sub(1);
             }
         }
     }
 
-    fn assert_program(&mut self, key: &Key) {
+    fn check_program_invariants(&mut self, key: &TeamKey) {
         let Some(program) = self.programs.get(key) else { return };
-        let within = program.spent.checked_add(program.reserved);
-        let within = within.is_some_and(|sum| sum <= program.limits.tokens);
+        let within_budget = program.spent.checked_add(program.reserved);
+        let within_budget = within_budget.is_some_and(|sum| sum <= program.limits.tokens);
         let closed = &program.turns[..program.turns.len().saturating_sub(1)];
-        let single = closed.last().is_none_or(|call| !call.is_pending());
-        self.assert(within, "spent and reserved tokens stay within the budget", key);
-        self.assert(single, "only the last turn may be pending", key);
+        let only_last_pending = closed.last().is_none_or(|call| !call.is_pending());
+        self.check_invariant(
+            within_budget,
+            "spent and reserved tokens stay within the budget",
+            key,
+        );
+        self.check_invariant(only_last_pending, "only the last turn may be pending", key);
     }
 }
--- a/crates/ledger/src/ledger/call.rs
+++ b/crates/ledger/src/ledger/call.rs
@@ -88,15 +88,15 @@
             State::Answered(answer) => (answer.head.len() + answer.body.len()) as u64,
             State::Claimable | State::Unknown => 0,
         };
-        let fixed = CALL_OVERHEAD_BYTES + (self.key.len() + self.request.len()) as u64;
-        fixed.saturating_add(result)
+        let fixed_bytes = CALL_OVERHEAD_BYTES + (self.key.len() + self.request.len()) as u64;
+        fixed_bytes.saturating_add(result)
     }
 
     /// Bytes that a call begun by `begin` may use.
     pub(super) fn worst_case_bytes(begin: &Begin) -> u64 {
-        let fixed =
+        let fixed_bytes =
             CALL_OVERHEAD_BYTES + (begin.idempotency_key.len() + begin.request.len()) as u64;
-        fixed.saturating_add(begin.reserve_bytes)
+        fixed_bytes.saturating_add(begin.reserve_bytes)
     }
 
     pub(super) fn open(&self) -> Option<&Open> {
@@ -112,7 +112,7 @@
     }
 
     /// Answers a `begin` that refers to this call, which is turn `turn` of its program.
-    pub(super) fn resend(&self, begin: &Begin, turn: u32) -> Resend {
+    pub(super) fn answer_resend(&self, begin: &Begin, turn: u32) -> Resend {
         use ledger_answer::Answer;
         if self.digest != begin.body_digest {
             return Resend::Answer(Answer::BodyMismatch(BodyMismatch {}));
--- a/crates/ledger/src/ledger/check.rs
+++ b/crates/ledger/src/ledger/check.rs
@@ -9,7 +9,7 @@
 /// Length of a BLAKE3 digest.
 pub(super) const DIGEST_BYTES: usize = 32;
 
-pub(super) fn command(command: &Command) -> Result<(), &'static str> {
+pub(super) fn check_command(command: &Command) -> Result<(), &'static str> {
     match command {
         Command::Begin(begin) => check_begin(begin),
         Command::Dispatch(Dispatch { call, endpoint, .. }) => {
--- a/crates/ledger/src/ledger/end.rs
+++ b/crates/ledger/src/ledger/end.rs
@@ -5,35 +5,37 @@
 };
 
 use super::{
-    Ledger, Place,
+    CallLocation, Ledger,
     budget::Settlement,
     call::{Call, State},
     program::Program,
 };
-use crate::names::Key;
+use crate::names::TeamKey;
 
 /// Where a call is found, and its turn.
-pub(super) fn locate(id: &CallId) -> (Place, u32) {
+pub(super) fn locate(id: &CallId) -> (CallLocation, u32) {
     match &id.program {
-        Some(program) => (Place::Turn(Key::new(&id.team, program)), id.turn),
-        None => (Place::Keyed(Key::new(&id.team, &id.idempotency_key)), 0),
+        Some(program) => (CallLocation::Turn(TeamKey::new(&id.team, program)), id.turn),
+        None => (CallLocation::Keyed(TeamKey::new(&id.team, &id.idempotency_key)), 0),
     }
 }
 
 impl Ledger {
-    pub(super) fn call(&self, place: &Place, turn: u32) -> Option<&Call> {
-        match place {
-            Place::Turn(key) => self.programs.get(key)?.turns.get((turn as usize).checked_sub(1)?),
-            Place::Keyed(key) => self.calls.get(key),
+    pub(super) fn call(&self, location: &CallLocation, turn: u32) -> Option<&Call> {
+        match location {
+            CallLocation::Turn(key) => {
+                self.programs.get(key)?.turns.get((turn as usize).checked_sub(1)?)
+            }
+            CallLocation::Keyed(key) => self.calls.get(key),
         }
     }
 
-    pub(super) fn call_mut(&mut self, place: &Place, turn: u32) -> Option<&mut Call> {
-        match place {
-            Place::Turn(key) => {
+    pub(super) fn call_mut(&mut self, location: &CallLocation, turn: u32) -> Option<&mut Call> {
+        match location {
+            CallLocation::Turn(key) => {
                 self.programs.get_mut(key)?.turns.get_mut((turn as usize).checked_sub(1)?)
             }
-            Place::Keyed(key) => self.calls.get_mut(key),
+            CallLocation::Keyed(key) => self.calls.get_mut(key),
         }
     }
 
@@ -41,14 +43,14 @@
         let End { call: Some(id), claim, outcome: Some(outcome) } = end else {
             return super::invalid("call or outcome is missing");
         };
-        let (place, turn) = locate(&id);
-        let Some(call) = self.call(&place, turn).filter(|call| call.claim == claim) else {
+        let (location, turn) = locate(&id);
+        let Some(call) = self.call(&location, turn).filter(|call| call.claim == claim) else {
             return Answer::Stale(Stale {});
         };
         // An end that is proposed again after a lost answer is recorded already.
         let is_recorded = match (&call.state, &outcome) {
             (State::Open(_), _) => {
-                self.close(&place, turn, outcome);
+                self.close(&location, turn, outcome);
                 true
             }
             (State::Answered(first), Outcome::Answered(answer)) => first == answer,
@@ -59,12 +61,12 @@
     }
 
     /// Closes an open call.
-    pub(super) fn close(&mut self, place: &Place, turn: u32, outcome: Outcome) {
-        let Some(call) = self.call(place, turn) else { return };
+    pub(super) fn close(&mut self, location: &CallLocation, turn: u32, outcome: Outcome) {
+        let Some(call) = self.call(location, turn) else { return };
         let Some(open) = call.open().cloned() else { return };
         let (claim, bytes, kind) = (call.claim, call.bytes(), call.kind);
         self.open.remove(&claim);
-        let is_used = !matches!(outcome, Outcome::NotRun(_));
+        let uses_turn = !matches!(outcome, Outcome::NotRun(_));
         let (cost, state) = match outcome {
             Outcome::Answered(answer) => (answer.cost_tokens, Some(State::Answered(answer))),
             Outcome::NotRun(_) => (0, None),
@@ -75,51 +77,53 @@
                 (unknown.cost_tokens.unwrap_or(open.reserved_tokens), Some(state))
             }
         };
-        let is_lost = matches!(state, Some(State::Claimable | State::Unknown));
-        let team = match place {
-            Place::Turn(key) | Place::Keyed(key) => key.team.clone(),
+        let is_abandoned = matches!(state, Some(State::Claimable | State::Unknown));
+        let team = match location {
+            CallLocation::Turn(key) | CallLocation::Keyed(key) => key.team.clone(),
         };
         self.remove_bytes(&team, bytes);
         match state {
-            Some(state) => self.set_state(place, turn, state),
-            None => self.remove_call(place),
+            Some(state) => self.set_state(location, turn, state),
+            None => self.remove_call(location),
         }
-        if is_lost {
+        if is_abandoned {
             let endpoints = open.endpoints.iter().map(|e| e.to_string()).collect::<Vec<_>>();
-            endpoints.into_iter().for_each(|endpoint| self.order(place, endpoint, Some(claim)));
+            endpoints
+                .into_iter()
+                .for_each(|endpoint| self.add_release_order(location, endpoint, Some(claim)));
         }
-        if let Place::Turn(key) = place {
-            self.settle(key, Settlement { reserved: open.reserved_tokens, cost, is_used });
-            self.keep_ended(key, is_used);
+        if let CallLocation::Turn(key) = location {
+            self.settle(key, Settlement { reserved: open.reserved_tokens, cost, uses_turn });
+            self.extend_retention(key, uses_turn);
         }
     }
 
-    fn set_state(&mut self, place: &Place, turn: u32, state: State) {
+    fn set_state(&mut self, location: &CallLocation, turn: u32, state: State) {
         let now_ms = self.now_ms;
         let keep_until_ms = now_ms.saturating_add(self.settings.resend_window_ms);
-        let Some(call) = self.call_mut(place, turn) else { return };
+        let Some(call) = self.call_mut(location, turn) else { return };
         let was_open = call.open().is_some();
         call.state = state;
         call.closed_ms = now_ms;
-        if let Place::Keyed(_) = place {
+        if let CallLocation::Keyed(_) = location {
             call.keep_until_ms = keep_until_ms;
         }
         let bytes = call.bytes();
-        let (Place::Turn(key) | Place::Keyed(key)) = place;
+        let (CallLocation::Turn(key) | CallLocation::Keyed(key)) = location;
         self.add_bytes(&key.team, bytes);
-        if let Place::Keyed(key) = place {
+        if let CallLocation::Keyed(key) = location {
             self.calls_due.insert((keep_until_ms, key.clone()));
         }
-        self.assert(was_open, "an answer or unknown outcome is never overwritten", key);
+        self.check_invariant(was_open, "an answer or unknown outcome is never overwritten", key);
     }
 
     /// Removes a call that did not run, so that its turn or key is free again.
-    fn remove_call(&mut self, place: &Place) {
-        match place {
-            Place::Turn(key) => {
+    fn remove_call(&mut self, location: &CallLocation) {
+        match location {
+            CallLocation::Turn(key) => {
                 self.programs.get_mut(key).and_then(Program::pop);
             }
-            Place::Keyed(key) => {
+            CallLocation::Keyed(key) => {
                 self.calls.remove(key);
             }
         }
@@ -127,35 +131,37 @@
 
     /// After the late end of a call of an ended program: keeps its answer for the whole resend
     /// window, and makes its endpoints release what the call held after the first orders.
-    fn keep_ended(&mut self, key: &Key, has_run: bool) {
+    fn extend_retention(&mut self, key: &TeamKey, uses_turn: bool) {
         if self.programs.get(key).is_none_or(|program| program.ended.is_none()) {
             return;
         }
-        if has_run {
-            self.order_release(key);
+        if uses_turn {
+            self.order_program_release(key);
         }
         let keep_until_ms = self.now_ms.saturating_add(self.settings.resend_window_ms);
-        for level in key.lineage() {
+        for level in key.ancestors_and_self() {
             if let Some(end) = self.programs.get_mut(&level).and_then(|p| p.ended.as_mut()) {
                 end.keep_until_ms = end.keep_until_ms.max(keep_until_ms);
-                self.due.insert((end.keep_until_ms, level));
+                self.programs_due.insert((end.keep_until_ms, level));
             }
         }
     }
 
     /// Orders each endpoint that the program used to release all it holds for the program.
-    pub(super) fn order_release(&mut self, key: &Key) {
+    pub(super) fn order_program_release(&mut self, key: &TeamKey) {
         let Some(program) = self.programs.get(key) else { return };
         let endpoints = program.endpoints.iter().map(|e| e.to_string()).collect::<Vec<_>>();
-        let place = Place::Turn(key.clone());
-        endpoints.into_iter().for_each(|endpoint| self.order(&place, endpoint, None));
+        let location = CallLocation::Turn(key.clone());
+        endpoints
+            .into_iter()
+            .for_each(|endpoint| self.add_release_order(&location, endpoint, None));
     }
 
-    fn order(&mut self, place: &Place, endpoint: String, claim: Option<u64>) {
+    fn add_release_order(&mut self, location: &CallLocation, endpoint: String, claim: Option<u64>) {
         let number = self.next_number();
-        let (key, program) = match place {
-            Place::Turn(key) => (key, Some(key.name.to_string())),
-            Place::Keyed(key) => (key, None),
+        let (key, program) = match location {
+            CallLocation::Turn(key) => (key, Some(key.name.to_string())),
+            CallLocation::Keyed(key) => (key, None),
         };
         let team = key.team.to_string();
         self.orders.insert(number, ReleaseOrder { number, team, program, endpoint, claim });
--- a/crates/ledger/src/ledger/program.rs
+++ b/crates/ledger/src/ledger/program.rs
@@ -19,7 +19,7 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Program {
-    pub(super) limits: Ceilings,
+    pub(super) limits: ProgramLimits,
     pub(super) created_ms: u64,
     /// Time of the last begin or end of a call, of this program or a descendant.
     pub(super) touched_ms: u64,
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Ceilings {
+pub(super) struct ProgramLimits {
     pub(super) tokens: u64,
     pub(super) turns: u32,
     pub(super) lifetime_ms: u64,
@@ -57,7 +57,7 @@
 }
 
 /// What a [`Begin`] means for a program.
-pub(super) enum Lookup {
+pub(super) enum TurnLookup {
     /// This is the answer; nothing is run.
     Answer(Answer),
     /// The call takes the next turn.
@@ -68,7 +68,7 @@
     Ahead(OutOfOrder),
 }
 
-impl Ceilings {
+impl ProgramLimits {
     pub(super) fn new(limits: Option<&Limits>, settings: &Settings) -> Self {
         let limits = limits.copied().unwrap_or_default();
         Self {
@@ -81,7 +81,7 @@
 }
 
 impl Program {
-    pub(super) fn new(limits: Ceilings, now_ms: u64) -> Self {
+    pub(super) fn new(limits: ProgramLimits, now_ms: u64) -> Self {
         Self {
             limits,
             created_ms: now_ms,
@@ -98,40 +98,42 @@
         }
     }
 
-    pub(super) fn lookup(&self, begin: &Begin) -> Lookup {
+    pub(super) fn lookup(&self, begin: &Begin) -> TurnLookup {
         let by_key = self.keys.get(begin.idempotency_key.as_str()).copied();
         match (begin.turn, by_key) {
-            (Some(turn), Some(known)) if turn != known => mismatch(),
+            (Some(turn), Some(known)) if turn != known => body_mismatch(),
             (_, Some(known)) => self.resend(begin, known),
-            (Some(turn), None) if turn as usize <= self.turns.len() => self.same_turn(begin, turn),
+            (Some(turn), None) if turn as usize <= self.turns.len() => {
+                self.resend_by_turn(begin, turn)
+            }
             (Some(turn), None) if turn != self.expected() || self.pending().is_some() => {
-                Lookup::Ahead(OutOfOrder { expected: self.expected() })
+                TurnLookup::Ahead(OutOfOrder { expected: self.expected() })
             }
-            (Some(_), None) => Lookup::Next,
+            (Some(_), None) => TurnLookup::Next,
             (None, None) => match self.pending().map(|call| &call.state) {
-                None => Lookup::Next,
-                Some(State::Open(open)) => Lookup::Answer(open.running(self.expected())),
-                Some(_) => Lookup::Reclaim,
+                None => TurnLookup::Next,
+                Some(State::Open(open)) => TurnLookup::Answer(open.running(self.expected())),
+                Some(_) => TurnLookup::Reclaim,
             },
         }
     }
 
-    fn resend(&self, begin: &Begin, turn: u32) -> Lookup {
-        match self.turns.get(turn as usize - 1).map(|call| call.resend(begin, turn)) {
-            Some(Resend::Answer(answer)) => Lookup::Answer(answer),
-            Some(Resend::Reclaim) => Lookup::Reclaim,
-            None => mismatch(),
+    fn resend(&self, begin: &Begin, turn: u32) -> TurnLookup {
+        match self.turns.get(turn as usize - 1).map(|call| call.answer_resend(begin, turn)) {
+            Some(Resend::Answer(answer)) => TurnLookup::Answer(answer),
+            Some(Resend::Reclaim) => TurnLookup::Reclaim,
+            None => body_mismatch(),
         }
     }
 
     /// Answers a `begin` that names an existing turn, but not its key. If either key was generated,
     /// the turn identifies the call; two different keys of the caller mean two different calls.
-    fn same_turn(&self, begin: &Begin, turn: u32) -> Lookup {
-        let Some(call) = self.turns.get(turn as usize - 1) else { return mismatch() };
+    fn resend_by_turn(&self, begin: &Begin, turn: u32) -> TurnLookup {
+        let Some(call) = self.turns.get(turn as usize - 1) else { return body_mismatch() };
         match call.state {
-            State::Claimable => Lookup::Reclaim,
+            State::Claimable => TurnLookup::Reclaim,
             _ if begin.key_generated || call.key_generated => self.resend(begin, turn),
-            _ => mismatch(),
+            _ => body_mismatch(),
         }
     }
 
@@ -167,7 +169,7 @@
     }
 
     /// Why the program is past its limits, if it is.
-    pub(super) fn overdue(&self, now_ms: u64) -> Option<EndCause> {
+    pub(super) fn expiry_cause(&self, now_ms: u64) -> Option<EndCause> {
         if now_ms >= self.created_ms.saturating_add(self.limits.lifetime_ms) {
             Some(EndCause::Lifetime)
         } else if self.open == 0 && now_ms >= self.touched_ms.saturating_add(self.limits.idle_ms) {
@@ -195,6 +197,6 @@
     }
 }
 
-fn mismatch() -> Lookup {
-    Lookup::Answer(Answer::BodyMismatch(BodyMismatch {}))
+fn body_mismatch() -> TurnLookup {
+    TurnLookup::Answer(Answer::BodyMismatch(BodyMismatch {}))
 }
--- a/crates/ledger/src/ledger/query.rs
+++ b/crates/ledger/src/ledger/query.rs
@@ -12,7 +12,7 @@
     Ledger,
     call::{Call, State},
 };
-use crate::names::Key;
+use crate::names::TeamKey;
 
 impl Ledger {
     /// Answers a [`LedgerQuery`] with a [`LedgerQueryAnswer`]. The caller makes sure that this
@@ -53,7 +53,7 @@
         from_turn: u32,
         max_bytes: u64,
     ) -> Option<HistoryPage> {
-        let program = self.programs.get(&Key::new(team, program))?;
+        let program = self.programs.get(&TeamKey::new(team, program))?;
         let first = from_turn.max(1);
         let closed = program.turns.iter().enumerate().filter(|(_, call)| !call.is_pending());
         let mut page = HistoryPage::default();
@@ -72,7 +72,7 @@
 
     /// Turn order, budget and limits of a program.
     pub fn status(&self, team: &str, program: &str) -> Option<ProgramStatus> {
-        let program = self.programs.get(&Key::new(team, program))?;
+        let program = self.programs.get(&TeamKey::new(team, program))?;
         let open = program.pending().and_then(Call::open);
         Some(ProgramStatus {
             next_turn: program.expected(),
@@ -102,11 +102,11 @@
     ) -> Option<CallStatus> {
         let (turn, call) = match program {
             Some(program) => {
-                let program = self.programs.get(&Key::new(team, program))?;
+                let program = self.programs.get(&TeamKey::new(team, program))?;
                 let turn = *program.keys.get(idempotency_key)?;
                 (turn, program.turns.get(turn as usize - 1)?)
             }
-            None => (0, self.calls.get(&Key::new(team, idempotency_key))?),
+            None => (0, self.calls.get(&TeamKey::new(team, idempotency_key))?),
         };
         let state = match &call.state {
             State::Open(open) => call_status::State::Running(open.claimant.clone()),
@@ -128,7 +128,7 @@
     }
 
     /// Number of open calls.
-    pub fn open_count(&self) -> usize {
+    pub fn open_call_count(&self) -> usize {
         self.open.len()
     }
 }
--- a/crates/ledger/src/ledger/snapshot.rs
+++ b/crates/ledger/src/ledger/snapshot.rs
@@ -6,26 +6,26 @@
 };
 
 use super::{
-    Ledger, Place, Settings,
+    CallLocation, Ledger, Settings,
     call::{Call, Open, State},
     check::DIGEST_BYTES,
-    program::{Ceilings, End, Program},
-    sweep::InstanceMark,
+    program::{End, Program, ProgramLimits},
+    sweep::KnownIncarnation,
 };
 use crate::{
-    error::{MAX_NUMBER, RestoreError, SNAPSHOT_FORMAT},
-    names::{Key, is_name, is_path},
+    error::{MAX_COUNTER, RestoreError, SNAPSHOT_FORMAT},
+    names::{TeamKey, is_name, is_path},
 };
 
 type Result<T> = std::result::Result<T, RestoreError>;
 
 impl Ledger {
     pub(super) fn to_message(&self) -> LedgerSnapshot {
-        let instance = |(name, mark): (&std::sync::Arc<str>, &InstanceMark)| GoneInstance {
+        let instance = |(name, known): (&std::sync::Arc<str>, &KnownIncarnation)| GoneInstance {
             instance: name.to_string(),
-            incarnation: mark.incarnation,
-            at_ms: mark.at_ms,
-            gone: mark.gone,
+            incarnation: known.incarnation,
+            at_ms: known.at_ms,
+            gone: known.gone,
         };
         LedgerSnapshot {
             format: SNAPSHOT_FORMAT,
@@ -45,7 +45,7 @@
         if message.format != SNAPSHOT_FORMAT {
             return Err(RestoreError::Format(message.format));
         }
-        require(message.last_number < MAX_NUMBER, "last number is beyond what can be reached")?;
+        require(message.last_number < MAX_COUNTER, "last number is beyond what can be reached")?;
         let mut ledger = Self {
             index: message.index,
             now_ms: message.now_ms,
@@ -61,7 +61,7 @@
             ledger.orders.insert(order.number, order);
         }
         for GoneInstance { instance, incarnation, at_ms, gone } in message.instances {
-            ledger.instances.insert(instance.into(), InstanceMark { incarnation, gone, at_ms });
+            ledger.instances.insert(instance.into(), KnownIncarnation { incarnation, gone, at_ms });
         }
         Ok(ledger)
     }
@@ -69,30 +69,30 @@
     /// Adds a program of a snapshot, whose parent was added before.
     fn add_program(&mut self, state: ProgramState) -> Result<()> {
         require(is_name(&state.team) && is_path(&state.program), "program has an invalid name")?;
-        let key = Key::new(&state.team, &state.program);
+        let key = TeamKey::new(&state.team, &state.program);
         let program = Program::from_message(state)?;
-        let lineage = key.lineage();
-        let ancestors = &lineage[..lineage.len() - 1];
+        let path = key.ancestors_and_self();
+        let ancestors = &path[..path.len() - 1];
         require(ancestors.iter().all(|k| self.programs.contains_key(k)), "program has no parent")?;
         require(!self.programs.contains_key(&key), "program occurs twice")?;
-        self.due.insert((program.due_ms(self.now_ms), key.clone()));
+        self.programs_due.insert((program.due_ms(self.now_ms), key.clone()));
         self.add_bytes(&key.team, program.bytes());
         let pending = program.pending().cloned();
         let latest_claim = program.turns.iter().map(|call| call.claim).max();
         require(latest_claim <= Some(self.last_number), "claim beyond the last number")?;
         self.programs.insert(key.clone(), program);
         if let Some(open) = pending.as_ref().and_then(Call::open) {
-            self.reserve_again(&lineage, open.reserved_tokens)?;
+            self.restore_reservation(&path, open.reserved_tokens)?;
         }
         match pending {
-            Some(call) => self.track_again(Place::Turn(key), &call),
+            Some(call) => self.restore_open_call(CallLocation::Turn(key), &call),
             None => Ok(()),
         }
     }
 
     /// Adds an open call's reservation to its program and the ancestors.
-    fn reserve_again(&mut self, lineage: &[Key], tokens: u64) -> Result<()> {
-        for level in lineage {
+    fn restore_reservation(&mut self, path: &[TeamKey], tokens: u64) -> Result<()> {
+        for level in path {
             let Some(program) = self.programs.get_mut(level) else { continue };
             require(tokens <= program.remaining(), "reservations exceed a budget")?;
             program.reserved += tokens;
@@ -101,19 +101,19 @@
         Ok(())
     }
 
-    fn track_again(&mut self, place: Place, call: &Call) -> Result<()> {
+    fn restore_open_call(&mut self, location: CallLocation, call: &Call) -> Result<()> {
         require(!self.open.contains_key(&call.claim), "claim occurs twice")?;
-        self.track(place, call);
+        self.index_open_call(location, call);
         Ok(())
     }
 
     fn add_call(&mut self, state: CallState) -> Result<()> {
         require(is_name(&state.team), "call has an invalid name")?;
-        let key = Key::new(&state.team, &state.key);
+        let key = TeamKey::new(&state.team, &state.key);
         let call = Call::from_message(state)?;
         require(!self.calls.contains_key(&key), "call occurs twice")?;
         require(call.claim <= self.last_number, "claim beyond the last number")?;
-        self.track_again(Place::Keyed(key.clone()), &call)?;
+        self.restore_open_call(CallLocation::Keyed(key.clone()), &call)?;
         self.add_bytes(&key.team, call.bytes());
         if call.open().is_none() {
             self.calls_due.insert((call.keep_until_ms, key.clone()));
@@ -135,7 +135,7 @@
 }
 
 impl Program {
-    fn to_message(&self, key: &Key) -> ProgramState {
+    fn to_message(&self, key: &TeamKey) -> ProgramState {
         ProgramState {
             team: key.team.to_string(),
             program: key.name.to_string(),
@@ -158,7 +158,7 @@
     }
 
     fn from_message(state: ProgramState) -> Result<Self> {
-        let limits = Ceilings::new(state.limits.as_ref(), &Settings::default());
+        let limits = ProgramLimits::new(state.limits.as_ref(), &Settings::default());
         require(state.spent_tokens <= limits.tokens, "spent tokens exceed a budget")?;
         let mut program = Self::new(limits, state.created_ms);
         let keep_until_ms = state.keep_until_ms;
--- a/crates/ledger/src/ledger/sweep.rs
+++ b/crates/ledger/src/ledger/sweep.rs
@@ -8,15 +8,15 @@
     end::Outcome, ledger_answer::Answer,
 };
 
-use super::{Ledger, Place, program::End};
-use crate::names::Key;
+use super::{CallLocation, Ledger, program::End};
+use crate::names::TeamKey;
 
 /// How long a gone incarnation is remembered; no command of it is under way for so long.
-const KEPT_GONE_MS: u64 = 24 * super::HOUR_MS;
+const GONE_RETENTION_MS: u64 = 24 * super::HOUR_MS;
 
 /// The latest known incarnation of an instance.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct InstanceMark {
+pub(super) struct KnownIncarnation {
     pub(super) incarnation: u64,
     pub(super) gone: bool,
     pub(super) at_ms: u64,
@@ -28,53 +28,56 @@
     pub(super) fn is_fenced(&mut self, claimant: &Claimant) -> bool {
         let incarnation = claimant.incarnation;
         let known = self.instances.get(claimant.instance.as_str()).copied();
-        if let Some(mark) = known {
-            if incarnation < mark.incarnation || (incarnation == mark.incarnation && mark.gone) {
+        if let Some(known) = known {
+            if incarnation < known.incarnation || (incarnation == known.incarnation && known.gone) {
                 return true;
             }
-            if incarnation == mark.incarnation {
+            if incarnation == known.incarnation {
                 return false;
             }
-            self.lose_claims(|open| {
+            self.abandon_claims(|open| {
                 *open.instance == *claimant.instance && open.incarnation < incarnation
             });
         }
-        let mark = InstanceMark { incarnation, gone: false, at_ms: self.now_ms };
-        self.instances.insert(claimant.instance.as_str().into(), mark);
+        let latest = KnownIncarnation { incarnation, gone: false, at_ms: self.now_ms };
+        self.instances.insert(claimant.instance.as_str().into(), latest);
         false
     }
 
     pub(super) fn instance_gone(&mut self, gone: &InstanceGone) -> Swept {
         let name: Arc<str> = gone.instance.as_str().into();
-        let known = self.instances.get(&name).map_or(0, |mark| mark.incarnation);
+        let known = self.instances.get(&name).map_or(0, |known| known.incarnation);
         if gone.incarnation >= known {
-            let mark =
-                InstanceMark { incarnation: gone.incarnation, gone: true, at_ms: self.now_ms };
-            self.instances.insert(name.clone(), mark);
+            let latest =
+                KnownIncarnation { incarnation: gone.incarnation, gone: true, at_ms: self.now_ms };
+            self.instances.insert(name.clone(), latest);
         }
-        self.lose_claims(|open| open.instance == name && open.incarnation <= gone.incarnation)
+        self.abandon_claims(|open| open.instance == name && open.incarnation <= gone.incarnation)
     }
 
     /// Ends the open calls that match as abandoned.
-    fn lose_claims(&mut self, is_lost: impl Fn(&super::OpenClaim) -> bool) -> Swept {
-        let lost = self.open.values().filter(|open| is_lost(open)).map(|open| open.place.clone());
-        let mut swept = Swept::default();
-        for place in lost.collect::<Vec<_>>() {
-            let turn = match &place {
-                Place::Turn(key) => self.programs.get(key).map_or(0, |p| p.turns.len() as u32),
-                Place::Keyed(_) => 0,
+    fn abandon_claims(&mut self, is_abandoned: impl Fn(&super::OpenClaim) -> bool) -> Swept {
+        let abandoned =
+            self.open.values().filter(|open| is_abandoned(open)).map(|open| open.location.clone());
+        let mut counts = Swept::default();
+        for location in abandoned.collect::<Vec<_>>() {
+            let turn = match &location {
+                CallLocation::Turn(key) => {
+                    self.programs.get(key).map_or(0, |p| p.turns.len() as u32)
+                }
+                CallLocation::Keyed(_) => 0,
             };
-            match self.call(&place, turn).map(|call| call.kind) {
-                Some(CallKind::Idempotent) => swept.calls_claimable += 1,
-                _ => swept.calls_unknown += 1,
+            match self.call(&location, turn).map(|call| call.kind) {
+                Some(CallKind::Idempotent) => counts.calls_claimable += 1,
+                _ => counts.calls_unknown += 1,
             }
-            self.close(&place, turn, Outcome::Unknown(Unknown { cost_tokens: None }));
+            self.close(&location, turn, Outcome::Unknown(Unknown { cost_tokens: None }));
         }
-        swept
+        counts
     }
 
     pub(super) fn finish(&mut self, finish: &Finish) -> Answer {
-        let key = Key::new(&finish.team, &finish.program);
+        let key = TeamKey::new(&finish.team, &finish.program);
         if !self.programs.contains_key(&key) {
             return Answer::NotFound(NotFound {});
         }
@@ -83,35 +86,35 @@
     }
 
     /// Ends a program and its descendants, and returns how many were ended.
-    fn end_program(&mut self, key: &Key, cause: EndCause) -> u64 {
+    fn end_program(&mut self, key: &TeamKey, cause: EndCause) -> u64 {
         let keep_until_ms = self.now_ms.saturating_add(self.settings.resend_window_ms);
-        let family = [key.clone()].into_iter().chain(self.descendants(key)).collect::<Vec<_>>();
+        let subtree = [key.clone()].into_iter().chain(self.descendants(key)).collect::<Vec<_>>();
         let mut count = 0;
-        for key in family {
+        for key in subtree {
             let Some(program) = self.programs.get_mut(&key) else { continue };
             if program.ended.is_none() {
                 program.ended = Some(End { cause, keep_until_ms });
-                self.due.insert((keep_until_ms, key.clone()));
-                self.order_release(&key);
+                self.programs_due.insert((keep_until_ms, key.clone()));
+                self.order_program_release(&key);
                 count += 1;
             }
         }
         count
     }
 
-    fn descendants(&self, key: &Key) -> Vec<Key> {
+    fn descendants(&self, key: &TeamKey) -> Vec<TeamKey> {
         let first = key.first_descendant();
         let prefix = first.name.clone();
         let from = self.programs.range(first..).map(|(key, _)| key);
         from.take_while(|k| k.team == key.team && k.name.starts_with(&*prefix)).cloned().collect()
     }
 
-    /// Ends the programs of a lineage that are past their limits.
-    pub(super) fn end_overdue(&mut self, lineage: &[Key]) -> u64 {
+    /// Ends the programs of a path that are past their limits.
+    pub(super) fn end_expired(&mut self, path: &[TeamKey]) -> u64 {
         let mut count = 0;
-        for key in lineage {
+        for key in path {
             let program = self.programs.get(key).filter(|program| program.ended.is_none());
-            if let Some(cause) = program.and_then(|program| program.overdue(self.now_ms)) {
+            if let Some(cause) = program.and_then(|program| program.expiry_cause(self.now_ms)) {
                 count += self.end_program(key, cause);
             }
         }
@@ -120,42 +123,43 @@
 
     pub(super) fn expire(&mut self) -> Swept {
         let now_ms = self.now_ms;
-        let mut swept = self.lose_claims(|open| open.deadline_ms <= now_ms);
+        let mut counts = self.abandon_claims(|open| open.deadline_ms <= now_ms);
         // Sorted by key, because the order in the index differs between replicas.
         let mut due = BTreeSet::new();
-        while let Some((at_ms, key)) = self.due.pop_first() {
+        while let Some((at_ms, key)) = self.programs_due.pop_first() {
             if at_ms > now_ms {
-                self.due.insert((at_ms, key));
+                self.programs_due.insert((at_ms, key));
                 break;
             }
             due.insert(key);
         }
-        let was_ended = |key: &Key| self.programs.get(key).is_some_and(|p| p.ended.is_some());
+        let was_ended = |key: &TeamKey| self.programs.get(key).is_some_and(|p| p.ended.is_some());
         let (ended, live): (Vec<_>, Vec<_>) = due.into_iter().partition(was_ended);
         for key in live {
-            swept.programs_ended += self.end_overdue(std::slice::from_ref(&key));
-            self.requeue(key);
+            counts.programs_ended += self.end_expired(std::slice::from_ref(&key));
+            self.reschedule(key);
         }
         // Children come after their parents in the order of keys, and are dropped before them.
         for key in ended.into_iter().rev() {
-            swept.programs_dropped += u64::from(self.drop_program(&key));
-            self.requeue(key);
+            counts.programs_dropped += u64::from(self.drop_program(&key));
+            self.reschedule(key);
         }
-        swept.calls_dropped = self.drop_calls();
-        self.instances
-            .retain(|_, mark| !mark.gone || now_ms.saturating_sub(mark.at_ms) < KEPT_GONE_MS);
-        swept
+        counts.calls_dropped = self.drop_expired_calls();
+        self.instances.retain(|_, known| {
+            !known.gone || now_ms.saturating_sub(known.at_ms) < GONE_RETENTION_MS
+        });
+        counts
     }
 
-    fn requeue(&mut self, key: Key) {
+    fn reschedule(&mut self, key: TeamKey) {
         if let Some(program) = self.programs.get(&key) {
-            self.due.insert((program.due_ms(self.now_ms), key));
+            self.programs_due.insert((program.due_ms(self.now_ms), key));
         }
     }
 
     /// Drops an ended program whose resend window is over. A program with an open call, or with a
     /// descendant that is still kept, stays.
-    fn drop_program(&mut self, key: &Key) -> bool {
+    fn drop_program(&mut self, key: &TeamKey) -> bool {
         let Some(program) = self.programs.get(key) else { return false };
         let is_over = program.ended.is_some_and(|end| end.keep_until_ms <= self.now_ms);
         if !is_over || program.open > 0 || !self.descendants(key).is_empty() {
@@ -167,7 +171,7 @@
         true
     }
 
-    fn drop_calls(&mut self) -> u64 {
+    fn drop_expired_calls(&mut self) -> u64 {
         let mut count = 0;
         while let Some((at_ms, key)) = self.calls_due.pop_first() {
             if at_ms > self.now_ms {
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Catalog`] (group 0) holds the object set, the results of publications and the registered
 //! instances. [`Ledger`] (one per program group) holds programs: the order of their turns, budgets,
-//! claims, answers, history, and the orders that make endpoints release memory. [`group_of`] and
+//! claims, answers, history, and the orders that make endpoints release memory. [`group_of_program`] and
 //! [`group_of_key`] say which group holds a program or a call.
 //!
 //! # Owners and failures
@@ -53,8 +53,8 @@
 mod names;
 
 pub use crate::{
-    catalog::{Catalog, Changes, Object, View},
+    catalog::{Catalog, Changes, InstanceView, Object},
     error::RestoreError,
     ledger::{Ledger, Settings},
-    names::{group_of, group_of_key},
+    names::{group_of_key, group_of_program},
 };
--- a/crates/ledger/src/names.rs
+++ b/crates/ledger/src/names.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 /// Deepest path of a program, counted in parts.
-const MAX_LEVELS: usize = 8;
+const MAX_PATH_PARTS: usize = 8;
 /// Longest part of a program's path.
 const MAX_PART_CHARS: usize = 64;
 /// Longest name of a team, key, instance or endpoint.
@@ -11,18 +11,18 @@
 
 /// A program or key within its team.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Key {
+pub(crate) struct TeamKey {
     pub(crate) team: Arc<str>,
     pub(crate) name: Arc<str>,
 }
 
-impl Key {
+impl TeamKey {
     pub(crate) fn new(team: &str, name: &str) -> Self {
         Self { team: team.into(), name: name.into() }
     }
 
     /// The program's ancestors and itself, root first.
-    pub(crate) fn lineage(&self) -> Vec<Self> {
+    pub(crate) fn ancestors_and_self(&self) -> Vec<Self> {
         let ends = self.name.match_indices('/').map(|(at, _)| at);
         let ancestors =
             ends.map(|end| Self { team: self.team.clone(), name: self.name[..end].into() });
@@ -40,7 +40,7 @@
     let part_ok = |part: &str| {
         (1..=MAX_PART_CHARS).contains(&part.len()) && part.bytes().all(|b| b.is_ascii_graphic())
     };
-    path.split('/').count() <= MAX_LEVELS && path.split('/').all(part_ok)
+    path.split('/').count() <= MAX_PATH_PARTS && path.split('/').all(part_ok)
 }
 
 pub(crate) fn is_name(name: &str) -> bool {
@@ -53,9 +53,9 @@
 /// # Panics
 ///
 /// Panics if `groups` is 0.
-pub fn group_of(team: &str, program: &str, groups: u32) -> u32 {
+pub fn group_of_program(team: &str, program: &str, groups: u32) -> u32 {
     let root = program.split('/').next().unwrap_or(program);
-    bucket("program", team, root, groups)
+    hash_to_group("program", team, root, groups)
 }
 
 /// The group that holds the call of `team` with `idempotency_key` and no program: 1 to `groups`.
@@ -64,16 +64,16 @@
 ///
 /// Panics if `groups` is 0.
 pub fn group_of_key(team: &str, idempotency_key: &str, groups: u32) -> u32 {
-    bucket("key", team, idempotency_key, groups)
+    hash_to_group("key", team, idempotency_key, groups)
 }
 
-fn bucket(domain: &str, team: &str, name: &str, groups: u32) -> u32 {
+fn hash_to_group(domain: &str, team: &str, name: &str, groups: u32) -> u32 {
     let mut hasher = blake3::Hasher::new();
     for part in [domain, team, name] {
         hasher.update(&(part.len() as u64).to_be_bytes());
         hasher.update(part.as_bytes());
     }
-    let mut head = [0; 8];
-    head.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
-    1 + (u64::from_be_bytes(head) % u64::from(groups)) as u32
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+    1 + (u64::from_be_bytes(prefix) % u64::from(groups)) as u32
 }
--- a/crates/ledger/tests/arbitrary_bytes.rs
+++ b/crates/ledger/tests/arbitrary_bytes.rs
@@ -3,15 +3,15 @@
 
 mod common;
 
-use common::{Machine, call, keyed, non_idempotent, with_budget};
+use common::{TestLedger, call, keyed, non_idempotent, with_budget};
 use poplarspan_ledger::{Catalog, Ledger};
 use poplarspan_proto::ledger::{Begin, LedgerCommand, ledger_command::Command};
 use proptest::prelude::*;
 use prost::Message;
 
 /// Commands that are applied after a damaged snapshot was accepted.
-fn exercise(ledger: Ledger) {
-    let mut m = Machine { ledger, ..Machine::new() };
+fn run_commands(ledger: Ledger) {
+    let mut m = TestLedger { ledger, ..TestLedger::new() };
     for status in ["p", "p/c", "q"].iter().filter_map(|p| m.ledger.status("t", p)) {
         let sum = status.spent_tokens.checked_add(status.reserved_tokens);
         assert!(sum.is_some_and(|sum| sum <= status.budget_tokens));
@@ -25,8 +25,8 @@
     assert!(m.ledger.restore(&m.ledger.snapshot()).is_ok());
 }
 
-fn busy() -> Machine {
-    let mut m = Machine::new();
+fn populated() -> TestLedger {
+    let mut m = TestLedger::new();
     m.run(&with_budget(13, call("p", None, "a")), 1);
     m.run(&call("p/c", None, "a"), 1);
     m.granted(&non_idempotent("p/c", None, "b"));
@@ -38,15 +38,15 @@
 
 #[test]
 fn damaged_snapshots_are_refused_or_work() {
-    let snapshot = busy().ledger.snapshot();
+    let snapshot = populated().ledger.snapshot();
     for at in 0..snapshot.len() {
         for flip in [1, 2, 8, 0x80, 0xff] {
             let mut damaged = snapshot.to_vec();
             damaged[at] ^= flip;
-            let mut ledger = busy().ledger;
+            let mut ledger = populated().ledger;
             match ledger.restore(&damaged) {
-                Ok(()) => exercise(ledger),
-                Err(_) => assert!(ledger == busy().ledger, "byte {at}: the state was kept"),
+                Ok(()) => run_commands(ledger),
+                Err(_) => assert!(ledger == populated().ledger, "byte {at}: the state was kept"),
             }
         }
         assert!(Ledger::new().restore(&snapshot[..at]).is_err(), "truncated at {at}");
@@ -59,10 +59,10 @@
     let begin = Some(Command::Begin(begin));
     let data = LedgerCommand { now_ms: 5, command: begin }.encode_to_vec();
     for (at, flip) in (0..data.len()).flat_map(|at| [1, 2, 8, 0x80, 0xff].map(|f| (at, f))) {
-        let (mut m, mut damaged) = (busy(), data.clone());
+        let (mut m, mut damaged) = (populated(), data.clone());
         damaged[at] ^= flip;
         m.ledger.apply(m.index + 1, &damaged);
-        exercise(m.ledger);
+        run_commands(m.ledger);
     }
 }
 
@@ -76,7 +76,7 @@
 
     #[test]
     fn arbitrary_bytes_never_panic(data in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut m = busy();
+        let mut m = populated();
         m.ledger.apply(m.index + 1, &data);
         m.ledger.query(&data);
         let mut catalog = Catalog::new();
--- a/crates/ledger/tests/body_replay.rs
+++ b/crates/ledger/tests/body_replay.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::{Machine, Reply, answer, call, digest, from, keyed};
+use common::{Reply, TestLedger, answer, call, digest, from_instance, keyed};
 use poplarspan_proto::ledger::{Begin, BodyMismatch, Granted};
 
 const MISMATCH: Reply = Reply::BodyMismatch(BodyMismatch {});
 
 #[test]
 fn same_key_and_body_replay_the_answer() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&call("p", Some(1), "a"), 3);
     m.run(&call("p", None, "b"), 4);
     assert_eq!(m.begin(&call("p", Some(1), "a")), Reply::Replay(answer(3)));
@@ -21,7 +21,7 @@
 
 #[test]
 fn other_body_or_turn_is_refused() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&call("p", Some(1), "a"), 1);
     m.run(&keyed("a"), 1);
     let other = |begin| Begin { body_digest: digest("other"), ..begin };
@@ -34,7 +34,7 @@
 
 #[test]
 fn turn_identifies_calls_without_own_key() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let generated =
         |key| Begin { key_generated: true, body_digest: digest("same"), ..call("p", Some(1), key) };
     m.run(&generated("random-1"), 1);
@@ -46,13 +46,13 @@
 /// A proposal whose answer was lost is proposed again and must not find itself running.
 #[test]
 fn resent_proposal_gets_the_same_claim() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let begin = Begin { attempt: 7, ..call("p", None, "a") };
     let first = m.granted(&begin);
     assert_eq!(m.granted(&begin), first);
     assert!(matches!(m.begin(&Begin { attempt: 8, ..begin.clone() }), Reply::Running(_)));
     assert!(matches!(m.begin(&Begin { kind: 2, ..begin.clone() }), Reply::Running(_)));
-    assert!(matches!(m.begin(&from("j", 1, begin.clone())), Reply::Running(_)));
+    assert!(matches!(m.begin(&from_instance("j", 1, begin.clone())), Reply::Running(_)));
     let recorded = Reply::Recorded(Default::default());
     assert_eq!(m.end(&begin, first, common::answered(1)), recorded);
     assert_eq!(m.end(&begin, first, common::answered(1)), recorded);
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -14,13 +14,13 @@
 
 /// A ledger with a clock that the test sets.
 #[derive(Default)]
-pub struct Machine {
+pub struct TestLedger {
     pub ledger: Ledger,
     pub now_ms: u64,
     pub index: u64,
 }
 
-impl Machine {
+impl TestLedger {
     pub fn new() -> Self {
         Self { now_ms: 1_000_000, ..Self::default() }
     }
@@ -110,7 +110,7 @@
 }
 
 /// The call as another instance sends it.
-pub fn from(instance: &str, incarnation: u64, begin: Begin) -> Begin {
+pub fn from_instance(instance: &str, incarnation: u64, begin: Begin) -> Begin {
     Begin { claimant: Some(claimant(instance, incarnation)), ..begin }
 }
 
--- a/crates/ledger/tests/history_isolation.rs
+++ b/crates/ledger/tests/history_isolation.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{Machine, Reply, call, keyed, non_idempotent, unknown};
-use poplarspan_ledger::{group_of, group_of_key};
+use common::{Reply, TestLedger, call, keyed, non_idempotent, unknown};
+use poplarspan_ledger::{group_of_key, group_of_program};
 use poplarspan_proto::ledger::{
     Begin, Finish, LedgerQuery, LedgerQueryAnswer, StatusQuery, ledger_command::Command,
     ledger_query::Query, ledger_query_answer,
@@ -12,7 +12,7 @@
 
 #[test]
 fn teams_see_their_own_programs_only() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&call("p", None, "mine"), 1);
     assert_eq!(m.ledger.history("u", "p", 0, 1000), None);
     assert_eq!(m.ledger.status("u", "p"), None);
@@ -36,7 +36,7 @@
 
 #[test]
 fn pages_cover_each_turn_once() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     for n in 1..=20 {
         m.run(&call("p", Some(n), &format!("k{n}")), 1);
     }
@@ -59,10 +59,13 @@
 }
 
 #[test]
-fn families_share_a_group() {
+fn descendants_share_a_group() {
     for groups in [1, 2, 7] {
-        let groups_of = |n: u32| group_of("t", &format!("root{n}"), groups);
-        assert!((0..200).all(|n| groups_of(n) == group_of("t", &format!("root{n}/a/b"), groups)));
+        let groups_of = |n: u32| group_of_program("t", &format!("root{n}"), groups);
+        assert!(
+            (0..200)
+                .all(|n| groups_of(n) == group_of_program("t", &format!("root{n}/a/b"), groups))
+        );
         let mut seen = (0..200).map(groups_of).collect::<Vec<_>>();
         seen.extend((0..200).map(|n| group_of_key("t", &format!("k/{n}"), groups)));
         seen.sort_unstable();
--- a/crates/ledger/tests/program_retention.rs
+++ b/crates/ledger/tests/program_retention.rs
@@ -3,14 +3,14 @@
 
 mod common;
 
-use common::{Machine, Reply, answer, answered, call, keyed};
+use common::{Reply, TestLedger, answer, answered, call, keyed};
 use poplarspan_proto::ledger::{Begin, Configure, EndCause, Limits, ledger_command::Command};
 
 const HOUR_MS: u64 = 3_600_000;
 
 #[test]
 fn answers_stay_for_the_resend_window() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&call("p/c", None, "a"), 1);
     m.run(&keyed("k"), 1);
     m.finish("p");
@@ -24,7 +24,7 @@
 
 #[test]
 fn full_store_refuses_new_calls_only() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let configure = Configure { team_bytes: Some(4000), ..Configure::default() };
     m.apply(Command::Configure(configure));
     m.run(&call("p", None, "a"), 1);
@@ -41,7 +41,7 @@
 
 #[test]
 fn idle_programs_end() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&call("p", None, "a"), 1);
     m.now_ms += HOUR_MS / 2;
     let open = m.granted(&call("p/c", None, "a"));
@@ -56,7 +56,7 @@
 /// The sweeper may be late; the limits hold without it.
 #[test]
 fn lifetime_ends_programs_without_a_sweep() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let limits = Some(Limits { lifetime_ms: Some(1000), ..Limits::default() });
     let begin = Begin { limits, ..call("p", None, "a") };
     let open = m.granted(&begin);
@@ -73,7 +73,7 @@
 /// A leader whose clock is behind must not make deadlines move away.
 #[test]
 fn time_never_falls() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&call("p", None, "a"), 1);
     m.expire_after(HOUR_MS - 1);
     m.now_ms = 5;
--- a/crates/ledger/tests/publishing.rs
+++ b/crates/ledger/tests/publishing.rs
@@ -157,7 +157,7 @@
     for groups in [2, 3] {
         apply(&mut c, 0, Command::FixGroups(FixGroups { groups }));
     }
-    assert_eq!(c.groups(), 2, "the first number of groups stays");
+    assert_eq!(c.group_count(), 2, "the first number of groups stays");
 }
 
 #[test]
--- a/crates/ledger/tests/random_commands.rs
+++ b/crates/ledger/tests/random_commands.rs
@@ -1,4 +1,4 @@
-//! Runs random commands against a simple model and against a twin that is restored from snapshots.
+//! Runs random commands against a simple model and against a replica that is restored from snapshots.
 //! Guards against second runs of non-idempotent calls, exceeded budgets, turns out of order, lost
 //! or mixed histories, early drops, and replicas that differ after a snapshot.
 
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{Machine, Reply, answer, call, end, from, not_run, unknown};
+use common::{Reply, TestLedger, answer, call, end, from_instance, not_run, unknown};
 use poplarspan_ledger::Ledger;
 use poplarspan_proto::ledger::{
     Begin, Configure, Dispatch, End, Expire, Finish, Granted, InstanceGone, LedgerAnswer,
@@ -56,7 +56,7 @@
 }
 
 impl Model {
-    fn on_granted(&mut self, m: &Machine, begin: &Begin, granted: Granted) {
+    fn on_granted(&mut self, m: &TestLedger, begin: &Begin, granted: Granted) {
         if let Some((first, _)) = self.granted.iter().find(|(_, g)| g.claim == granted.claim) {
             let is_same = first.attempt == begin.attempt && first.claimant == begin.claimant;
             assert!(is_same && begin.attempt != 0, "one claim for two proposals");
@@ -97,8 +97,8 @@
     }
 
     /// Compares the programs with what is known of them, and forgets those that were dropped.
-    fn check(&mut self, m: &Machine) {
-        assert_eq!(m.ledger.violations(), 0);
+    fn check(&mut self, m: &TestLedger) {
+        assert_eq!(m.ledger.invariant_violations(), 0);
         self.may_have_run.retain(|(team, program, key), since_ms| {
             let is_kept = program.is_some() || m.ledger.call_by_key(team, None, key).is_some();
             assert!(is_kept || *since_ms + WINDOW_MS <= m.now_ms, "{key} was dropped early");
@@ -171,28 +171,32 @@
             attempt,
             timeout_ms,
             limits: Some(limits),
-            ..from(&format!("i{instance}"), incarnation, call("", None, &format!("k{key}")))
+            ..from_instance(
+                &format!("i{instance}"),
+                incarnation,
+                call("", None, &format!("k{key}")),
+            )
         }
     })
 }
 
 /// Both replicas, the model, and the calls granted so far.
-struct Run {
-    m: Machine,
-    twin: Ledger,
+struct Harness {
+    m: TestLedger,
+    replica: Ledger,
     model: Model,
 }
 
-impl Run {
+impl Harness {
     fn step(&mut self, op: &Op) {
         let granted = |ago: usize| self.model.granted.iter().rev().nth(ago).cloned();
         match op {
             Op::Send(command) => self.send(command.clone()),
             Op::End(ago, outcome) => {
                 let Some((begin, granted)) = granted(*ago) else { return };
-                let open_before = self.m.ledger.open_count();
+                let open_before = self.m.ledger.open_call_count();
                 self.send(Command::End(end(&begin, granted, outcome.clone())));
-                if self.m.ledger.open_count() < open_before {
+                if self.m.ledger.open_call_count() < open_before {
                     self.model.on_closed(self.m.now_ms, &begin, granted, outcome);
                 }
             }
@@ -205,7 +209,7 @@
                 self.m.now_ms += ms;
                 self.send(Command::Expire(Expire {}));
             }
-            Op::Restore => self.twin.restore(&self.m.ledger.snapshot()).expect("own snapshot"),
+            Op::Restore => self.replica.restore(&self.m.ledger.snapshot()).expect("own snapshot"),
         }
         self.model.check(&self.m);
     }
@@ -215,8 +219,12 @@
         let now_ms = self.m.now_ms;
         let data = LedgerCommand { now_ms, command: Some(command.clone()) }.encode_to_vec();
         let reply = self.m.apply(command);
-        let twin_reply = LedgerAnswer::decode(self.twin.apply(self.m.index, &data));
-        assert_eq!(twin_reply.expect("an answer").answer.as_ref(), Some(&reply), "replicas differ");
+        let replica_reply = LedgerAnswer::decode(self.replica.apply(self.m.index, &data));
+        assert_eq!(
+            replica_reply.expect("an answer").answer.as_ref(),
+            Some(&reply),
+            "replicas differ"
+        );
         if let (Some(begin), Reply::Granted(granted)) = (begin, reply) {
             self.model.on_granted(&self.m, &begin, granted);
         }
@@ -224,14 +232,14 @@
 }
 
 fn run(ops: &[Op]) {
-    let mut run = Run { m: Machine::new(), twin: Ledger::new(), model: Model::default() };
+    let mut run = Harness { m: TestLedger::new(), replica: Ledger::new(), model: Model::default() };
     run.send(Command::Configure(Configure {
         resend_window_ms: Some(WINDOW_MS),
         team_bytes: Some(20_000),
         ..Configure::default()
     }));
     ops.iter().for_each(|op| run.step(op));
-    assert!(run.twin == run.m.ledger, "replicas differ");
+    assert!(run.replica == run.m.ledger, "replicas differ");
 }
 
 #[test]
--- a/crates/ledger/tests/release_orders.rs
+++ b/crates/ledger/tests/release_orders.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{Machine, Reply, answered, call, keyed};
+use common::{Reply, TestLedger, answered, call, keyed};
 use poplarspan_proto::ledger::{
     Begin, Dispatch, EndpointGone, Granted, ReleaseAcknowledged, ledger_command::Command,
 };
 
-fn dispatch(m: &mut Machine, begin: &Begin, granted: Granted, endpoint: &str) -> Reply {
+fn dispatch(m: &mut TestLedger, begin: &Begin, granted: Granted, endpoint: &str) -> Reply {
     let call = common::end(begin, granted, answered(0)).call;
     let dispatch = Dispatch { call, claim: granted.claim, endpoint: endpoint.into() };
     m.apply(Command::Dispatch(dispatch))
@@ -15,7 +15,7 @@
 
 #[test]
 fn end_orders_release_at_each_endpoint() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&call("p", None, "a"), 1);
     let begin = Begin { endpoint: String::new(), ..call("p/c", None, "b") };
     let granted = m.granted(&begin);
@@ -33,7 +33,7 @@
 
 #[test]
 fn lost_claims_are_released_alone() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let begin = call("p", None, "a");
     let granted = m.granted(&begin);
     dispatch(&mut m, &begin, granted, "f");
@@ -46,7 +46,7 @@
 
 #[test]
 fn orders_stay_until_acknowledged() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     for (program, endpoint) in [("p", "e"), ("q", "f"), ("r", "f")] {
         m.run(&Begin { endpoint: endpoint.into(), ..call(program, None, "a") }, 1);
         m.finish(program);
--- a/crates/ledger/tests/token_budgets.rs
+++ b/crates/ledger/tests/token_budgets.rs
@@ -2,21 +2,21 @@
 
 mod common;
 
-use common::{Machine, Reply, answered, call, not_run, unknown, with_budget};
+use common::{Reply, TestLedger, answered, call, not_run, unknown, with_budget};
 use poplarspan_proto::ledger::{Begin, BudgetExceeded, Limits, TurnLimit};
 
 fn exceeded(remaining: u64) -> Reply {
     Reply::BudgetExceeded(BudgetExceeded { remaining })
 }
 
-fn used(m: &Machine, program: &str) -> (u64, u64) {
+fn used(m: &TestLedger, program: &str) -> (u64, u64) {
     let status = m.ledger.status("t", program).expect("status");
     (status.spent_tokens, status.reserved_tokens)
 }
 
 #[test]
 fn reservation_is_settled_to_the_cost() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let begin = with_budget(25, call("p", None, "a"));
     let granted = m.granted(&begin);
     assert_eq!(used(&m, "p"), (0, 10));
@@ -32,7 +32,7 @@
 
 #[test]
 fn children_share_the_budget_of_their_ancestors() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&with_budget(40, call("p", None, "root")), 10);
     m.granted(&call("p/a", None, "a"));
     m.granted(&call("p/b/c", None, "c"));
@@ -49,7 +49,7 @@
 
 #[test]
 fn turns_of_children_count_for_their_ancestors() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let limits = Some(Limits { turns: Some(2), ..Limits::default() });
     m.run(&Begin { limits, ..call("p", None, "a") }, 1);
     m.run(&call("p/c", None, "b"), 1);
@@ -59,12 +59,12 @@
 
 #[test]
 fn lost_runs_count_with_their_worst_case() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let begin = with_budget(25, call("p", None, "a"));
     m.granted(&begin);
     m.gone("i", 1);
     assert_eq!(used(&m, "p"), (10, 0));
-    let begin = common::from("i", 2, begin);
+    let begin = common::from_instance("i", 2, begin);
     let again = m.granted(&begin);
     assert_eq!(used(&m, "p"), (10, 10));
     m.end(&begin, again, unknown());
@@ -73,14 +73,14 @@
 
 #[test]
 fn cost_above_the_reservation_is_an_overrun() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let begin = with_budget(25, call("p/c", None, "a"));
     let granted = m.granted(&begin);
     m.granted(&call("p/d", None, "d"));
     m.end(&begin, granted, answered(100));
     assert_eq!(used(&m, "p"), (15, 10), "the other reservation stays covered");
     assert_eq!(m.ledger.status("t", "p").expect("status").overrun_tokens, 85);
-    assert_eq!((m.ledger.overruns(), m.ledger.violations()), (1, 0));
+    assert_eq!((m.ledger.cost_overruns(), m.ledger.invariant_violations()), (1, 0));
     let page = m.ledger.history("t", "p/c", 0, 1000).expect("history");
     assert_eq!(page.records[0].answer.as_ref().expect("answer").cost_tokens, 100);
     assert_eq!(m.begin(&call("p", None, "b")), exceeded(0));
--- a/crates/ledger/tests/turn_order.rs
+++ b/crates/ledger/tests/turn_order.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::{Machine, Reply, answer, call, claimant, from, non_idempotent, not_run};
+use common::{Reply, TestLedger, answer, call, claimant, from_instance, non_idempotent, not_run};
 use poplarspan_ledger::Ledger;
 use poplarspan_proto::ledger::{Begin, OutOfOrder, Running};
 
 #[test]
 fn explicit_turns_run_in_order() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let expect = |expected| Reply::OutOfOrder(OutOfOrder { expected });
     assert_eq!(m.begin(&call("p", Some(2), "k2")), expect(1));
     assert!(m.ledger.status("t", "p").is_none(), "a refused call creates no program");
@@ -21,9 +21,9 @@
 
 #[test]
 fn calls_without_turn_take_the_next_one() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let first = m.granted(&call("p", None, "a"));
-    let other = from("j", 1, call("p", None, "b"));
+    let other = from_instance("j", 1, call("p", None, "b"));
     let running = Running { claimant: Some(claimant("i", 1)), turn: 1 };
     assert_eq!(m.begin(&other), Reply::Running(running));
     m.end(&call("p", None, "a"), first, common::answered(1));
@@ -32,7 +32,7 @@
 
 #[test]
 fn not_run_frees_the_turn() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let begin = non_idempotent("p", Some(1), "a");
     let first = m.granted(&begin);
     m.end(&begin, first, not_run());
@@ -43,7 +43,7 @@
 
 #[test]
 fn resends_after_the_end_are_replayed() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     m.run(&call("p", Some(1), "a"), 1);
     m.finish("p");
     assert_eq!(m.begin(&call("p", Some(1), "a")), Reply::Replay(answer(1)));
@@ -53,7 +53,7 @@
 
 #[test]
 fn malformed_calls_change_nothing() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     let (level, part) = ("a/".repeat(8) + "a", "a".repeat(65));
     let mut other = Ledger::new();
     other.apply(1, b"");
--- a/crates/ledger/tests/unknown_outcomes.rs
+++ b/crates/ledger/tests/unknown_outcomes.rs
@@ -2,13 +2,15 @@
 
 mod common;
 
-use common::{Machine, Reply, answered, call, from, keyed, non_idempotent, not_run, unknown};
+use common::{
+    Reply, TestLedger, answered, call, from_instance, keyed, non_idempotent, not_run, unknown,
+};
 use poplarspan_proto::ledger::{Begin, Granted, OutcomeUnknown, Stale};
 
 /// The unknown outcome stays whatever the former claimant reports, and no resend runs.
-fn assert_final(m: &mut Machine, begin: &Begin, granted: Granted) {
+fn assert_final(m: &mut TestLedger, begin: &Begin, granted: Granted) {
     let unknown_reply = Reply::OutcomeUnknown(OutcomeUnknown { turn: granted.turn });
-    let resend = from("j", 1, begin.clone());
+    let resend = from_instance("j", 1, begin.clone());
     assert_eq!(m.begin(&resend), unknown_reply);
     for outcome in [answered(1), not_run()] {
         assert_eq!(m.end(begin, granted, outcome), Reply::Stale(Stale {}));
@@ -19,18 +21,18 @@
 
 #[test]
 fn lost_instance_leaves_an_unknown_outcome() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     for begin in [non_idempotent("p", Some(1), "a"), keyed("k")] {
         let granted = m.granted(&begin);
         assert_eq!(m.gone("i", 1).calls_unknown, 1);
         assert_final(&mut m, &begin, granted);
-        m = Machine::new();
+        m = TestLedger::new();
     }
 }
 
 #[test]
 fn reported_unknown_outcome_is_final() {
-    let mut m = Machine::new();
+    let mut m = TestLedger::new();
     for begin in [non_idempotent("p", Some(1), "a"), keyed("k")] {
         let granted = m.granted(&begin);
         assert!(matches!(m.end(&begin, granted, unknown()), Reply::Recorded(_)));
--- a/crates/server/src/control/service.rs
+++ b/crates/server/src/control/service.rs
@@ -152,7 +152,7 @@
         // before the changes are read, so that an instance without a disk never restarts from
         // older objects than were in force.
         self.lead_and_catch_up().await?;
-        if self.catalog().groups() == 0 {
+        if self.catalog().group_count() == 0 {
             // The number is part of the view, which is sent again only when its epoch changes.
             let message = "the number of program groups is not fixed yet";
             return Err(failed(FailureCode::Unavailable, message));
@@ -205,7 +205,7 @@
             grant.view = Some(peer::View {
                 epoch: view.epoch,
                 members: members.collect(),
-                program_groups: catalog.groups(),
+                program_groups: catalog.group_count(),
             });
         }
         grant
--- a/crates/server/src/control/sweep.rs
+++ b/crates/server/src/control/sweep.rs
@@ -79,7 +79,7 @@
     }
 
     async fn fix_groups(&self) -> anyhow::Result<()> {
-        if self.control.catalog().groups() != 0 {
+        if self.control.catalog().group_count() != 0 {
             return Ok(());
         }
         let fix = ledger::FixGroups { groups: self.program_groups };
@@ -108,7 +108,7 @@
     /// Tells every program group of the instances that are gone. A new leader of group 0 tells all
     /// of them again, since a former one may have died in between; telling twice changes nothing.
     async fn tell_groups(&self, told: &mut Vec<(String, u64)>) {
-        let gone = self.control.catalog().gone();
+        let gone = self.control.catalog().gone_instances();
         for (instance, incarnation) in gone {
             let key = (instance, incarnation);
             if told.contains(&key) {
--- a/crates/server/src/entry/own.rs
+++ b/crates/server/src/entry/own.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, Response};
 use hyper::body::Incoming;
-use poplarspan_ledger::group_of;
+use poplarspan_ledger::group_of_program;
 use poplarspan_objects::Name;
 use poplarspan_proto::ledger::{
     self, LedgerQuery, LedgerQueryAnswer, ledger_answer, ledger_command, ledger_query,
@@ -124,7 +124,7 @@
     fn group(&self, team: &str, program: &str) -> Result<u32, Refusal> {
         match self.ledger.groups() {
             0 => Err(unavailable("the program groups are not known yet")),
-            groups => Ok(group_of(team, program, groups)),
+            groups => Ok(group_of_program(team, program, groups)),
         }
     }
 }
--- a/crates/server/src/entry/program.rs
+++ b/crates/server/src/entry/program.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, Response};
-use poplarspan_ledger::{group_of, group_of_key};
+use poplarspan_ledger::{group_of_key, group_of_program};
 use poplarspan_objects::Name;
 use poplarspan_proto::ledger::{
     self, Begin, CallId, CallKind, Claimant, end, ledger_answer, ledger_command,
@@ -277,7 +277,7 @@
         // A proposal of its own: an earlier one with the same number would get its first answer.
         begin.attempt = self.attempts.fetch_add(1, Ordering::Relaxed);
         let group = match &begin.program {
-            Some(program) => group_of(&begin.team, program, groups),
+            Some(program) => group_of_program(&begin.team, program, groups),
             None => group_of_key(&begin.team, &begin.idempotency_key, groups),
         };
         let mut call = CallId {
