--- a/crates/objects/src/apply.rs
+++ b/crates/objects/src/apply.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use crate::cross::{Issue, Scope, verify};
 use crate::finding::{Finding, Findings};
 use crate::kind::{Kind, Name};
-use crate::lost::Lost;
 use crate::object::{Object, Objects, for_each_kind};
 use crate::record::{Change, Record, decode, encode};
 use crate::set::ObjectSet;
+use crate::set_rules::{Issue, Scope, verify};
+use crate::unparsed::UnparsedNames;
 
 /// Builds a set from records.
 pub(crate) fn from_records(records: &[Record]) -> Result<ObjectSet, Findings> {
@@ -17,7 +17,7 @@
     for_each_kind!(decode_kind(records, &mut objects, &mut findings));
     // Without the malformed records, references to them would be reported as unknown.
     Findings::into_result(findings)?;
-    finish(objects, &ObjectSet::default(), Scope::ALL, Vec::new())
+    check_and_index(objects, &ObjectSet::default(), Scope::ALL, Vec::new())
 }
 
 fn decode_kind<T: Object>(records: &[Record], objects: &mut Objects, findings: &mut Vec<Finding>) {
@@ -25,11 +25,11 @@
     for record in records.iter().filter(|record| record.kind == T::KIND) {
         match decode(record) {
             Ok(object) => decoded.push(object),
-            Err(message) => findings.push(finding(record.kind, &record.name, message)),
+            Err(message) => findings.push(object_finding(record.kind, &record.name, message)),
         }
     }
     decoded.sort_by(|a, b| a.name().cmp(b.name()));
-    *T::of_mut(objects) = Arc::new(decoded);
+    *T::list_mut(objects) = Arc::new(decoded);
 }
 
 /// The changes that make `new` from `old`.
@@ -40,14 +40,14 @@
 }
 
 fn diff_kind<T: Object>(old: &Objects, new: &Objects, changes: &mut Vec<Change>) {
-    if Arc::ptr_eq(T::of(old), T::of(new)) {
+    if Arc::ptr_eq(T::list(old), T::list(new)) {
         return;
     }
     let remove = |object: &T| Change::Remove { kind: T::KIND, name: object.name().clone() };
-    let mut old = T::of(old).iter().peekable();
-    for object in T::of(new).iter() {
-        while let Some(gone) = old.next_if(|o| o.name() < object.name()) {
-            changes.push(remove(gone));
+    let mut old = T::list(old).iter().peekable();
+    for object in T::list(new).iter() {
+        while let Some(removed) = old.next_if(|o| o.name() < object.name()) {
+            changes.push(remove(removed));
         }
         let same = old.next_if(|o| o.name() == object.name());
         if same != Some(object) {
@@ -63,7 +63,7 @@
     let mut findings = Vec::new();
     let mut scope = Scope::NONE;
     for_each_kind!(apply_kind(changes, &mut objects, &mut scope, &mut findings));
-    finish(objects, set, scope, findings)
+    check_and_index(objects, set, scope, findings)
 }
 
 fn apply_kind<T: Object>(
@@ -78,7 +78,7 @@
     }
     scope.add(T::KIND);
     changes.sort_by(|a, b| a.name().cmp(b.name()));
-    let old = T::of(objects);
+    let old = T::list(objects);
     let mut merged = Vec::with_capacity(old.len() + changes.len());
     let mut rest = old.as_slice();
     for group in changes.chunk_by(|a, b| a.name() == b.name()) {
@@ -95,8 +95,8 @@
         }
         let existed = current.is_some();
         for change in group {
-            if let Err(message) = replace(change, &mut current) {
-                findings.push(finding(T::KIND, name, message));
+            if let Err(message) = apply_change(change, &mut current) {
+                findings.push(object_finding(T::KIND, name, message));
             }
         }
         // An endpoint may serve less than before; for other kinds only a removal breaks references.
@@ -106,7 +106,7 @@
         merged.extend(current);
     }
     merged.extend_from_slice(rest);
-    *T::of_mut(objects) = Arc::new(merged);
+    *T::list_mut(objects) = Arc::new(merged);
 }
 
 /// Makes one change of an object; a malformed record leaves the object as it was.
@@ -114,7 +114,7 @@
 /// # Errors
 ///
 /// The message of a finding.
-fn replace<T: Object>(change: &Change, current: &mut Option<T>) -> Result<(), String> {
+fn apply_change<T: Object>(change: &Change, current: &mut Option<T>) -> Result<(), String> {
     match change {
         Change::Upsert(record) => *current = Some(decode(record)?),
         Change::Remove { kind, name } => {
@@ -127,14 +127,16 @@
 }
 
 /// Checks the kinds in `scope` and derives the lookups.
-fn finish(
+fn check_and_index(
     objects: Objects,
     old: &ObjectSet,
     scope: Scope,
     mut findings: Vec<Finding>,
 ) -> Result<ObjectSet, Findings> {
     let index = old.index().update(old.objects(), &objects);
-    for Issue { at, mut message, earlier } in verify(&objects, &index, &Lost::default(), scope) {
+    for Issue { at, mut message, earlier } in
+        verify(&objects, &index, &UnparsedNames::default(), scope)
+    {
         if let Some(earlier) = earlier
             && name_of(&objects, earlier.kind, earlier.index)
                 != name_of(&objects, at.kind, at.index)
@@ -142,7 +144,7 @@
             let name = name_of(&objects, earlier.kind, earlier.index);
             message = format!("{message}, see {}/{name}", earlier.kind);
         }
-        findings.push(finding(at.kind, &name_of(&objects, at.kind, at.index), message));
+        findings.push(object_finding(at.kind, &name_of(&objects, at.kind, at.index), message));
     }
     Findings::into_result(findings)?;
     Ok(ObjectSet::new(objects, index))
@@ -151,7 +153,7 @@
 fn name_of(objects: &Objects, kind: Kind, index: usize) -> Name {
     fn get<T: Object>(objects: &Objects, kind: Kind, index: usize, name: &mut Name) {
         if T::KIND == kind {
-            name.clone_from(T::of(objects)[index].name());
+            name.clone_from(T::list(objects)[index].name());
         }
     }
     let mut name = Name::default();
@@ -160,6 +162,6 @@
 }
 
 /// A finding about an object that has no position in a file.
-fn finding(kind: Kind, name: &str, message: String) -> Finding {
+fn object_finding(kind: Kind, name: &str, message: String) -> Finding {
     Finding { file: format!("{kind}/{name}").into(), line: 0, column: 0, message }
 }
--- a/crates/objects/src/from_fields.rs
+++ b/crates/objects/src/from_fields.rs
@@ -18,39 +18,39 @@
 const DEFAULT_SERVICE_TIMEOUT: Duration = Duration::from_secs(30);
 const DEFAULT_CHAT_MAX_BODY: ByteSize = ByteSize::from_mib(8);
 const DEFAULT_SERVICE_MAX_BODY: ByteSize = ByteSize::from_mib(1);
-const DEFAULT_MAX_QUEUE: u32 = 1024;
+const DEFAULT_MAX_QUEUED_REQUESTS: u32 = 1024;
 /// Methods that RFC 9110 does not define as idempotent.
-const DEFAULT_NON_IDEMPOTENT: [&str; 2] = ["PATCH", "POST"];
+const DEFAULT_NON_IDEMPOTENT_METHODS: [&str; 2] = ["PATCH", "POST"];
 
-const DURATION: &str = "a duration such as \"300ms\"";
-const SIZE: &str = "a size such as \"64KiB\"";
+const DURATION_EXAMPLE: &str = "a duration such as \"300ms\"";
+const SIZE_EXAMPLE: &str = "a size such as \"64KiB\"";
 
 /// Reads one kind of object. A field with a finding gets a substitute that passes every rule
 /// about other fields.
-pub(crate) trait Read: Object {
+pub(crate) trait FromFields: Object {
     /// Names of the fields.
     const FIELDS: &'static [&'static str];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self;
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self;
 }
 
-impl Read for Team {
+impl FromFields for Team {
     const FIELDS: &'static [&'static str] = &["name", "rate", "budget", "weight"];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         Self {
             name: fields.require_text("name"),
             rate: fields.require_text("rate"),
             budget: fields.optional_name("budget"),
-            weight: fields.count("weight").unwrap_or(DEFAULT_WEIGHT),
+            weight: fields.integer("weight").unwrap_or(DEFAULT_WEIGHT),
         }
     }
 }
 
-impl Read for Key {
+impl FromFields for Key {
     const FIELDS: &'static [&'static str] = &["name", "team", "digest"];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         Self {
             name: fields.require_text("name"),
             team: fields.require_text("team"),
@@ -62,11 +62,11 @@
 /// A digest. Whatever starts like a secret is reported as one, and never repeated.
 fn read_digest(fields: &mut Fields<'_, '_>) -> Digest {
     if !fields.has("digest") {
-        fields.fail("digest", None, "missing field `digest`".into());
+        fields.report("digest", None, "missing field `digest`".into());
     }
     let text = fields.text("digest", "a string").unwrap_or_default();
     let substitute = Digest::from_bytes([0; 32]);
-    if fields.is_bad("digest") {
+    if fields.is_invalid("digest") {
         return substitute;
     }
     text.parse().unwrap_or_else(|err| {
@@ -75,26 +75,26 @@
         } else {
             format!("`digest`: {err}")
         };
-        fields.fail("digest", None, message);
+        fields.report("digest", None, message);
         substitute
     })
 }
 
-impl Read for Rate {
+impl FromFields for Rate {
     const FIELDS: &'static [&'static str] = &["name", "rate", "burst"];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         Self {
             name: fields.require_text("name"),
             rate: fields
                 .require_parsed("rate", "a rate such as \"50/s\"")
                 .unwrap_or(RequestRate::from_milli_per_second(1000)),
-            burst: fields.require_count("burst").unwrap_or(1),
+            burst: fields.require_integer("burst").unwrap_or(1),
         }
     }
 }
 
-impl Read for Route {
+impl FromFields for Route {
     const FIELDS: &'static [&'static str] = &[
         "name",
         "path",
@@ -108,11 +108,11 @@
         "max_queue",
     ];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         let kinds = [("chat", RouteKind::Chat), ("service", RouteKind::Service)];
         let name = fields.require_text("name");
         let path = fields.require_text("path");
-        let kind = fields.word("kind", &kinds).unwrap_or(if fields.has("service") {
+        let kind = fields.keyword("kind", &kinds).unwrap_or(if fields.has("service") {
             RouteKind::Service
         } else {
             RouteKind::Chat
@@ -127,28 +127,30 @@
             kind,
             model: fields.optional_name("model"),
             service: fields.optional_name("service"),
-            open: fields.flag("open"),
+            open: fields.boolean("open"),
             non_idempotent: read_non_idempotent(fields, kind),
-            timeout: fields.parsed_with("timeout", DURATION, parse_duration).unwrap_or(timeout),
-            max_body: fields.parsed("max_body", SIZE).unwrap_or(max_body),
-            max_queue: fields.count("max_queue").unwrap_or(DEFAULT_MAX_QUEUE),
+            timeout: fields
+                .parsed_with("timeout", DURATION_EXAMPLE, parse_duration)
+                .unwrap_or(timeout),
+            max_body: fields.parsed("max_body", SIZE_EXAMPLE).unwrap_or(max_body),
+            max_queue: fields.integer("max_queue").unwrap_or(DEFAULT_MAX_QUEUED_REQUESTS),
         }
     }
 }
 
 fn read_non_idempotent(fields: &mut Fields<'_, '_>, kind: RouteKind) -> NonIdempotent {
-    match (fields.flag_or_list("non_idempotent"), kind) {
+    match (fields.boolean_or_list("non_idempotent"), kind) {
         (Some(Ok(true)), _) => NonIdempotent::All,
         (Some(Ok(false)), _) | (None, RouteKind::Chat) => NonIdempotent::None,
         (Some(Err(methods)), _) if methods.is_empty() => NonIdempotent::None,
         (Some(Err(methods)), _) => NonIdempotent::Methods(methods),
         (None, RouteKind::Service) => {
-            NonIdempotent::Methods(DEFAULT_NON_IDEMPOTENT.map(Into::into).into())
+            NonIdempotent::Methods(DEFAULT_NON_IDEMPOTENT_METHODS.map(Into::into).into())
         }
     }
 }
 
-impl Read for Endpoint {
+impl FromFields for Endpoint {
     const FIELDS: &'static [&'static str] = &[
         "name",
         "zone",
@@ -162,13 +164,13 @@
         "leaving",
     ];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         let name = fields.require_text("name");
         let zone = fields.require_text("zone");
         let address = read_address(fields);
         let serves = read_serves(fields);
-        let capacity = fields.require_count("capacity");
-        let cold_capacity = fields.count("cold_capacity");
+        let capacity = fields.require_integer("capacity");
+        let cold_capacity = fields.integer("cold_capacity");
         Self {
             name,
             zone,
@@ -176,20 +178,21 @@
             serves,
             capacity: capacity.unwrap_or(u32::MAX),
             cold_capacity: cold_capacity.or(capacity).unwrap_or(1),
-            ramp: fields.parsed_with("ramp", DURATION, parse_duration).unwrap_or_default(),
-            fencing: fields.flag("fencing"),
-            leaving: fields.flag("leaving"),
+            ramp: fields.parsed_with("ramp", DURATION_EXAMPLE, parse_duration).unwrap_or_default(),
+            fencing: fields.boolean("fencing"),
+            leaving: fields.boolean("leaving"),
         }
     }
 }
 
 fn read_address(fields: &mut Fields<'_, '_>) -> SocketAddr {
-    const ADDRESS: &str = "an address such as \"127.0.0.1:9000\"";
+    const ADDRESS_EXAMPLE: &str = "an address such as \"127.0.0.1:9000\"";
     if !fields.has("address") {
-        fields.fail("address", None, "missing field `address`".into());
+        fields.report("address", None, "missing field `address`".into());
     }
-    let parse = |text: &str| SocketAddr::from_str(text).map_err(|_| format!("expected {ADDRESS}"));
-    let address = fields.parsed_with("address", ADDRESS, parse);
+    let parse =
+        |text: &str| SocketAddr::from_str(text).map_err(|_| format!("expected {ADDRESS_EXAMPLE}"));
+    let address = fields.parsed_with("address", ADDRESS_EXAMPLE, parse);
     address.unwrap_or_else(|| ([127, 0, 0, 1], 1).into())
 }
 
@@ -201,62 +204,62 @@
         (true, None) => Serves::Models(models),
         (true, Some(_)) => {
             let message = "an endpoint has either `models` or `service`, not both".into();
-            fields.fail("service", None, message);
+            fields.report("service", None, message);
             Serves::Models(models)
         }
         (false, None) => {
-            fields.fail("models", None, "missing field `models` or `service`".into());
+            fields.report("models", None, "missing field `models` or `service`".into());
             Serves::Models(models)
         }
     }
 }
 
-impl Read for Model {
+impl FromFields for Model {
     const FIELDS: &'static [&'static str] =
         &["name", "max_context", "max_output", "version", "aliases"];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         Self {
             name: fields.require_text("name"),
-            max_context: fields.require_count("max_context").unwrap_or(u64::MAX),
-            max_output: fields.require_count("max_output").unwrap_or(1),
+            max_context: fields.require_integer("max_context").unwrap_or(u64::MAX),
+            max_output: fields.require_integer("max_output").unwrap_or(1),
             version: fields.require_text("version"),
             aliases: fields.list("aliases").unwrap_or_default(),
         }
     }
 }
 
-impl Read for Zone {
+impl FromFields for Zone {
     const FIELDS: &'static [&'static str] = &["name", "state"];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         let states = [("in", ZoneState::In), ("out", ZoneState::Out)];
         Self {
             name: fields.require_text("name"),
-            state: fields.word("state", &states).unwrap_or(ZoneState::In),
+            state: fields.keyword("state", &states).unwrap_or(ZoneState::In),
         }
     }
 }
 
-impl Read for Budget {
+impl FromFields for Budget {
     const FIELDS: &'static [&'static str] = &["name", "tokens", "turns", "lifetime"];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         let name = fields.require_text("name");
-        let tokens = fields.require_count("tokens").unwrap_or(1);
-        let turns = fields.require_count("turns").unwrap_or(1);
+        let tokens = fields.require_integer("tokens").unwrap_or(1);
+        let turns = fields.require_integer("turns").unwrap_or(1);
         if !fields.has("lifetime") {
-            fields.fail("lifetime", None, "missing field `lifetime`".into());
+            fields.report("lifetime", None, "missing field `lifetime`".into());
         }
-        let lifetime = fields.parsed_with("lifetime", DURATION, parse_duration);
+        let lifetime = fields.parsed_with("lifetime", DURATION_EXAMPLE, parse_duration);
         Self { name, tokens, turns, lifetime: lifetime.unwrap_or(Duration::from_secs(1)) }
     }
 }
 
-impl Read for Operator {
+impl FromFields for Operator {
     const FIELDS: &'static [&'static str] = &["name", "digest"];
 
-    fn read(fields: &mut Fields<'_, '_>) -> Self {
+    fn from_fields(fields: &mut Fields<'_, '_>) -> Self {
         Self { name: fields.require_text("name"), digest: read_digest(fields) }
     }
 }
--- a/crates/objects/src/index.rs
+++ b/crates/objects/src/index.rs
@@ -7,18 +7,18 @@
 use crate::secret::Digest;
 
 /// Pairs of a value and an index into the vector of a kind, sorted.
-type Sorted<T> = Arc<Vec<(T, u32)>>;
+type SortedPairs<T> = Arc<Vec<(T, u32)>>;
 
 /// Sorted lookup tables.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Index {
-    pub(crate) key_digests: Sorted<Digest>,
-    pub(crate) operator_digests: Sorted<Digest>,
+    pub(crate) key_digests: SortedPairs<Digest>,
+    pub(crate) operator_digests: SortedPairs<Digest>,
     /// Paths without the final slash.
-    pub(crate) route_paths: Sorted<Arc<str>>,
-    pub(crate) model_aliases: Sorted<Name>,
-    pub(crate) endpoint_models: Sorted<Name>,
-    pub(crate) endpoint_services: Sorted<Name>,
+    pub(crate) route_paths: SortedPairs<Arc<str>>,
+    pub(crate) model_aliases: SortedPairs<Name>,
+    pub(crate) endpoint_models: SortedPairs<Name>,
+    pub(crate) endpoint_services: SortedPairs<Name>,
 }
 
 impl Index {
@@ -31,23 +31,25 @@
     pub(crate) fn update(&self, old: &Objects, new: &Objects) -> Self {
         let mut index = self.clone();
         if !Arc::ptr_eq(&old.keys, &new.keys) {
-            index.key_digests = sorted(new.keys.iter().map(|key| [key.digest]));
+            index.key_digests = sorted_pairs(new.keys.iter().map(|key| [key.digest]));
         }
         if !Arc::ptr_eq(&old.operators, &new.operators) {
-            index.operator_digests = sorted(new.operators.iter().map(|o| [o.digest]));
+            index.operator_digests = sorted_pairs(new.operators.iter().map(|o| [o.digest]));
         }
         if !Arc::ptr_eq(&old.routes, &new.routes) {
-            index.route_paths = sorted(new.routes.iter().map(|r| [Arc::from(stem(&r.path))]));
+            index.route_paths =
+                sorted_pairs(new.routes.iter().map(|r| [Arc::from(trim_final_slash(&r.path))]));
         }
         if !Arc::ptr_eq(&old.models, &new.models) {
-            index.model_aliases = sorted(new.models.iter().map(|m| m.aliases.iter().cloned()));
+            index.model_aliases =
+                sorted_pairs(new.models.iter().map(|m| m.aliases.iter().cloned()));
         }
         if !Arc::ptr_eq(&old.endpoints, &new.endpoints) {
-            index.endpoint_models = sorted(new.endpoints.iter().map(|e| match &e.serves {
+            index.endpoint_models = sorted_pairs(new.endpoints.iter().map(|e| match &e.serves {
                 Serves::Models(models) => models.clone(),
                 Serves::Service(_) => Vec::new(),
             }));
-            index.endpoint_services = sorted(new.endpoints.iter().map(|e| match &e.serves {
+            index.endpoint_services = sorted_pairs(new.endpoints.iter().map(|e| match &e.serves {
                 Serves::Models(_) => None,
                 Serves::Service(service) => Some(service.clone()),
             }));
@@ -57,12 +59,14 @@
 }
 
 /// The path without its final slash, so that `/a` and `/a/` are one path.
-pub(crate) fn stem(path: &str) -> &str {
+pub(crate) fn trim_final_slash(path: &str) -> &str {
     path.strip_suffix('/').unwrap_or(path)
 }
 
 /// Pairs the values of each object with the object's index, sorted by value and index.
-fn sorted<T: Ord, V: IntoIterator<Item = T>>(values: impl Iterator<Item = V>) -> Sorted<T> {
+fn sorted_pairs<T: Ord, V: IntoIterator<Item = T>>(
+    values: impl Iterator<Item = V>,
+) -> SortedPairs<T> {
     let mut pairs = Vec::new();
     for (i, values) in (0u32..).zip(values) {
         pairs.extend(values.into_iter().map(|value| (value, i)));
@@ -72,7 +76,7 @@
 }
 
 /// Indexes paired with names equal to `name`.
-pub(crate) fn positions<'a>(
+pub(crate) fn indexes_of<'a>(
     table: &'a [(Name, u32)],
     name: &str,
 ) -> impl ExactSizeIterator<Item = usize> + use<'a> {
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -39,22 +39,22 @@
 //! ```
 
 mod apply;
-mod cross;
 mod finding;
+mod from_fields;
 mod index;
 mod kind;
-mod local;
-mod lost;
 mod nearest;
 mod object;
+mod object_rules;
 mod origin;
-mod read;
 mod record;
 mod secret;
 mod set;
+mod set_rules;
 mod source;
 mod table;
 mod units;
+mod unparsed;
 
 pub use crate::finding::{Finding, Findings};
 pub use crate::kind::{Kind, Name, UnknownKind};
--- a/crates/objects/src/nearest.rs
+++ b/crates/objects/src/nearest.rs
@@ -3,7 +3,7 @@
 use crate::kind::MAX_NAME_BYTES;
 
 /// Most edits between a name and its suggestion.
-const MAX_DISTANCE: usize = 3;
+const MAX_EDIT_DISTANCE: usize = 3;
 
 /// The candidate with the fewest edits from `name`, if it is near enough to be meant.
 ///
@@ -15,13 +15,13 @@
     if name.len() > MAX_NAME_BYTES {
         return None;
     }
-    let mut bound = MAX_DISTANCE.min(name.len() / 2);
+    let mut bound = MAX_EDIT_DISTANCE.min(name.len() / 2);
     let mut best = None;
     for candidate in candidates {
         if candidate.len().abs_diff(name.len()) > bound {
             continue;
         }
-        let distance = edits(name.as_bytes(), candidate.as_bytes());
+        let distance = edit_distance(name.as_bytes(), candidate.as_bytes());
         if distance < bound || (distance == bound && best.is_none()) {
             (best, bound) = (Some(candidate), distance);
         }
@@ -30,7 +30,7 @@
 }
 
 /// Levenshtein distance in bytes.
-fn edits(a: &[u8], b: &[u8]) -> usize {
+fn edit_distance(a: &[u8], b: &[u8]) -> usize {
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.iter().enumerate() {
         let mut diagonal = row[0];
--- a/crates/objects/src/object.rs
+++ b/crates/objects/src/object.rs
@@ -230,10 +230,10 @@
     fn name(&self) -> &Name;
 
     /// The objects of this kind.
-    fn of(objects: &Objects) -> &Arc<Vec<Self>>;
+    fn list(objects: &Objects) -> &Arc<Vec<Self>>;
 
     /// The objects of this kind, to change.
-    fn of_mut(objects: &mut Objects) -> &mut Arc<Vec<Self>>;
+    fn list_mut(objects: &mut Objects) -> &mut Arc<Vec<Self>>;
 }
 
 /// All objects, each kind sorted by name. Sets that do not differ in a kind share its vector.
@@ -253,14 +253,14 @@
 impl Objects {
     /// Index of the object with this name; of the first one while duplicates are not yet excluded.
     pub(crate) fn position<T: Object>(&self, name: &str) -> Option<usize> {
-        let objects = T::of(self);
+        let objects = T::list(self);
         let i = objects.partition_point(|object| object.name().as_ref() < name);
         objects.get(i).is_some_and(|object| object.name().as_ref() == name).then_some(i)
     }
 
     /// The object with this name.
     pub(crate) fn find<T: Object>(&self, name: &str) -> Option<&T> {
-        self.position::<T>(name).map(|i| &T::of(self)[i])
+        self.position::<T>(name).map(|i| &T::list(self)[i])
     }
 }
 
@@ -273,11 +273,11 @@
                 &self.name
             }
 
-            fn of(objects: &Objects) -> &Arc<Vec<Self>> {
+            fn list(objects: &Objects) -> &Arc<Vec<Self>> {
                 &objects.$field
             }
 
-            fn of_mut(objects: &mut Objects) -> &mut Arc<Vec<Self>> {
+            fn list_mut(objects: &mut Objects) -> &mut Arc<Vec<Self>> {
                 &mut objects.$field
             }
         }
--- a/crates/objects/src/object_rules.rs
+++ b/crates/objects/src/object_rules.rs
@@ -3,22 +3,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::cross::{At, Checker};
-use crate::index::stem;
+use crate::index::trim_final_slash;
 use crate::kind::{MAX_NAME_BYTES, is_valid_name};
 use crate::nearest::nearest;
 use crate::object::{
     Budget, Endpoint, Key, Model, NonIdempotent, Object, Operator, Rate, Route, RouteKind, Serves,
     Team, Zone,
 };
+use crate::set_rules::{Checker, Location};
 use crate::units::{ByteSize, RequestRate};
 
 pub(crate) const MAX_PATH_BYTES: usize = 1024;
 const MAX_WEIGHT: u32 = 1000;
 const MAX_RATE: RequestRate = RequestRate::from_milli_per_second(1_000_000_000);
-const MAX_BURST: u32 = 1_000_000;
-const MAX_CAPACITY: u32 = 100_000;
-const MAX_QUEUE: u32 = 1_000_000;
+const MAX_BURST_REQUESTS: u32 = 1_000_000;
+const MAX_CAPACITY_REQUESTS: u32 = 100_000;
+const MAX_QUEUED_REQUESTS: u32 = 1_000_000;
 const MAX_BODY: ByteSize = ByteSize::from_mib(1024);
 const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 const MAX_RAMP: Duration = Duration::from_secs(24 * 3600);
@@ -28,17 +28,18 @@
 const MAX_TURNS: u32 = 1_000_000;
 const MAX_VERSION_BYTES: usize = 128;
 /// Methods of HTTP that a route may name, in the order of names.
-pub(crate) const METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
+pub(crate) const HTTP_METHODS: [&str; 7] =
+    ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 /// Paths that every instance answers itself.
 const RESERVED_PATHS: [&str; 2] = ["/v1/models", "/v1/programs"];
 
 /// Rules of one kind of object that need no other object.
-pub(crate) trait Local: Object {
-    fn check_local(&self, at: At, cx: &mut Checker<'_>);
+pub(crate) trait ObjectRules: Object {
+    fn check_object(&self, at: Location, cx: &mut Checker<'_>);
 }
 
 /// Reports a name that does not match the pattern.
-pub(crate) fn check_name(name: &str, at: At, cx: &mut Checker<'_>) {
+pub(crate) fn check_name(name: &str, at: Location, cx: &mut Checker<'_>) {
     if !is_valid_name(name) {
         let message = format!(
             "invalid name {name:?}: a name has 1 to {MAX_NAME_BYTES} characters of a-z, 0-9, '.', \
@@ -48,7 +49,7 @@
     }
 }
 
-fn check_range<T>(value: T, min: T, max: T, at: At, cx: &mut Checker<'_>)
+fn check_range<T>(value: T, min: T, max: T, at: Location, cx: &mut Checker<'_>)
 where
     T: PartialOrd + std::fmt::Display,
 {
@@ -59,7 +60,13 @@
     }
 }
 
-fn check_duration(value: Duration, min: Duration, max: Duration, at: At, cx: &mut Checker<'_>) {
+fn check_duration(
+    value: Duration,
+    min: Duration,
+    max: Duration,
+    at: Location,
+    cx: &mut Checker<'_>,
+) {
     let text = humantime::format_duration;
     if value < min {
         cx.report(at, format!("`{}` must be at least {}", at.field, text(min)));
@@ -69,7 +76,7 @@
 }
 
 /// Reports repeated elements, and elements out of order, which only records can have.
-fn check_sorted<T: AsRef<str>>(elements: &[T], at: At, cx: &mut Checker<'_>) {
+fn check_sorted<T: AsRef<str>>(elements: &[T], at: Location, cx: &mut Checker<'_>) {
     for (i, pair) in elements.windows(2).enumerate() {
         let (a, b) = (pair[0].as_ref(), pair[1].as_ref());
         if a == b {
@@ -80,18 +87,18 @@
     }
 }
 
-impl Local for Team {
-    fn check_local(&self, at: At, cx: &mut Checker<'_>) {
+impl ObjectRules for Team {
+    fn check_object(&self, at: Location, cx: &mut Checker<'_>) {
         check_range(self.weight, 1, MAX_WEIGHT, at.field("weight"), cx);
     }
 }
 
-impl Local for Key {
-    fn check_local(&self, _: At, _: &mut Checker<'_>) {}
+impl ObjectRules for Key {
+    fn check_object(&self, _: Location, _: &mut Checker<'_>) {}
 }
 
-impl Local for Rate {
-    fn check_local(&self, at: At, cx: &mut Checker<'_>) {
+impl ObjectRules for Rate {
+    fn check_object(&self, at: Location, cx: &mut Checker<'_>) {
         let at_rate = at.field("rate");
         if self.rate.milli_per_second() == 0 {
             cx.report(at_rate, "impossible rate: a rate must be above zero".into());
@@ -101,14 +108,17 @@
         let at_burst = at.field("burst");
         if self.burst < 1 {
             cx.report(at_burst, "impossible rate: `burst` must be at least 1".into());
-        } else if self.burst > MAX_BURST {
-            cx.report(at_burst, format!("impossible rate: `burst` is at most {MAX_BURST}"));
+        } else if self.burst > MAX_BURST_REQUESTS {
+            cx.report(
+                at_burst,
+                format!("impossible rate: `burst` is at most {MAX_BURST_REQUESTS}"),
+            );
         }
     }
 }
 
-impl Local for Route {
-    fn check_local(&self, at: At, cx: &mut Checker<'_>) {
+impl ObjectRules for Route {
+    fn check_object(&self, at: Location, cx: &mut Checker<'_>) {
         check_path(&self.path, at.field("path"), cx);
         match (self.kind, &self.model, &self.service) {
             (RouteKind::Chat, _, Some(_)) => {
@@ -131,20 +141,20 @@
         let millisecond = Duration::from_millis(1);
         check_duration(self.timeout, millisecond, MAX_TIMEOUT, at.field("timeout"), cx);
         check_range(self.max_body, ByteSize::from_bytes(1), MAX_BODY, at.field("max_body"), cx);
-        check_range(self.max_queue, 0, MAX_QUEUE, at.field("max_queue"), cx);
+        check_range(self.max_queue, 0, MAX_QUEUED_REQUESTS, at.field("max_queue"), cx);
     }
 }
 
-fn check_path(path: &str, at: At, cx: &mut Checker<'_>) {
+fn check_path(path: &str, at: Location, cx: &mut Checker<'_>) {
     let is_path_byte = |b: u8| b.is_ascii_graphic() && !matches!(b, b'?' | b'#');
-    let is_dots = |segment: &str| matches!(segment, "." | "..");
+    let is_dot_segment = |segment: &str| matches!(segment, "." | "..");
     let message = if !path.starts_with('/') {
         "a path starts with '/'".to_owned()
     } else if path.len() > MAX_PATH_BYTES {
         format!("a path has at most {MAX_PATH_BYTES} bytes")
     } else if !path.bytes().all(is_path_byte) {
         "a path has visible ASCII characters only, without '?' and '#'".to_owned()
-    } else if path.contains("//") || path.split('/').any(is_dots) {
+    } else if path.contains("//") || path.split('/').any(is_dot_segment) {
         "a path has no empty segment, no \".\" and no \"..\"".to_owned()
     } else if let Some(reserved) = RESERVED_PATHS.iter().find(|reserved| is_below(path, reserved)) {
         format!("the path `{reserved}` is reserved")
@@ -156,24 +166,26 @@
 
 /// Whether `path` is `base` or below it.
 fn is_below(path: &str, base: &str) -> bool {
-    stem(path).strip_prefix(base).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+    trim_final_slash(path)
+        .strip_prefix(base)
+        .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-fn check_methods<T: AsRef<str>>(methods: &[T], at: At, cx: &mut Checker<'_>) {
+fn check_methods<T: AsRef<str>>(methods: &[T], at: Location, cx: &mut Checker<'_>) {
     check_sorted(methods, at, cx);
     for (i, method) in methods.iter().map(AsRef::as_ref).enumerate() {
-        if METHODS.contains(&method) {
+        if HTTP_METHODS.contains(&method) {
             continue;
         }
         let upper = method.to_ascii_uppercase();
-        let hint = nearest(&upper, METHODS).map(|near| format!("; did you mean {near:?}?"));
+        let hint = nearest(&upper, HTTP_METHODS).map(|near| format!("; did you mean {near:?}?"));
         let message = format!("unknown method {method:?}{}", hint.unwrap_or_default());
         cx.report(at.element(i), message);
     }
 }
 
-impl Local for Endpoint {
-    fn check_local(&self, at: At, cx: &mut Checker<'_>) {
+impl ObjectRules for Endpoint {
+    fn check_object(&self, at: Location, cx: &mut Checker<'_>) {
         check_address(self.address, at.field("address"), cx);
         match &self.serves {
             Serves::Models(models) if models.is_empty() => {
@@ -182,7 +194,7 @@
             Serves::Models(models) => check_sorted(models, at.field("models"), cx),
             Serves::Service(service) => check_name(service, at.field("service"), cx),
         }
-        check_range(self.capacity, 1, MAX_CAPACITY, at.field("capacity"), cx);
+        check_range(self.capacity, 1, MAX_CAPACITY_REQUESTS, at.field("capacity"), cx);
         let at_cold = at.field("cold_capacity");
         if self.cold_capacity < 1 {
             check_range(self.cold_capacity, 1, self.capacity, at_cold, cx);
@@ -197,7 +209,7 @@
     }
 }
 
-fn check_address(address: SocketAddr, at: At, cx: &mut Checker<'_>) {
+fn check_address(address: SocketAddr, at: Location, cx: &mut Checker<'_>) {
     if address.port() == 0 {
         cx.report(at, "the address has port 0".into());
     } else if address.ip().is_unspecified() || address.ip().is_multicast() {
@@ -205,8 +217,8 @@
     }
 }
 
-impl Local for Model {
-    fn check_local(&self, at: At, cx: &mut Checker<'_>) {
+impl ObjectRules for Model {
+    fn check_object(&self, at: Location, cx: &mut Checker<'_>) {
         let at_output = at.field("max_output");
         check_range(self.max_context, 1, MAX_CONTEXT_TOKENS, at.field("max_context"), cx);
         if self.max_output > self.max_context {
@@ -231,12 +243,12 @@
     }
 }
 
-impl Local for Zone {
-    fn check_local(&self, _: At, _: &mut Checker<'_>) {}
+impl ObjectRules for Zone {
+    fn check_object(&self, _: Location, _: &mut Checker<'_>) {}
 }
 
-impl Local for Budget {
-    fn check_local(&self, at: At, cx: &mut Checker<'_>) {
+impl ObjectRules for Budget {
+    fn check_object(&self, at: Location, cx: &mut Checker<'_>) {
         check_range(self.tokens, 1, MAX_BUDGET_TOKENS, at.field("tokens"), cx);
         check_range(self.turns, 1, MAX_TURNS, at.field("turns"), cx);
         let second = Duration::from_secs(1);
@@ -244,6 +256,6 @@
     }
 }
 
-impl Local for Operator {
-    fn check_local(&self, _: At, _: &mut Checker<'_>) {}
+impl ObjectRules for Operator {
+    fn check_object(&self, _: Location, _: &mut Checker<'_>) {}
 }
--- a/crates/objects/src/origin.rs
+++ b/crates/objects/src/origin.rs
@@ -11,11 +11,11 @@
     /// Index of the file.
     pub(crate) file: usize,
     /// Offset of the table header.
-    pub(crate) at: usize,
+    pub(crate) header: usize,
     /// Offset of each field's value and of each element of an array, by field and element.
     pub(crate) fields: Vec<(&'static str, Option<usize>, usize)>,
     /// Fields that already have a finding and hold a substitute value.
-    pub(crate) bad: Vec<&'static str>,
+    pub(crate) invalid: Vec<&'static str>,
 }
 
 impl Origin {
@@ -24,17 +24,17 @@
         let find = |element| {
             self.fields.iter().find(|(f, e, _)| *f == field && *e == element).map(|(.., at)| *at)
         };
-        find(element).or_else(|| find(None)).unwrap_or(self.at)
+        find(element).or_else(|| find(None)).unwrap_or(self.header)
     }
 }
 
 /// Line starts of one file.
-pub(crate) struct Lines<'a> {
+pub(crate) struct LineIndex<'a> {
     source: &'a Source,
     starts: Vec<usize>,
 }
 
-impl<'a> Lines<'a> {
+impl<'a> LineIndex<'a> {
     pub(crate) fn new(source: &'a Source) -> Self {
         let breaks = source.text.bytes().enumerate().filter(|(_, b)| *b == b'\n');
         let starts = std::iter::once(0).chain(breaks.map(|(i, _)| i + 1)).collect();
--- a/crates/objects/src/secret.rs
+++ b/crates/objects/src/secret.rs
@@ -12,7 +12,8 @@
 pub(crate) const SECRET_PREFIX: &str = "ps_";
 /// 43 characters of 6 bits each hold at least 256 bits.
 const SECRET_CHARS: usize = 43;
-const URL_SAFE: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+const BASE64URL_ALPHABET: &[u8; 64] =
+    b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 const DIGEST_PREFIX: &str = "blake3:";
 
 /// Secret of a key, which only its holder knows. `Debug` does not show it.
@@ -45,14 +46,14 @@
 pub fn generate_secret() -> io::Result<Secret> {
     let mut buf = [0u8; SECRET_CHARS];
     OsRng.try_fill_bytes(&mut buf).map_err(io::Error::other)?;
-    let chars = buf.iter().map(|b| char::from(URL_SAFE[usize::from(b & 63)]));
+    let chars = buf.iter().map(|b| char::from(BASE64URL_ALPHABET[usize::from(b & 63)]));
     Ok(Secret(SECRET_PREFIX.chars().chain(chars).collect()))
 }
 
 /// Whether `text` has the form of a secret, or starts like one and is longer.
 pub(crate) fn looks_like_secret(text: &str) -> bool {
     text.strip_prefix(SECRET_PREFIX).is_some_and(|rest| {
-        rest.len() >= SECRET_CHARS && rest.bytes().all(|b| URL_SAFE.contains(&b))
+        rest.len() >= SECRET_CHARS && rest.bytes().all(|b| BASE64URL_ALPHABET.contains(&b))
     })
 }
 
--- a/crates/objects/src/set.rs
+++ b/crates/objects/src/set.rs
@@ -3,13 +3,13 @@
 use subtle::ConstantTimeEq;
 
 use crate::finding::Findings;
-use crate::index::{Index, positions, stem};
+use crate::index::{Index, indexes_of, trim_final_slash};
 use crate::kind::Kind;
-use crate::local::MAX_PATH_BYTES;
 use crate::object::{
     Budget, Endpoint, Key, Model, Object, Objects, Operator, Rate, Route, RouteKind, Team, Zone,
     for_each_kind,
 };
+use crate::object_rules::MAX_PATH_BYTES;
 use crate::record::{Change, Record, encode};
 use crate::secret::Digest;
 use crate::{apply, record};
@@ -81,7 +81,7 @@
     /// matching path wins.
     pub fn route_for(&self, path: &str) -> Option<&Route> {
         let paths = &self.index.route_paths;
-        let mut candidate = stem(path);
+        let mut candidate = trim_final_slash(path);
         loop {
             if candidate.len() <= MAX_PATH_BYTES
                 && let Ok(i) = paths.binary_search_by(|(p, _)| p.as_ref().cmp(candidate))
@@ -98,7 +98,7 @@
     /// The model with this name or alias.
     pub fn resolve_model(&self, name: &str) -> Option<&Model> {
         self.model(name).or_else(|| {
-            let i = positions(&self.index.model_aliases, name).next()?;
+            let i = indexes_of(&self.index.model_aliases, name).next()?;
             Some(&self.objects.models[i])
         })
     }
@@ -108,20 +108,20 @@
     /// Endpoints that are leaving or in a zone that is out are included.
     pub fn endpoints_for_model(&self, model: &str) -> impl ExactSizeIterator<Item = &Endpoint> {
         let name = self.resolve_model(model).map_or(model, |m| m.name.as_ref());
-        positions(&self.index.endpoint_models, name).map(|i| &self.objects.endpoints[i])
+        indexes_of(&self.index.endpoint_models, name).map(|i| &self.objects.endpoints[i])
     }
 
     /// The endpoints that serve the service with this name, sorted by name.
     ///
     /// Endpoints that are leaving or in a zone that is out are included.
     pub fn endpoints_for_service(&self, service: &str) -> impl ExactSizeIterator<Item = &Endpoint> {
-        positions(&self.index.endpoint_services, service).map(|i| &self.objects.endpoints[i])
+        indexes_of(&self.index.endpoint_services, service).map(|i| &self.objects.endpoints[i])
     }
 
     /// Number of objects of all kinds.
     pub fn len(&self) -> usize {
         fn add<T: Object>(objects: &Objects, len: &mut usize) {
-            *len += T::of(objects).len();
+            *len += T::list(objects).len();
         }
         let mut len = 0;
         for_each_kind!(add(&self.objects, &mut len));
@@ -136,7 +136,7 @@
     /// All objects as records, sorted by kind and name.
     pub fn records(&self) -> Vec<Record> {
         fn add<T: Object>(objects: &Objects, records: &mut Vec<Record>) {
-            records.extend(T::of(objects).iter().map(encode));
+            records.extend(T::list(objects).iter().map(encode));
         }
         let mut records = Vec::with_capacity(self.len());
         for_each_kind!(add(&self.objects, &mut records));
--- a/crates/objects/src/set_rules.rs
+++ b/crates/objects/src/set_rules.rs
@@ -2,22 +2,22 @@
 
 use std::sync::Arc;
 
-use crate::index::{Index, positions};
+use crate::index::{Index, indexes_of};
 use crate::kind::Kind;
-use crate::local::{Local, check_name};
-use crate::lost::Lost;
 use crate::nearest::nearest;
 use crate::object::{
     Budget, Model, Object, Objects, Rate, Route, RouteKind, Serves, Team, Zone, ZoneState,
     for_each_kind,
 };
+use crate::object_rules::{ObjectRules, check_name};
+use crate::unparsed::UnparsedNames;
 
 /// Searching all names for a suggestion is linear, so only the first findings get one.
 const MAX_SUGGESTIONS: usize = 32;
 
 /// Part of an object that an issue is about.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct At {
+pub(crate) struct Location {
     pub(crate) kind: Kind,
     /// Index of the object among those of its kind.
     pub(crate) index: usize,
@@ -25,7 +25,7 @@
     pub(crate) element: Option<usize>,
 }
 
-impl At {
+impl Location {
     fn object(kind: Kind, index: usize) -> Self {
         Self { kind, index, field: "name", element: None }
     }
@@ -42,10 +42,10 @@
 /// A broken rule, before its position is known.
 #[derive(Debug)]
 pub(crate) struct Issue {
-    pub(crate) at: At,
+    pub(crate) at: Location,
     pub(crate) message: String,
     /// An earlier part that this one contradicts.
-    pub(crate) earlier: Option<At>,
+    pub(crate) earlier: Option<Location>,
 }
 
 /// Kinds to check.
@@ -81,9 +81,14 @@
 }
 
 /// Checks the kinds in `scope`; objects are sorted, but may contain duplicates.
-pub(crate) fn verify(objects: &Objects, index: &Index, lost: &Lost, scope: Scope) -> Vec<Issue> {
+pub(crate) fn verify(
+    objects: &Objects,
+    index: &Index,
+    unparsed: &UnparsedNames,
+    scope: Scope,
+) -> Vec<Issue> {
     let issues = Vec::new();
-    let mut cx = Checker { objects, index, lost, issues, suggestions: MAX_SUGGESTIONS };
+    let mut cx = Checker { objects, index, unparsed, issues, suggestions_left: MAX_SUGGESTIONS };
     for_each_kind!(check_kind(scope, &mut cx));
     if scope.has(Kind::Team) {
         cx.check_teams();
@@ -109,21 +114,21 @@
     cx.issues
 }
 
-fn check_kind<T: Local>(scope: Scope, cx: &mut Checker<'_>) {
+fn check_kind<T: ObjectRules>(scope: Scope, cx: &mut Checker<'_>) {
     if !scope.has(T::KIND) {
         return;
     }
-    let objects = T::of(cx.objects);
+    let objects = T::list(cx.objects);
     let mut first = 0;
     for (i, object) in objects.iter().enumerate() {
-        let at = At::object(T::KIND, i);
+        let at = Location::object(T::KIND, i);
         check_name(object.name(), at, cx);
-        object.check_local(at, cx);
+        object.check_object(at, cx);
         if objects[first].name() != object.name() {
             first = i;
         } else if first != i {
             let message = format!("duplicate {} `{}`", T::KIND, object.name());
-            cx.contradict(at, At::object(T::KIND, first), message);
+            cx.report_conflict(at, Location::object(T::KIND, first), message);
         }
     }
 }
@@ -132,42 +137,42 @@
 pub(crate) struct Checker<'a> {
     objects: &'a Objects,
     index: &'a Index,
-    lost: &'a Lost,
+    unparsed: &'a UnparsedNames,
     issues: Vec<Issue>,
-    suggestions: usize,
+    suggestions_left: usize,
 }
 
 impl<'a> Checker<'a> {
-    pub(crate) fn report(&mut self, at: At, message: String) {
+    pub(crate) fn report(&mut self, at: Location, message: String) {
         self.issues.push(Issue { at, message, earlier: None });
     }
 
-    fn contradict(&mut self, at: At, earlier: At, message: String) {
+    fn report_conflict(&mut self, at: Location, earlier: Location, message: String) {
         self.issues.push(Issue { at, message, earlier: Some(earlier) });
     }
 
     /// A suggestion among `candidates`, as the end of a message.
     fn hint(&mut self, name: &str, candidates: impl IntoIterator<Item = &'a str>) -> String {
-        let Some(left) = self.suggestions.checked_sub(1) else {
+        let Some(left) = self.suggestions_left.checked_sub(1) else {
             return String::new();
         };
-        self.suggestions = left;
+        self.suggestions_left = left;
         let near = nearest(name, candidates);
         near.map(|near| format!("; did you mean `{near}`?")).unwrap_or_default()
     }
 
     /// Reports a reference to an object that does not exist.
-    fn check_reference<T: Object>(&mut self, name: &str, at: At) {
-        if self.objects.position::<T>(name).is_none() && !self.lost.has_name(name) {
-            let names = T::of(self.objects).iter().map(|object| object.name().as_ref());
+    fn check_reference<T: Object>(&mut self, name: &str, at: Location) {
+        if self.objects.position::<T>(name).is_none() && !self.unparsed.has_name(name) {
+            let names = T::list(self.objects).iter().map(|object| object.name().as_ref());
             let hint = self.hint(name, names);
             self.report(at, format!("unknown {} {name:?}{hint}", T::KIND));
         }
     }
 
     /// Reports a reference to a model that does not exist or is named by an alias.
-    fn check_model(&mut self, name: &str, at: At) {
-        let alias = positions(&self.index.model_aliases, name).next();
+    fn check_model(&mut self, name: &str, at: Location) {
+        let alias = indexes_of(&self.index.model_aliases, name).next();
         match alias.map(|i| &self.objects.models[i]) {
             Some(model) if self.objects.position::<Model>(name).is_none() => {
                 let message = format!("unknown model {name:?}; it is an alias of `{}`", model.name);
@@ -179,7 +184,7 @@
 
     fn check_teams(&mut self) {
         for (i, team) in self.objects.teams.iter().enumerate() {
-            let at = At::object(Kind::Team, i);
+            let at = Location::object(Kind::Team, i);
             self.check_reference::<Rate>(&team.rate, at.field("rate"));
             if let Some(budget) = &team.budget {
                 self.check_reference::<Budget>(budget, at.field("budget"));
@@ -189,23 +194,23 @@
 
     fn check_keys(&mut self) {
         for (i, key) in self.objects.keys.iter().enumerate() {
-            self.check_reference::<Team>(&key.team, At::object(Kind::Key, i).field("team"));
+            self.check_reference::<Team>(&key.team, Location::object(Kind::Key, i).field("team"));
         }
         self.check_unique_digests(Kind::Key, &self.index.key_digests);
     }
 
     fn check_unique_digests(&mut self, kind: Kind, digests: &[(crate::Digest, u32)]) {
         for pair in digests.windows(2).filter(|pair| pair[0].0 == pair[1].0) {
-            let at = |i: u32| At::object(kind, i as usize).field("digest");
+            let at = |i: u32| Location::object(kind, i as usize).field("digest");
             let message = format!("another {kind} has the same digest");
-            self.contradict(at(pair[1].1), at(pair[0].1), message);
+            self.report_conflict(at(pair[1].1), at(pair[0].1), message);
         }
     }
 
     fn check_endpoints(&mut self) {
         let mut addresses = Vec::with_capacity(self.objects.endpoints.len());
         for (i, endpoint) in self.objects.endpoints.iter().enumerate() {
-            let at = At::object(Kind::Endpoint, i);
+            let at = Location::object(Kind::Endpoint, i);
             self.check_reference::<Zone>(&endpoint.zone, at.field("zone"));
             if let Serves::Models(models) = &endpoint.serves {
                 for (j, model) in models.iter().enumerate() {
@@ -216,36 +221,36 @@
         }
         addresses.sort_unstable();
         for pair in addresses.windows(2).filter(|pair| pair[0].0 == pair[1].0) {
-            let at = |i| At::object(Kind::Endpoint, i).field("address");
+            let at = |i| Location::object(Kind::Endpoint, i).field("address");
             let name = &self.objects.endpoints[pair[0].1].name;
             let message = format!("endpoint `{name}` has the same address {}", pair[0].0);
-            self.contradict(at(pair[1].1), at(pair[0].1), message);
+            self.report_conflict(at(pair[1].1), at(pair[0].1), message);
         }
     }
 
     fn check_routes(&mut self) {
         for (i, route) in self.objects.routes.iter().enumerate() {
-            self.check_served(route, At::object(Kind::Route, i));
+            self.check_route_is_served(route, Location::object(Kind::Route, i));
         }
         for pair in self.index.route_paths.windows(2).filter(|pair| pair[0].0 == pair[1].0) {
-            let at = |i: u32| At::object(Kind::Route, i as usize).field("path");
+            let at = |i: u32| Location::object(Kind::Route, i as usize).field("path");
             let earlier = &self.objects.routes[pair[0].1 as usize];
             let message = format!("the path overlaps with route `{}`", earlier.name);
-            self.contradict(at(pair[1].1), at(pair[0].1), message);
+            self.report_conflict(at(pair[1].1), at(pair[0].1), message);
         }
     }
 
     /// Reports a route that no endpoint serves. Endpoints that are leaving or in a zone that is
     /// out count, so that operators can always take an endpoint or a zone out.
-    fn check_served(&mut self, route: &Route, at: At) {
+    fn check_route_is_served(&mut self, route: &Route, at: Location) {
         let (objects, index) = (self.objects, self.index);
-        let is_lost = |name: &str| self.lost.has_service(name);
+        let is_unparsed = |name: &str| self.unparsed.has_service(name);
         match (route.kind, &route.model, &route.service) {
             (RouteKind::Chat, Some(model), _) => {
                 let at = at.field("model");
-                let exists = objects.position::<Model>(model).is_some() && !is_lost(model);
+                let exists = objects.position::<Model>(model).is_some() && !is_unparsed(model);
                 self.check_model(model, at);
-                if exists && positions(&index.endpoint_models, model).len() == 0 {
+                if exists && indexes_of(&index.endpoint_models, model).len() == 0 {
                     self.report(at, format!("no endpoint serves model `{model}` of this route"));
                 }
             }
@@ -253,7 +258,8 @@
                 self.report(at.field("kind"), "no endpoint serves a model for this route".into());
             }
             (RouteKind::Service, _, Some(service))
-                if positions(&index.endpoint_services, service).len() == 0 && !is_lost(service) =>
+                if indexes_of(&index.endpoint_services, service).len() == 0
+                    && !is_unparsed(service) =>
             {
                 let hint = self.hint(service, index.endpoint_services.iter().map(|(s, _)| &**s));
                 let message = format!("no endpoint serves service {service:?} of this route{hint}");
@@ -266,13 +272,17 @@
     fn check_aliases(&mut self) {
         let at = |i: usize, alias: &Arc<str>| {
             let element = self.objects.models[i].aliases.iter().position(|a| a == alias);
-            At { element, ..At::object(Kind::Model, i).field("aliases") }
+            Location { element, ..Location::object(Kind::Model, i).field("aliases") }
         };
         let mut issues = Vec::new();
         for (alias, i) in self.index.model_aliases.iter() {
             if let Some(named) = self.objects.position::<Model>(alias) {
                 let message = format!("alias `{alias}` is the name of a model");
-                issues.push((at(*i as usize, alias), At::object(Kind::Model, named), message));
+                issues.push((
+                    at(*i as usize, alias),
+                    Location::object(Kind::Model, named),
+                    message,
+                ));
             }
         }
         for pair in self.index.model_aliases.windows(2) {
@@ -284,14 +294,14 @@
             }
         }
         for (at, earlier, message) in issues {
-            self.contradict(at, earlier, message);
+            self.report_conflict(at, earlier, message);
         }
     }
 
     fn check_zones(&mut self) {
         let zones = &self.objects.zones;
         if !zones.is_empty() && zones.iter().all(|zone| zone.state == ZoneState::Out) {
-            let at = At::object(Kind::Zone, 0).field("state");
+            let at = Location::object(Kind::Zone, 0).field("state");
             self.report(at, "every zone is out; at least one must be in".into());
         }
     }
--- a/crates/objects/src/source.rs
+++ b/crates/objects/src/source.rs
@@ -6,16 +6,16 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use crate::cross::{Issue, Scope, verify};
 use crate::finding::{Finding, Findings};
+use crate::from_fields::FromFields;
 use crate::index::Index;
 use crate::kind::{Kind, UnknownKind};
-use crate::lost::Lost;
 use crate::object::{Objects, for_each_kind};
-use crate::origin::{Lines, Origin};
-use crate::read::Read;
+use crate::origin::{LineIndex, Origin};
 use crate::set::ObjectSet;
+use crate::set_rules::{Issue, Scope, verify};
 use crate::table::{Fields, FileFinding, hint, quote, type_name};
+use crate::unparsed::UnparsedNames;
 
 /// Version of the format that [`check`] reads.
 const FORMAT: &str = "1";
@@ -42,8 +42,8 @@
 ///
 /// All findings of all files, sorted by file, line and column.
 pub fn check(sources: &[Source]) -> Result<ObjectSet, Findings> {
-    let lines: Vec<_> = sources.iter().map(Lines::new).collect();
-    let mut reader = Reader::default();
+    let lines: Vec<_> = sources.iter().map(LineIndex::new).collect();
+    let mut reader = SetReader::default();
     let mut findings = Vec::new();
     for (file, source) in sources.iter().enumerate() {
         reader.read_file(file, &source.text);
@@ -51,25 +51,25 @@
         findings.extend(found.into_iter().map(|(at, message)| lines[file].finding(at, message)));
     }
     for_each_kind!(sort_kind(&mut reader));
-    let Reader { objects, origins, lost, .. } = reader;
+    let SetReader { objects, origins, unparsed, .. } = reader;
     let index = Index::build(&objects);
-    for issue in verify(&objects, &index, &lost, Scope::ALL) {
-        findings.extend(locate(issue, &origins, &lines));
+    for issue in verify(&objects, &index, &unparsed, Scope::ALL) {
+        findings.extend(to_finding(issue, &origins, &lines));
     }
     Findings::into_result(findings)?;
     Ok(ObjectSet::new(objects, index))
 }
 
 /// The finding for an issue; `None` if it is about a field that already has one.
-fn locate(issue: Issue, origins: &Origins, lines: &[Lines<'_>]) -> Option<Finding> {
+fn to_finding(issue: Issue, origins: &Origins, lines: &[LineIndex<'_>]) -> Option<Finding> {
     let origin = &origins[issue.at.kind as usize][issue.at.index];
-    if origin.bad.contains(&issue.at.field) {
+    if origin.invalid.contains(&issue.at.field) {
         return None;
     }
     let mut message = issue.message;
     if let Some(at) = issue.earlier {
         let earlier = &origins[at.kind as usize][at.index];
-        if earlier.bad.contains(&at.field) {
+        if earlier.invalid.contains(&at.field) {
             return None;
         }
         let offset = earlier.offset(at.field, at.element);
@@ -84,19 +84,19 @@
 
 /// Collects the objects of all files.
 #[derive(Default)]
-struct Reader {
+struct SetReader {
     objects: Objects,
     origins: Origins,
     /// Findings of the current file.
     findings: Vec<FileFinding>,
-    lost: Lost,
+    unparsed: UnparsedNames,
 }
 
-impl Reader {
+impl SetReader {
     fn read_file(&mut self, file: usize, text: &str) {
         let (root, errors) = DeTable::parse_recoverable(text);
         if !errors.is_empty() {
-            self.lost.add(text);
+            self.unparsed.add(text);
         }
         for err in errors {
             let at = err.span().map_or(0, |span| span.start);
@@ -163,8 +163,8 @@
     }
 }
 
-fn read_table<T: Read>(
-    reader: &mut Reader,
+fn read_table<T: FromFields>(
+    reader: &mut SetReader,
     kind: Kind,
     file: usize,
     at: usize,
@@ -174,19 +174,19 @@
         return;
     }
     let mut fields = Fields::new(table, file, at, &mut reader.findings);
-    let object = T::read(&mut fields);
+    let object = T::from_fields(&mut fields);
     let origin = fields.finish(T::FIELDS);
-    Arc::make_mut(T::of_mut(&mut reader.objects)).push(object);
+    Arc::make_mut(T::list_mut(&mut reader.objects)).push(object);
     reader.origins[kind as usize].push(origin);
 }
 
 /// Sorts the objects of one kind by name, duplicates in the order in which they were written.
-fn sort_kind<T: Read>(reader: &mut Reader) {
-    let objects = mem::take(Arc::make_mut(T::of_mut(&mut reader.objects)));
+fn sort_kind<T: FromFields>(reader: &mut SetReader) {
+    let objects = mem::take(Arc::make_mut(T::list_mut(&mut reader.objects)));
     let origins = mem::take(&mut reader.origins[T::KIND as usize]);
     let mut pairs: Vec<_> = objects.into_iter().zip(origins).collect();
     pairs.sort_by(|(a, _), (b, _)| a.name().cmp(b.name()));
     let (objects, origins) = pairs.into_iter().unzip();
-    *T::of_mut(&mut reader.objects) = Arc::new(objects);
+    *T::list_mut(&mut reader.objects) = Arc::new(objects);
     reader.origins[T::KIND as usize] = origins;
 }
--- a/crates/objects/src/table.rs
+++ b/crates/objects/src/table.rs
@@ -26,10 +26,10 @@
     pub(crate) fn new(
         table: &'a DeTable<'i>,
         file: usize,
-        at: usize,
+        header: usize,
         findings: &'a mut Vec<FileFinding>,
     ) -> Self {
-        Self { table, origin: Origin { file, at, ..Origin::default() }, findings }
+        Self { table, origin: Origin { file, header, ..Origin::default() }, findings }
     }
 
     /// Reports fields other than `known`, and returns where the object was written.
@@ -56,26 +56,26 @@
     }
 
     /// Reports a finding at a field and marks its value as a substitute.
-    pub(crate) fn fail(&mut self, field: &'static str, element: Option<usize>, message: String) {
+    pub(crate) fn report(&mut self, field: &'static str, element: Option<usize>, message: String) {
         self.findings.push((self.origin.offset(field, element), message));
-        self.origin.bad.push(field);
+        self.origin.invalid.push(field);
     }
 
     fn missing(&mut self, field: &'static str) {
-        self.fail(field, None, format!("missing field `{field}`"));
+        self.report(field, None, format!("missing field `{field}`"));
     }
 
     fn wrong_type(&mut self, field: &'static str, expected: &str, found: &DeValue<'_>) {
         let message = format!("`{field}` must be {expected}, not {}", type_name(found));
-        self.fail(field, None, message);
+        self.report(field, None, message);
     }
 
     /// Reports a secret in clear, and returns whether there was one.
-    fn refuse_secret(&mut self, field: &'static str, element: Option<usize>, text: &str) -> bool {
+    fn report_secret(&mut self, field: &'static str, element: Option<usize>, text: &str) -> bool {
         let is_secret = looks_like_secret(text);
         if is_secret {
             let message = format!("plaintext secret in `{field}`; publish only its digest");
-            self.fail(field, element, message);
+            self.report(field, element, message);
         }
         is_secret
     }
@@ -87,7 +87,7 @@
             self.wrong_type(field, expected, value);
             return None;
         };
-        (!self.refuse_secret(field, None, text)).then_some(text)
+        (!self.report_secret(field, None, text)).then_some(text)
     }
 
     /// A required string; empty after a finding.
@@ -122,7 +122,7 @@
         parse: impl FnOnce(&str) -> Result<T, E>,
     ) -> Option<T> {
         let text = self.text(field, expected)?;
-        parse(text).map_err(|err| self.fail(field, None, format!("`{field}`: {err}"))).ok()
+        parse(text).map_err(|err| self.report(field, None, format!("`{field}`: {err}"))).ok()
     }
 
     /// A required value that is written as a string.
@@ -138,7 +138,11 @@
     }
 
     /// One of several words.
-    pub(crate) fn word<T: Copy>(&mut self, field: &'static str, words: &[(&str, T)]) -> Option<T> {
+    pub(crate) fn keyword<T: Copy>(
+        &mut self,
+        field: &'static str,
+        words: &[(&str, T)],
+    ) -> Option<T> {
         if !self.has(field) {
             self.missing(field);
         }
@@ -147,13 +151,13 @@
         if found.is_none() {
             let expected: Vec<_> = words.iter().map(|(word, _)| format!("{word:?}")).collect();
             let message = format!("`{field}` must be {}, not {text:?}", expected.join(" or "));
-            self.fail(field, None, message);
+            self.report(field, None, message);
         }
         found
     }
 
     /// A number without unit.
-    pub(crate) fn count<T: TryFrom<u64>>(&mut self, field: &'static str) -> Option<T> {
+    pub(crate) fn integer<T: TryFrom<u64>>(&mut self, field: &'static str) -> Option<T> {
         let value = self.get(field)?.get_ref();
         let Some(integer) = value.as_integer() else {
             self.wrong_type(field, "an integer without unit", value);
@@ -163,21 +167,21 @@
         let number = number.and_then(|n| T::try_from(n).ok());
         if number.is_none() {
             let message = format!("`{field}` is {}, out of range", integer.as_str());
-            self.fail(field, None, message);
+            self.report(field, None, message);
         }
         number
     }
 
     /// A required number without unit.
-    pub(crate) fn require_count<T: TryFrom<u64>>(&mut self, field: &'static str) -> Option<T> {
+    pub(crate) fn require_integer<T: TryFrom<u64>>(&mut self, field: &'static str) -> Option<T> {
         if !self.has(field) {
             self.missing(field);
         }
-        self.count(field)
+        self.integer(field)
     }
 
     /// A boolean, false when absent.
-    pub(crate) fn flag(&mut self, field: &'static str) -> bool {
+    pub(crate) fn boolean(&mut self, field: &'static str) -> bool {
         let Some(value) = self.get(field) else {
             return false;
         };
@@ -189,7 +193,7 @@
     }
 
     /// A boolean or else a list of strings; `None` when absent or after a finding.
-    pub(crate) fn flag_or_list(
+    pub(crate) fn boolean_or_list(
         &mut self,
         field: &'static str,
     ) -> Option<Result<bool, Vec<Arc<str>>>> {
@@ -235,7 +239,7 @@
         }
         elements.sort();
         if !complete {
-            self.origin.bad.push(field);
+            self.origin.invalid.push(field);
             return None;
         }
         let places = elements.iter().enumerate().map(|(i, (_, at))| (field, Some(i), *at));
@@ -244,8 +248,8 @@
     }
 
     /// Whether the field has a finding.
-    pub(crate) fn is_bad(&self, field: &str) -> bool {
-        self.origin.bad.contains(&field)
+    pub(crate) fn is_invalid(&self, field: &str) -> bool {
+        self.origin.invalid.contains(&field)
     }
 }
 
--- a/crates/objects/src/units.rs
+++ b/crates/objects/src/units.rs
@@ -11,15 +11,15 @@
 #[error("{0}")]
 pub struct InvalidUnit(&'static str);
 
-const RATE_FORM: InvalidUnit =
+const RATE_FORMAT: InvalidUnit =
     InvalidUnit("a rate needs the unit requests per second, for example \"50/s\"");
-const RATE_PRECISION: InvalidUnit = InvalidUnit("a rate has at most three decimals");
-const RATE_RANGE: InvalidUnit = InvalidUnit("impossible rate: too large");
-const RATE_SIGN: InvalidUnit = InvalidUnit("impossible rate: a rate must be above zero");
-const SIZE_FORM: InvalidUnit =
+const RATE_TOO_PRECISE: InvalidUnit = InvalidUnit("a rate has at most three decimals");
+const RATE_TOO_LARGE: InvalidUnit = InvalidUnit("impossible rate: too large");
+const RATE_NOT_POSITIVE: InvalidUnit = InvalidUnit("impossible rate: a rate must be above zero");
+const SIZE_FORMAT: InvalidUnit =
     InvalidUnit("a size needs one of the units B, KiB, MiB, GiB, for example \"64KiB\"");
-const SIZE_RANGE: InvalidUnit = InvalidUnit("the size is too large");
-const DURATION_FORM: InvalidUnit = InvalidUnit("a duration needs a unit, for example \"300ms\"");
+const SIZE_TOO_LARGE: InvalidUnit = InvalidUnit("the size is too large");
+const DURATION_FORMAT: InvalidUnit = InvalidUnit("a duration needs a unit, for example \"300ms\"");
 
 /// Requests per second, stored exactly in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -57,20 +57,20 @@
     type Err = InvalidUnit;
 
     fn from_str(s: &str) -> Result<Self, Self::Err> {
-        let number = s.strip_suffix("/s").ok_or(RATE_FORM)?;
+        let number = s.strip_suffix("/s").ok_or(RATE_FORMAT)?;
         if number.starts_with('-') {
-            return Err(RATE_SIGN);
+            return Err(RATE_NOT_POSITIVE);
         }
         let (whole, decimals) = number.split_once('.').unwrap_or((number, "0"));
         if !is_digits(whole) || !is_digits(decimals) {
-            return Err(RATE_FORM);
+            return Err(RATE_FORMAT);
         }
         if decimals.len() > 3 {
-            return Err(RATE_PRECISION);
+            return Err(RATE_TOO_PRECISE);
         }
-        let whole: u64 = whole.parse().map_err(|_| RATE_RANGE)?;
-        let milli: u64 = format!("{decimals:0<3}").parse().map_err(|_| RATE_FORM)?;
-        whole.checked_mul(1000).and_then(|w| w.checked_add(milli)).map(Self).ok_or(RATE_RANGE)
+        let whole: u64 = whole.parse().map_err(|_| RATE_TOO_LARGE)?;
+        let milli: u64 = format!("{decimals:0<3}").parse().map_err(|_| RATE_FORMAT)?;
+        whole.checked_mul(1000).and_then(|w| w.checked_add(milli)).map(Self).ok_or(RATE_TOO_LARGE)
     }
 }
 
@@ -114,12 +114,12 @@
         let digits = s.bytes().take_while(u8::is_ascii_digit).count();
         let (number, unit) = s.split_at(digits);
         let find = |(name, _): &(&str, u64)| *name == unit;
-        let (_, bytes) = Self::UNITS.into_iter().find(find).ok_or(SIZE_FORM)?;
+        let (_, bytes) = Self::UNITS.into_iter().find(find).ok_or(SIZE_FORMAT)?;
         if number.is_empty() {
-            return Err(SIZE_FORM);
+            return Err(SIZE_FORMAT);
         }
-        let number: u64 = number.parse().map_err(|_| SIZE_RANGE)?;
-        number.checked_mul(bytes).map(Self).ok_or(SIZE_RANGE)
+        let number: u64 = number.parse().map_err(|_| SIZE_TOO_LARGE)?;
+        number.checked_mul(bytes).map(Self).ok_or(SIZE_TOO_LARGE)
     }
 }
 
@@ -132,9 +132,9 @@
 /// A bare `0` is refused although `humantime` accepts it, because units are required.
 pub(crate) fn parse_duration(s: &str) -> Result<Duration, InvalidUnit> {
     if is_digits(s) {
-        return Err(DURATION_FORM);
+        return Err(DURATION_FORMAT);
     }
-    humantime::parse_duration(s).map_err(|_| DURATION_FORM)
+    humantime::parse_duration(s).map_err(|_| DURATION_FORMAT)
 }
 
 /// Reads a value from a string through `FromStr`, for `serde`.
--- a/crates/objects/src/unparsed.rs
+++ b/crates/objects/src/unparsed.rs
@@ -5,12 +5,12 @@
 
 /// Names that malformed files define as far as their text shows; sorted.
 #[derive(Debug, Default)]
-pub(crate) struct Lost {
+pub(crate) struct UnparsedNames {
     names: Vec<String>,
     services: Vec<String>,
 }
 
-impl Lost {
+impl UnparsedNames {
     /// Adds the names of a malformed file.
     pub(crate) fn add(&mut self, text: &str) {
         let mut in_endpoint = false;
--- a/crates/objects/tests/finding_positions.rs
+++ b/crates/objects/tests/finding_positions.rs
@@ -198,7 +198,7 @@
 
 /// Guards against requests or model names with two meanings.
 #[test]
-fn clashes() {
+fn conflicts() {
     let base = endpoint("address = \"127.0.0.1:80\"\nservice = \"s\"\ncapacity = 1\n");
     let route = |name: &str, path: &str| {
         format!(
@@ -207,9 +207,9 @@
     };
     let text = format!("{base}{}{}{}", route("a", "/x"), route("b", "/x/"), route("c", "/x/y"));
     expect(&text, &["a:23:8: error: the path overlaps with route `a`, see a:18:8"]);
-    let twin = "[[endpoint]]\nname = \"f\"\nzone = \"z\"\naddress = \"127.0.0.1:80\"\nservice = \"s\"\ncapacity = 1\n";
+    let same_address = "[[endpoint]]\nname = \"f\"\nzone = \"z\"\naddress = \"127.0.0.1:80\"\nservice = \"s\"\ncapacity = 1\n";
     let message = "a:19:11: error: endpoint `e` has the same address 127.0.0.1:80, see a:13:11";
-    expect(&format!("{base}{twin}"), &[message]);
+    expect(&format!("{base}{same_address}"), &[message]);
     let model = |name: &str, aliases: &str| {
         format!(
             "[[model]]\nname = \"{name}\"\nmax_context = 9\nmax_output = 9\nversion = \"1\"\n\
--- a/crates/objects/tests/set_changes.rs
+++ b/crates/objects/tests/set_changes.rs
@@ -13,7 +13,7 @@
 
 /// What a generated set contains: objects by number with the values that vary.
 #[derive(Clone, Debug, Default)]
-struct Plan {
+struct SetSpec {
     teams: BTreeMap<u8, u16>,
     keys: BTreeMap<u8, u8>,
     zones_out: BTreeSet<u8>,
@@ -22,7 +22,7 @@
     aliased: bool,
 }
 
-fn plan() -> impl Strategy<Value = Plan> {
+fn spec() -> impl Strategy<Value = SetSpec> {
     (
         btree_map(0..12u8, 1..4u16, 1..8),
         btree_map(0..16u8, any::<u8>(), 0..10),
@@ -31,7 +31,7 @@
         btree_map(0..4u8, any::<bool>(), 0..4),
         any::<bool>(),
     )
-        .prop_map(|(teams, keys, zones_out, engines, services, aliased)| Plan {
+        .prop_map(|(teams, keys, zones_out, engines, services, aliased)| SetSpec {
             teams,
             keys,
             zones_out,
@@ -41,23 +41,23 @@
         })
 }
 
-fn build(plan: &Plan) -> ObjectSet {
+fn build(spec: &SetSpec) -> ObjectSet {
     let mut text = "format = 1\n[[rate]]\nname = \"r\"\nrate = \"0.25/s\"\nburst = 3\n".to_owned();
     for zone in 0..4 {
-        let state = if plan.zones_out.contains(&zone) { "out" } else { "in" };
+        let state = if spec.zones_out.contains(&zone) { "out" } else { "in" };
         write!(text, "[[zone]]\nname = \"z{zone}\"\nstate = \"{state}\"\n").unwrap();
     }
-    let alias = if plan.aliased { "aliases = [\"n\"]\n" } else { "" };
+    let alias = if spec.aliased { "aliases = [\"n\"]\n" } else { "" };
     write!(
         text,
         "[[model]]\nname = \"m\"\nmax_context = 9\nmax_output = 9\nversion = \"1\"\n{alias}"
     )
     .unwrap();
-    for (team, weight) in &plan.teams {
+    for (team, weight) in &spec.teams {
         write!(text, "[[team]]\nname = \"t{team}\"\nrate = \"r\"\nweight = {weight}\n").unwrap();
     }
-    let teams: Vec<_> = plan.teams.keys().collect();
-    for (key, team) in &plan.keys {
+    let teams: Vec<_> = spec.teams.keys().collect();
+    for (key, team) in &spec.keys {
         let team = teams[usize::from(*team) % teams.len()];
         write!(
             text,
@@ -75,13 +75,13 @@
         )
         .unwrap();
     };
-    for (number, capacity) in &plan.engines {
+    for (number, capacity) in &spec.engines {
         endpoint("e", *number, "models = [\"m\"]", *capacity);
     }
-    for number in plan.services.keys() {
+    for number in spec.services.keys() {
         endpoint("s", 100 + *number, &format!("service = \"s{number}\""), 1);
     }
-    for (number, open) in &plan.services {
+    for (number, open) in &spec.services {
         write!(
             text,
             "[[route]]\nname = \"p{number}\"\npath = \"/p{number}\"\nkind = \"service\"\n\
@@ -102,7 +102,7 @@
 
     /// Guards against instances that apply the changes and end with another set or other lookups.
     #[test]
-    fn diff_then_apply(old in plan(), new in plan()) {
+    fn diff_then_apply(old in spec(), new in spec()) {
         let (old, new) = (build(&old), build(&new));
         let changes = old.diff(&new);
         let applied = old.apply(&changes).unwrap();
@@ -115,8 +115,8 @@
 
     /// Guards against records that lose a field, and against an encoding that is not canonical.
     #[test]
-    fn records_round_trip(plan in plan()) {
-        let set = build(&plan);
+    fn records_round_trip(spec in spec()) {
+        let set = build(&spec);
         let mut records = set.records();
         let copy = ObjectSet::from_records(&records).unwrap();
         prop_assert_eq!(&copy, &set);
@@ -127,8 +127,8 @@
 
     /// Guards against the partial check of `apply` accepting what a full check refuses.
     #[test]
-    fn apply_checks_enough(plan in plan(), pick in any::<prop::sample::Index>()) {
-        let set = build(&plan);
+    fn apply_checks_enough(spec in spec(), pick in any::<prop::sample::Index>()) {
+        let set = build(&spec);
         let mut records = set.records();
         let Record { kind, name, .. } = records.remove(pick.index(records.len()));
         let applied = set.apply(&[Change::Remove { kind, name }]);
@@ -139,7 +139,7 @@
 fn sample() -> ObjectSet {
     let teams = [(1, 1), (2, 1)].into();
     let engines = [(0, 4)].into();
-    build(&Plan { teams, keys: [(1, 0)].into(), engines, ..Plan::default() })
+    build(&SetSpec { teams, keys: [(1, 0)].into(), engines, ..SetSpec::default() })
 }
 
 fn record(set: &ObjectSet, kind: Kind, name: &str, from: &str, to: &str) -> Record {
@@ -176,8 +176,9 @@
 /// and against a secret in a record that reaches a log.
 #[test]
 fn refused_upserts() {
-    let plan = Plan { teams: [(1, 1)].into(), services: [(0, true)].into(), ..Plan::default() };
-    let set = build(&plan);
+    let spec =
+        SetSpec { teams: [(1, 1)].into(), services: [(0, true)].into(), ..SetSpec::default() };
+    let set = build(&spec);
     let change = record(&set, Kind::Endpoint, "s100", "\"service\":\"s0\"", "\"service\":\"s9\"");
     let message = "no endpoint serves service \"s0\" of this route; did you mean `s9`?";
     let found = refused(&set, &[Change::Upsert(change)]);
