--- a/crates/ledger/examples/program_turns.rs
+++ b/crates/ledger/examples/program_turns.rs
@@ -1,6 +1,6 @@
-//! Runs calls of a program through a ledger: a turn begins and ends, its resend is answered from
-//! the record, a turn ahead of its order is refused, and a non-idempotent call whose instance is
-//! lost has an unknown outcome, which no resend runs again.
+//! Runs calls of a program through a ledger. A turn begins and ends, and its retry gets the recorded
+//! answer. A turn out of order is refused. A non-idempotent call whose instance is lost has an
+//! unknown outcome, and a retry does not run it again.
 
 use poplarspan_ledger::Ledger;
 use poplarspan_proto::ledger::{
@@ -9,11 +9,12 @@
 };
 use prost::Message;
 
-/// In a deployment, the command is proposed to the replicated log and applied by each replica.
+/// Applies a command directly. In a deployment, it is proposed to the replicated log and applied by
+/// each replica.
 fn apply(ledger: &mut Ledger, index: u64, command: Command) -> ledger_answer::Answer {
     let data = LedgerCommand { now_ms: 1_000 * index, command: Some(command) }.encode_to_vec();
     let answer = LedgerAnswer::decode(ledger.apply(index, &data)).ok().and_then(|a| a.answer);
-    answer.expect("an answer of this version")
+    answer.expect("the ledger encodes a known answer")
 }
 
 fn begin(turn: u32, key: &str, kind: CallKind) -> Begin {
@@ -22,7 +23,7 @@
         program: Some("trip".into()),
         turn: Some(turn),
         idempotency_key: key.into(),
-        // A digest of the request; a resend with another one is refused.
+        // Digest of the request body. A retry with another digest is refused.
         body_digest: vec![turn as u8; 32].into(),
         kind: kind.into(),
         reserve_tokens: 100,
--- a/crates/ledger/examples/publish_objects.rs
+++ b/crates/ledger/examples/publish_objects.rs
@@ -1,5 +1,5 @@
-//! Publishes objects with compare-and-set: two operators publish at the same generation, the
-//! winner's lost answer is asked for again, and an instance fetches what it has missed.
+//! Publishes objects with compare-and-set. Two operators publish at the same generation, the winner
+//! retries and gets its first answer, and an instance fetches the changes that it has missed.
 
 use poplarspan_ledger::{Catalog, Changes};
 use poplarspan_proto::ledger::{
@@ -8,12 +8,16 @@
 };
 use prost::Message;
 
-/// In a deployment, the command is proposed to the replicated log and applied by each replica.
+/// Applies a command directly. In a deployment, it is proposed to the replicated log and applied by
+/// each replica.
 fn apply(catalog: &mut Catalog, publish: &Publish) -> Answer {
     let command = Command::Publish(publish.clone());
     let data = CatalogCommand { now_ms: 1_000, command: Some(command) }.encode_to_vec();
     let answer = catalog.apply(catalog.index() + 1, &data);
-    CatalogAnswer::decode(answer).ok().and_then(|a| a.answer).expect("an answer of this version")
+    CatalogAnswer::decode(answer)
+        .ok()
+        .and_then(|a| a.answer)
+        .expect("the catalog encodes a known answer")
 }
 
 fn publish(operator: &str, expected_generation: u64, teams: &[(&str, u32)]) -> Publish {
@@ -24,7 +28,7 @@
     };
     Publish {
         expected_generation,
-        // Chosen by the sender and kept for its resends.
+        // Chosen by the sender. A retry must use the same id.
         request_id: format!("{operator}-{expected_generation}"),
         operator: operator.into(),
         changes: teams.iter().map(change).collect(),
@@ -36,16 +40,17 @@
     let mut catalog = Catalog::new();
     let first = publish("ann", 0, &[("red", 1), ("blue", 1)]);
     println!("ann at 0:    {:?}", apply(&mut catalog, &first));
-    // Whoever publishes second at the same generation learns who was first.
+    // The second publication at the same generation gets a conflict that names the first operator.
     let second = publish("bob", 0, &[("red", 2)]);
     println!("bob at 0:    {:?}", apply(&mut catalog, &second));
     let again = publish("bob", 1, &[("red", 2)]);
     println!("bob at 1:    {:?}", apply(&mut catalog, &again));
-    // A resend gets the first answer and changes nothing, even after later generations.
+    // A retry gets the first answer and changes nothing, even after later generations.
     println!("ann resends: {:?}", apply(&mut catalog, &first));
     println!("red is {:?}", catalog.object("team", "red"));
 
-    // For an instance at generation 1; were the changes no fewer than the objects, it would get all.
+    // The update for an instance at generation 1. It would get the full set if there were as many
+    // changes as objects.
     match catalog.changes_since(1) {
         Changes::Deltas { generation, changes } => println!("to {generation}: {changes:?}"),
         Changes::FullSet { generation, objects } => println!("all of {generation}: {objects:?}"),
--- a/crates/ledger/src/catalog.rs
+++ b/crates/ledger/src/catalog.rs
@@ -1,7 +1,7 @@
 //! Group 0: the object set, the results of publications, and the registered instances.
 //!
-//! The state belongs to the replicated log of group 0. When its leader fails, another voter goes on
-//! with the same state, so that no acknowledged publication is lost.
+//! The state follows from the replicated log of group 0. When its leader fails, another voter takes
+//! over with the same state, so no acknowledged publication is lost.
 
 mod instances;
 mod publish;
@@ -27,18 +27,18 @@
 
 pub use self::instances::InstanceView;
 
-/// One object of the set.
+/// One object of the set, in its encoded form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
     /// Kind of the object, such as `team`.
     pub kind: Arc<str>,
     /// Name, unique within the kind.
     pub name: Arc<str>,
-    /// Canonical form.
+    /// Canonical encoding. The catalog does not interpret it.
     pub body: Bytes,
 }
 
-/// What an instance needs in order to reach the current generation.
+/// Update that brings an instance to the current generation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Changes {
     /// The changes since the instance's generation, at most one per object.
@@ -48,7 +48,8 @@
         /// Sorted by kind and name.
         changes: Vec<ObjectChange>,
     },
-    /// The whole set, because the instance's generation is too old or unknown.
+    /// The whole set, because the changes since the instance's generation are no longer kept or are
+    /// no smaller than the set.
     FullSet {
         /// The current generation.
         generation: u64,
@@ -66,7 +67,7 @@
     now_ms: u64,
     generation: u64,
     objects: BTreeMap<ObjectKey, Bytes>,
-    /// The current set as a list, built when it is first asked for.
+    /// The current set as a list, built on first use and cleared by each publication.
     full_set: OnceLock<Arc<[Object]>>,
     recent: RecentPublications,
     results: PublicationResults,
@@ -75,13 +76,13 @@
 }
 
 impl Catalog {
-    /// An empty catalog at generation 0.
+    /// Creates an empty catalog at generation 0.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies the entry at `index`, a [`CatalogCommand`], and returns a [`CatalogAnswer`]. A
-    /// malformed command is answered as invalid and changes nothing.
+    /// Applies the log entry at `index`, an encoded [`CatalogCommand`], and returns an encoded
+    /// [`CatalogAnswer`]. A malformed command is answered as invalid and changes only the index.
     pub fn apply(&mut self, index: u64, data: &[u8]) -> Bytes {
         self.index = index;
         let answer = match CatalogCommand::decode(data) {
@@ -110,12 +111,12 @@
         }
     }
 
-    /// The whole state, from which [`Self::restore`] makes an equal one.
+    /// Encodes the whole state. [`Self::restore`] creates an equal state from it.
     pub fn snapshot(&self) -> Bytes {
         self.to_message().encode_to_vec().into()
     }
 
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the state with that of a snapshot.
     ///
     /// # Errors
     ///
@@ -125,7 +126,7 @@
         Ok(())
     }
 
-    /// Index of the last entry applied.
+    /// Log index of the last entry applied; 0 before the first.
     pub fn index(&self) -> u64 {
         self.index
     }
@@ -135,12 +136,12 @@
         self.generation
     }
 
-    /// Number of program groups; 0 until it is fixed.
+    /// Number of program groups; 0 until the first `FixGroups` command sets it for good.
     pub fn group_count(&self) -> u32 {
         self.groups
     }
 
-    /// The object of this kind and name.
+    /// Encoded body of the object with this kind and name.
     pub fn object(&self, kind: &str, name: &str) -> Option<&Bytes> {
         self.objects.get(&(kind.into(), name.into()))
     }
@@ -158,7 +159,8 @@
         self.full_set.get_or_init(list).clone()
     }
 
-    /// What an instance at `generation` needs in order to reach the current one.
+    /// Returns the update from `generation` to the current one: deltas, or the full set if the
+    /// deltas are not kept, `generation` is unknown, or the full set is no larger.
     pub fn changes_since(&self, generation: u64) -> Changes {
         match self.recent.since(generation, self.generation, self.objects.len()) {
             Some(changes) => Changes::Deltas { generation: self.generation, changes },
@@ -166,23 +168,24 @@
         }
     }
 
-    /// Instances that were declared gone not long ago, with their incarnations.
+    /// Names of the instances that were declared gone, each with the highest incarnation that is
+    /// gone. Entries older than 24 hours are removed when the next instance is declared gone.
     pub fn gone_instances(&self) -> Vec<(String, u64)> {
         let gone = self.instances.gone.values().filter(|g| g.gone);
         gone.map(|g| (g.instance.clone(), g.incarnation)).collect()
     }
 
-    /// Epoch of the view.
+    /// Epoch of the instance view; it rises with each change of the registered instances.
     pub fn epoch(&self) -> u64 {
         self.instances.epoch
     }
 
-    /// The registration of a live instance.
+    /// The registration of `name`, if it is registered and was not declared gone.
     pub fn instance(&self, name: &str) -> Option<&RegisterInstance> {
         self.instances.live.get(name)
     }
 
-    /// The registered instances and their epoch.
+    /// The registered instances and the epoch of that list.
     pub fn view(&self) -> InstanceView {
         self.instances.view()
     }
@@ -194,6 +197,7 @@
     }
 }
 
+/// Checks the sizes of names and the values that need no state.
 fn check(command: &Command) -> Result<(), &'static str> {
     use crate::names::is_name;
     let ok = match command {
--- a/crates/ledger/src/catalog/instances.rs
+++ b/crates/ledger/src/catalog/instances.rs
@@ -1,4 +1,4 @@
-//! Registered instances. An incarnation that was declared gone never returns.
+//! Registered instances. An incarnation that was declared gone cannot register again.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,14 @@
     catalog_answer::Answer,
 };
 
-/// How long a gone incarnation is remembered; no message of it is under way for so long.
+/// How long a gone incarnation is remembered. No message from it can still be in flight after that
+/// time.
 const GONE_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// The registered instances at one epoch.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InstanceView {
-    /// Rises with each change of the instances.
+    /// Version of the list; rises with each change.
     pub epoch: u64,
     /// Sorted by name.
     pub instances: Vec<RegisterInstance>,
@@ -22,7 +23,9 @@
 #[derive(Debug, Default)]
 pub(super) struct Instances {
     pub(super) epoch: u64,
+    /// Registered instances by name.
     pub(super) live: BTreeMap<String, RegisterInstance>,
+    /// Highest incarnation that was declared gone, by instance name.
     pub(super) gone: BTreeMap<String, GoneInstance>,
 }
 
--- a/crates/ledger/src/catalog/publish.rs
+++ b/crates/ledger/src/catalog/publish.rs
@@ -1,4 +1,4 @@
-//! Publications: compare-and-set on the generation, and results kept for resends.
+//! Publications: compare-and-set on the generation, with results retained for retries.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,14 +14,14 @@
 
 use super::Catalog;
 
-/// Results kept whatever their age.
+/// The latest results, up to this number, are kept regardless of age.
 const MIN_RETAINED_RESULTS: usize = 10_000;
-/// Results younger than this are kept whatever their number.
+/// Results younger than this are kept regardless of number.
 const RESULT_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
-/// Publications whose changes are kept. At 3,300 a day this is about a day.
+/// Number of publications whose changes are kept, about one day at 3,300 publications a day.
 const MAX_RETAINED_PUBLICATIONS: usize = 4096;
-/// Size of all kept changes. Beyond it an instance is sent the whole set, which is of this order
-/// for 30,000 teams.
+/// Total size of the kept changes. An instance that needs more than these receives the full set,
+/// which has about this size with 30,000 teams.
 const MAX_RETAINED_CHANGES_BYTES: usize = 16 << 20;
 
 impl Catalog {
@@ -69,8 +69,9 @@
         Answer::Published(Published { generation: self.generation })
     }
 
-    /// Names the publication that took the place of the one that was expected to come next, or the
-    /// latest one if that is no longer known.
+    /// Answers a publication whose expected generation is not current. The conflict names the
+    /// publication that followed the expected generation, or the latest one if that one is no
+    /// longer kept.
     fn conflict(&self, expected: u64) -> Answer {
         let winner = self.recent.get(expected.saturating_add(1)).or(self.recent.list.back());
         Answer::Conflict(GenerationConflict {
@@ -81,7 +82,8 @@
     }
 }
 
-/// Digest by which a resend is recognised.
+/// Digest that identifies a retry. With a content digest, the changes are left out, because a retry
+/// may compute them against a later generation.
 fn request_digest(publish: &Publish) -> [u8; 32] {
     let mut request = publish.clone();
     if !request.content_digest.is_empty() {
@@ -90,7 +92,7 @@
     *blake3::hash(&request.encode_to_vec()).as_bytes()
 }
 
-/// Changes of the latest publications, oldest first, without a gap.
+/// Changes of the latest publications, oldest first, with contiguous generations.
 #[derive(Debug, Default)]
 pub(super) struct RecentPublications {
     pub(super) list: VecDeque<Publication>,
@@ -101,7 +103,7 @@
     pub(super) fn add(&mut self, publication: Publication) {
         self.bytes += publication.encoded_len();
         self.list.push_back(publication);
-        // The latest is kept in any case: it names the winner of a race.
+        // The latest is always kept, because a conflict names the operator that published it.
         while self.list.len() > 1
             && (self.list.len() > MAX_RETAINED_PUBLICATIONS
                 || self.bytes > MAX_RETAINED_CHANGES_BYTES)
@@ -116,8 +118,9 @@
         self.list.get(usize::try_from(generation.checked_sub(first)?).ok()?)
     }
 
-    /// The merged changes after `generation`, or nothing if some are no longer kept or there are at
-    /// least `max` before they are merged.
+    /// Returns the changes after `generation`, merged to one per object and sorted by kind and
+    /// name. Returns `None` if some of them are no longer kept, if `generation` is later than
+    /// `current`, or if there are at least `max` changes before the merge.
     pub(super) fn since(
         &self,
         generation: u64,
@@ -133,7 +136,8 @@
             return None;
         }
         let newer = self.list.range(usize::try_from(skip).ok()?.min(self.list.len())..);
-        // Counted first, because merging a large set only to discard it costs more than sending it.
+        // Count before merging: merging a large set only to discard it costs more than sending the
+        // full set.
         if newer.clone().map(|publication| publication.changes.len()).sum::<usize>() >= max {
             return None;
         }
@@ -150,11 +154,11 @@
     }
 }
 
-/// Answers to publications by request id, in the order in which they were given.
+/// Answers to publications by request id, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct PublicationResults {
     pub(super) list: VecDeque<PublicationResult>,
-    /// Number of each result, counted from the first one ever kept.
+    /// Sequence number of each result. `list[0]` has the number `first`.
     numbers: BTreeMap<String, u64>,
     first: u64,
 }
@@ -165,7 +169,7 @@
         self.list.get((number - self.first) as usize)
     }
 
-    /// Returns whether the request id is new.
+    /// Appends a result and returns whether its request id is new.
     pub(super) fn add(&mut self, result: PublicationResult) -> bool {
         let number = self.first + self.list.len() as u64;
         let is_new = self.numbers.insert(result.request_id.clone(), number).is_none();
@@ -173,6 +177,7 @@
         is_new
     }
 
+    /// Removes the oldest results that exceed both retention limits.
     fn trim(&mut self, now_ms: u64) {
         while self.list.len() > MIN_RETAINED_RESULTS {
             let Some(oldest) = self.list.front() else { return };
--- a/crates/ledger/src/catalog/snapshot.rs
+++ b/crates/ledger/src/catalog/snapshot.rs
@@ -38,27 +38,27 @@
             return Err(RestoreError::Format(message.format));
         }
         if message.generation >= MAX_COUNTER || message.epoch >= MAX_COUNTER {
-            return Err(RestoreError::Inconsistent("a number is beyond what can be reached"));
+            return Err(RestoreError::Inconsistent("generation or epoch is out of bounds"));
         }
         let mut recent = RecentPublications::default();
         let count = message.recent.len() as u64;
         for (n, publication) in message.recent.into_iter().enumerate() {
-            // The last publication is the current generation, and none is missing in between.
+            // The publications must have contiguous generations that end with the current one.
             if publication.generation.checked_add(count - 1 - n as u64) != Some(message.generation)
             {
-                return Err(RestoreError::Inconsistent("recent publications have a gap"));
+                return Err(RestoreError::Inconsistent("recent publications are not contiguous"));
             }
             recent.add(publication);
         }
         let mut results = PublicationResults::default();
         for result in message.results {
             if !results.add(result) {
-                return Err(RestoreError::Inconsistent("request id occurs twice"));
+                return Err(RestoreError::Inconsistent("duplicate request id"));
             }
         }
         let mut objects = BTreeMap::new();
         for object in message.objects {
-            let body = object.body.ok_or(RestoreError::Inconsistent("object without a body"))?;
+            let body = object.body.ok_or(RestoreError::Inconsistent("object has no body"))?;
             objects.insert((object.kind.into(), object.name.into()), body);
         }
         let instances = Instances {
--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -1,22 +1,22 @@
 use thiserror::Error;
 
-/// Why a snapshot was refused. The state machine is unchanged.
+/// Why a snapshot could not be restored. The state machine is unchanged.
 #[derive(Debug, Error)]
 pub enum RestoreError {
-    /// The bytes are no snapshot message.
-    #[error("snapshot is not decodable: {0}")]
+    /// The bytes are not a snapshot message.
+    #[error("cannot decode snapshot: {0}")]
     Decode(#[from] prost::DecodeError),
-    /// The snapshot has a format that this version does not read.
-    #[error("snapshot has format {0}, expected {expected}", expected = SNAPSHOT_FORMAT)]
+    /// The snapshot has a format number that this version does not support.
+    #[error("unsupported snapshot format {0}, expected {expected}", expected = SNAPSHOT_FORMAT)]
     Format(u32),
-    /// The snapshot contradicts itself.
+    /// The fields of the snapshot contradict each other, or a value is out of bounds.
     #[error("snapshot is inconsistent: {0}")]
     Inconsistent(&'static str),
 }
 
-/// Format number at the start of each snapshot.
+/// Format number that each snapshot carries in its first field.
 pub(crate) const SNAPSHOT_FORMAT: u32 = 1;
 
-/// A snapshot with a greater generation, epoch or claim is refused, so that these can be counted up
-/// without a check for overflow.
+/// Exclusive bound on the generation, epoch and last claim number of a snapshot. It leaves enough
+/// room that these counters can be incremented without an overflow check.
 pub(crate) const MAX_COUNTER: u64 = u64::MAX / 2;
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,35 +1,37 @@
 //! A program group: order of turns, budgets, claims, answers, history and release orders.
 //!
-//! The state belongs to the replicated log of the group. When its leader fails, another voter goes
-//! on with the same state, and open claims stay valid. When the instance that holds a claim fails,
-//! its idempotent calls become claimable again, and its other calls have an unknown outcome.
+//! The state follows from the replicated log of the group. When its leader fails, another voter
+//! takes over with the same state, and open claims stay valid. When the instance that holds a claim
+//! fails, its idempotent calls become claimable again, and its other calls have an unknown outcome.
 //!
-//! # Order of the checks of a begin
+//! # Order of checks for a begin
 //!
-//! 1. A claimant that was declared gone, or has started again since, is fenced.
-//! 2. Programs of the lineage that are past their lifetime or idle limit end.
+//! 1. A claimant that was declared gone, or whose instance has restarted since, is fenced.
+//! 2. Programs on the path (the program and its ancestors) that are past their lifetime or idle
+//!    limit are ended.
 //! 3. A begin that refers to an existing call, by key or by turn, gets that call's answer: replay,
-//!    running, unknown outcome, or body mismatch. This holds in ended programs too. Only a call
-//!    whose claimant is gone may be claimed again.
-//! 4. In an ended program, or below one, nothing new begins.
-//! 5. A turn that is not the next one is out of order.
-//! 6. The answer must fit the team's store, the turn must fit the turn limit, and the reservation
-//!    must fit the budget, of the program and each of its ancestors.
+//!    running, unknown outcome, or body mismatch. This also applies to ended programs. Only a call
+//!    whose claimant is gone can be claimed again.
+//! 4. If the program or an ancestor has ended, no new call begins.
+//! 5. A turn that is not the next one is refused as out of order.
+//! 6. The answer must fit into the team's store, the turn into the turn limits, and the reservation
+//!    into the budgets, of the program and of each of its ancestors.
 //!
-//! A begin that is refused reserves nothing and creates no program. Programs are created by their
-//! first call, together with missing ancestors, all with the limits of that call.
+//! A begin that is refused reserves nothing and creates no program. The first call of a program
+//! creates it together with its missing ancestors, all with the limits of that call.
 //!
 //! # Claims and release orders
 //!
-//! Claims and release orders take their numbers from one rising sequence, so that a claim never
-//! occurs twice, whatever was freed or dropped in between, and an endpoint that checks numbers can
-//! refuse a call that arrives after the order that ended it. A begin names the endpoint that the
-//! call will be sent to, which keeps a call at two entries of the log: one begins it and one ends
-//! it. A further endpoint costs one more entry, a dispatch, before the call is sent there. So the
-//! endpoints are known when the claimant dies.
+//! Claims and release orders take their numbers from one increasing sequence. A claim number is
+//! therefore never reused, even after a turn or key was freed, and an endpoint that checks numbers
+//! can refuse a call that arrives after the order that released it.
 //!
-//! The run of a claimant that is gone may have cost up to its reservation, which therefore counts
-//! as spent; a repeated run reserves anew.
+//! A begin names the endpoint that the call is sent to, so a call normally costs two log entries:
+//! its begin and its end. Each further endpoint costs one more entry, a dispatch, which is recorded
+//! before the call is sent there. All endpoints are therefore known when the claimant fails.
+//!
+//! The run of a claimant that is gone may have cost up to its reservation, so the whole reservation
+//! counts as spent. A repeated run makes a new reservation.
 
 mod begin;
 mod budget;
@@ -58,16 +60,17 @@
 
 const HOUR_MS: u64 = 60 * 60 * 1000;
 
-/// Settings that all replicas of a group share, because they are set by an entry of its log.
+/// Settings of a group. They are set by a log entry, so that all its replicas agree on them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long answers are kept for resends after a program has ended.
+    /// Time for which answers are kept for retries: after the end of their program or, for calls
+    /// without a program, after the end of the call.
     pub resend_window_ms: u64,
-    /// Most bytes of calls and answers kept for one team.
+    /// Maximum bytes of calls and answers kept for one team.
     pub team_bytes: u64,
-    /// Lifetime of a program that names none.
+    /// Lifetime of a program whose first call sets no lifetime.
     pub lifetime_ms: u64,
-    /// Longest time without a call of a program that names none.
+    /// Maximum time without a call for a program whose first call sets no idle limit.
     pub idle_ms: u64,
 }
 
@@ -82,16 +85,16 @@
     }
 }
 
-/// Where an open call is found.
+/// Where a call is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum CallLocation {
-    /// The last turn of this program.
+    /// A turn of this program.
     Turn(TeamKey),
-    /// A call without a program, by idempotency key.
+    /// A call without a program, identified by its idempotency key.
     Keyed(TeamKey),
 }
 
-/// An open claim, indexed by its number.
+/// Entry of the index of open claims.
 #[derive(Clone, Debug)]
 struct OpenClaim {
     location: CallLocation,
@@ -105,7 +108,7 @@
 pub struct Ledger {
     index: u64,
     now_ms: u64,
-    /// Last number given to a claim or a release order.
+    /// Last number assigned to a claim or a release order.
     last_number: u64,
     settings: Settings,
     programs: BTreeMap<TeamKey, Program>,
@@ -115,26 +118,28 @@
     instances: BTreeMap<Arc<str>, KnownIncarnation>,
     overruns: u64,
 
-    // Derived from the fields above, and rebuilt from a snapshot.
+    // Derived from the fields above and rebuilt when a snapshot is restored.
+    /// Open claims by number.
     open: BTreeMap<u64, OpenClaim>,
     team_bytes: BTreeMap<Arc<str>, u64>,
-    /// For each program a time at or before the one at which it is to be ended or dropped. The
-    /// entries differ between replicas, so their order must not affect any result.
+    /// For each program, a time at or before the one at which it must be ended or dropped. After a
+    /// restore the entries may differ between replicas, so their order must not affect any result.
     programs_due: BTreeSet<(u64, TeamKey)>,
+    /// When to drop each call without a program that is not open.
     calls_due: BTreeSet<(u64, TeamKey)>,
 
-    /// Broken invariants seen by this replica since its start.
+    /// Invariant violations detected by this replica since it was created. Not part of snapshots.
     invariant_violations: u64,
 }
 
 impl Ledger {
-    /// An empty ledger with default settings.
+    /// Creates an empty ledger with default settings.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Applies the entry at `index`, a [`LedgerCommand`], and returns a [`LedgerAnswer`]. A
-    /// malformed command is answered as invalid and changes nothing.
+    /// Applies the log entry at `index`, an encoded [`LedgerCommand`], and returns an encoded
+    /// [`LedgerAnswer`]. A malformed command is answered as invalid and changes only the index.
     pub fn apply(&mut self, index: u64, data: &[u8]) -> Bytes {
         self.index = index;
         let answer = match LedgerCommand::decode(data) {
@@ -177,12 +182,12 @@
         }
     }
 
-    /// The whole state, from which [`Self::restore`] makes an equal one.
+    /// Encodes the whole state. [`Self::restore`] creates an equal state from it.
     pub fn snapshot(&self) -> Bytes {
         self.to_message().encode_to_vec().into()
     }
 
-    /// Replaces the state by that of a snapshot.
+    /// Replaces the state with that of a snapshot.
     ///
     /// # Errors
     ///
@@ -192,22 +197,23 @@
         Ok(())
     }
 
-    /// Index of the last entry applied.
+    /// Log index of the last entry applied; 0 before the first.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Answers whose cost was above the call's reservation.
+    /// Number of calls whose cost exceeded their reservation.
     pub fn cost_overruns(&self) -> u64 {
         self.overruns
     }
 
-    /// Broken invariants seen by this replica since its start; any but 0 is a fault of this crate.
+    /// Number of invariant violations that this replica detected since it was created or restored.
+    /// Anything but 0 is a bug in this crate.
     pub fn invariant_violations(&self) -> u64 {
         self.invariant_violations
     }
@@ -235,13 +241,13 @@
         }
     }
 
-    /// Reports a broken invariant: a panic in debug builds, else a log line and a count.
+    /// Reports an invariant violation: counts and logs it, and panics in debug builds.
     fn check_invariant(&mut self, holds: bool, invariant: &str, key: &TeamKey) {
         if !holds {
             self.invariant_violations += 1;
-            log::error!("invariant broken for {}/{}: {invariant}", key.team, key.name);
+            log::error!("invariant violated for {}/{}: {invariant}", key.team, key.name);
         }
-        debug_assert!(holds, "invariant broken for {}/{}: {invariant}", key.team, key.name);
+        debug_assert!(holds, "invariant violated for {}/{}: {invariant}", key.team, key.name);
     }
 }
 
--- a/crates/ledger/src/ledger/begin.rs
+++ b/crates/ledger/src/ledger/begin.rs
@@ -1,4 +1,4 @@
-//! Begins of calls: resends, turn order, limits, and the grant of a claim.
+//! Handling of begins: retries of existing calls, turn order, limits, and granting a claim.
 
 use std::sync::Arc;
 
@@ -58,7 +58,8 @@
         self.grant_turn(key, begin)
     }
 
-    /// Checks the team's store and the limits of the program and its ancestors.
+    /// Checks the capacity of the team's store and the limits of the program and its ancestors.
+    /// Missing ancestors count with the limits that they would be created with.
     fn check_limits(
         &self,
         path: &[TeamKey],
@@ -84,8 +85,8 @@
         Ok(())
     }
 
-    /// Refuses a call whose answer might not fit. Answers that were promised to be kept are never
-    /// dropped to make room.
+    /// Refuses a call whose answer might exceed the team's limit. Answers within their retention
+    /// time are never dropped to make room for others.
     fn check_store_capacity(
         &self,
         begin: &Begin,
@@ -101,6 +102,7 @@
         Ok(())
     }
 
+    /// Removes the last turn, whose claimant is gone, before another call replaces it.
     fn remove_abandoned(&mut self, key: &TeamKey) {
         let Some(call) = self.programs.get_mut(key).and_then(Program::pop) else { return };
         let is_claimable = matches!(call.state, State::Claimable);
@@ -134,7 +136,7 @@
         program.endpoints.extend(endpoints);
         let last_claim = program.turns.last().map_or(0, |call| call.claim);
         let turn = program.push(call);
-        self.check_invariant(claim > last_claim, "claims rise", key);
+        self.check_invariant(claim > last_claim, "claim numbers increase", key);
         self.charge(key, begin.reserve_tokens);
         Answer::Granted(Granted { claim, turn })
     }
@@ -158,11 +160,11 @@
         self.index_open_call(CallLocation::Keyed(key.clone()), &call);
         self.add_bytes(&key.team, call.bytes());
         self.calls.insert(key.clone(), call);
-        self.check_invariant(claim > last_claim, "claims rise", key);
+        self.check_invariant(claim > last_claim, "claim numbers increase", key);
         Answer::Granted(Granted { claim, turn: 0 })
     }
 
-    /// Adds an open call to the index by claim.
+    /// Adds an open call to the index of open claims.
     pub(super) fn index_open_call(&mut self, location: CallLocation, call: &Call) {
         if let Some(open) = call.open() {
             let claim = OpenClaim {
@@ -175,8 +177,8 @@
         }
     }
 
-    /// Notes a further endpoint of an open call before the call is sent there. Refused after the
-    /// program has ended, because its release orders are out already.
+    /// Records a further endpoint of an open call before the call is sent there. Refused after the
+    /// program has ended, because its release orders already exist and would miss the endpoint.
     pub(super) fn dispatch(&mut self, dispatch: Dispatch) -> Answer {
         let Some(id) = dispatch.call.as_ref() else { return super::invalid("call is missing") };
         let (location, turn) = super::end::locate(id);
--- a/crates/ledger/src/ledger/budget.rs
+++ b/crates/ledger/src/ledger/budget.rs
@@ -1,15 +1,17 @@
 //! Budgets and turn limits. A call is charged to its program and to every ancestor, so that a
-//! program and its descendants together stay within the budget of each of them.
+//! program together with its descendants stays within its budget.
 
 use super::{Ledger, program::Program};
 use crate::names::TeamKey;
 
-/// How a call's reservation is settled.
+/// Final accounting of a call, in tokens.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Settlement {
+    /// Tokens that the call had reserved.
     pub(super) reserved: u64,
+    /// Tokens that the call has cost.
     pub(super) cost: u64,
-    /// Whether the call counts as a turn that was used.
+    /// Whether the call counts towards the turn limit. A call that did not run does not.
     pub(super) uses_turn: bool,
 }
 
@@ -26,8 +28,8 @@
         self.touched_ms = now_ms;
     }
 
-    /// Turns a reservation into the actual cost. A cost that exceeds the reservation is spent as far
-    /// as the budget has room besides the other reservations; the rest is counted as overrun.
+    /// Replaces a reservation with the actual cost. A cost above the reservation is charged only up
+    /// to what the other reservations leave of the budget; the rest is counted as overrun.
     fn settle(&mut self, settlement: Settlement, now_ms: u64) {
         self.reserved = self.reserved.saturating_sub(settlement.reserved);
         self.open = self.open.saturating_sub(1);
@@ -55,7 +57,11 @@
         if settlement.cost > settlement.reserved {
             self.overruns = self.overruns.saturating_add(1);
             let Settlement { reserved, cost, .. } = settlement;
-            log::error!("call of {}/{} cost {cost}, reserved {reserved}", key.team, key.name);
+            log::error!(
+                "call of program {}/{} cost {cost} tokens, but reserved only {reserved}",
+                key.team,
+                key.name
+            );
         }
         for level in key.ancestors_and_self() {
             if let Some(program) = self.programs.get_mut(&level) {
@@ -65,7 +71,7 @@
         }
     }
 
-    /// Gives back a turn whose abandoned call is replaced.
+    /// Decrements the used turns when an abandoned call is replaced, since the new call counts again.
     pub(super) fn refund_turn(&mut self, key: &TeamKey) {
         for level in key.ancestors_and_self() {
             if let Some(program) = self.programs.get_mut(&level) {
@@ -82,9 +88,9 @@
         let only_last_pending = closed.last().is_none_or(|call| !call.is_pending());
         self.check_invariant(
             within_budget,
-            "spent and reserved tokens stay within the budget",
+            "spent and reserved tokens do not exceed the budget",
             key,
         );
-        self.check_invariant(only_last_pending, "only the last turn may be pending", key);
+        self.check_invariant(only_last_pending, "only the last turn is pending", key);
     }
 }
--- a/crates/ledger/src/ledger/call.rs
+++ b/crates/ledger/src/ledger/call.rs
@@ -8,31 +8,34 @@
     ledger_answer,
 };
 
-/// Memory of a call besides its request, answer and key.
+/// Memory accounted for a call in addition to its key, request and answer.
 const CALL_OVERHEAD_BYTES: u64 = 256;
 
 #[derive(Clone, Debug)]
 pub(super) struct Call {
+    /// Idempotency key.
     pub(super) key: Arc<str>,
+    /// Whether the key was generated because the caller sent none.
     pub(super) key_generated: bool,
+    /// Digest of the request body.
     pub(super) digest: Bytes,
     pub(super) kind: CallKind,
     pub(super) request: Bytes,
-    /// Number of the latest claim. It is the fencing token: only its holder may end the call.
+    /// Number of the latest claim, which serves as fencing token: only its holder may end the call.
     pub(super) claim: u64,
     pub(super) state: State,
     pub(super) closed_ms: u64,
-    /// For a call without a program that is not open: how long it is kept.
+    /// Time until which the call is kept. Only set for a call without a program that is not open.
     pub(super) keep_until_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 pub(super) enum State {
     Open(Open),
-    /// The claimant is gone, and the call may be run again.
+    /// The call is idempotent and its run was lost, so it may run again.
     Claimable,
     Answered(Answer),
-    /// The call may have run, and must not run again.
+    /// The call is not idempotent and may have run, so it must not run again.
     Unknown,
 }
 
@@ -46,11 +49,11 @@
     pub(super) deadline_ms: u64,
 }
 
-/// What a [`Begin`] means for a call that exists.
+/// How to handle a [`Begin`] that refers to an existing call.
 pub(super) enum Resend {
-    /// This is the answer; nothing is run.
+    /// Return this answer; no run is needed.
     Answer(ledger_answer::Answer),
-    /// The call may be claimed again.
+    /// Grant a new claim to the call.
     Reclaim,
 }
 
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Bytes that the call uses or, while it is open, may use.
+    /// Bytes that the call uses or, while it is open, the most it may use.
     pub(super) fn bytes(&self) -> u64 {
         let result = match &self.state {
             State::Open(open) => open.reserved_bytes,
@@ -92,7 +95,7 @@
         fixed_bytes.saturating_add(result)
     }
 
-    /// Bytes that a call begun by `begin` may use.
+    /// The most bytes that a call begun by `begin` may use.
     pub(super) fn worst_case_bytes(begin: &Begin) -> u64 {
         let fixed_bytes =
             CALL_OVERHEAD_BYTES + (begin.idempotency_key.len() + begin.request.len()) as u64;
@@ -106,12 +109,12 @@
         }
     }
 
-    /// Whether the call still awaits an outcome.
+    /// Whether the call has no outcome yet.
     pub(super) fn is_pending(&self) -> bool {
         matches!(self.state, State::Open(_) | State::Claimable)
     }
 
-    /// Answers a `begin` that refers to this call, which is turn `turn` of its program.
+    /// Answers a `begin` that refers to this call. `turn` is its turn, or 0 without a program.
     pub(super) fn answer_resend(&self, begin: &Begin, turn: u32) -> Resend {
         use ledger_answer::Answer;
         if self.digest != begin.body_digest {
@@ -122,7 +125,8 @@
                 Answer::Granted(Granted { claim: self.claim, turn })
             }
             State::Open(open) => open.running(turn),
-            // A run that may repeat an abandoned one needs a call that was and is idempotent.
+            // The abandoned run may have taken effect, so both the original call and the new one
+            // must be idempotent.
             State::Claimable if self.kind == begin.kind() => return Resend::Reclaim,
             State::Claimable => Answer::BodyMismatch(BodyMismatch {}),
             State::Answered(answer) => Answer::Replay(answer.clone()),
@@ -132,7 +136,8 @@
 }
 
 impl Open {
-    /// Whether `begin` is the proposal that opened the call, sent again after a lost answer.
+    /// Whether `begin` is the proposal that opened the call, proposed again because its answer was
+    /// lost. An attempt number of 0 never matches.
     fn is_same_proposal(&self, begin: &Begin) -> bool {
         begin.attempt != 0
             && self.attempt == begin.attempt
--- a/crates/ledger/src/ledger/check.rs
+++ b/crates/ledger/src/ledger/check.rs
@@ -1,4 +1,4 @@
-//! Checks of commands that need no state.
+//! Validation of commands that needs no state.
 
 use poplarspan_proto::ledger::{
     Begin, CallId, CallKind, Claimant, Dispatch, ledger_command::Command,
@@ -6,7 +6,7 @@
 
 use crate::names::{is_name, is_path};
 
-/// Length of a BLAKE3 digest.
+/// Length of a body digest, which is a BLAKE3 hash.
 pub(super) const DIGEST_BYTES: usize = 32;
 
 pub(super) fn check_command(command: &Command) -> Result<(), &'static str> {
--- a/crates/ledger/src/ledger/end.rs
+++ b/crates/ledger/src/ledger/end.rs
@@ -1,4 +1,4 @@
-//! Ends of calls, by their claimant or because the claimant is gone.
+//! Closing of calls, by their claimant or because the claimant is gone.
 
 use poplarspan_proto::ledger::{
     CallId, CallKind, End, Recorded, ReleaseOrder, Stale, end::Outcome, ledger_answer::Answer,
@@ -12,7 +12,7 @@
 };
 use crate::names::TeamKey;
 
-/// Where a call is found, and its turn.
+/// Returns where a call is stored, and its turn, which is 0 for a call without a program.
 pub(super) fn locate(id: &CallId) -> (CallLocation, u32) {
     match &id.program {
         Some(program) => (CallLocation::Turn(TeamKey::new(&id.team, program)), id.turn),
@@ -47,7 +47,8 @@
         let Some(call) = self.call(&location, turn).filter(|call| call.claim == claim) else {
             return Answer::Stale(Stale {});
         };
-        // An end that is proposed again after a lost answer is recorded already.
+        // The claimant proposes an end again when the answer was lost. The same end is accepted, a
+        // different one is stale.
         let is_recorded = match (&call.state, &outcome) {
             (State::Open(_), _) => {
                 self.close(&location, turn, outcome);
@@ -60,7 +61,8 @@
         if is_recorded { Answer::Recorded(Recorded {}) } else { Answer::Stale(Stale {}) }
     }
 
-    /// Closes an open call.
+    /// Closes an open call: records the outcome, settles its reservation, and orders the endpoints
+    /// of a lost run to release its memory. Does nothing if the call is not open.
     pub(super) fn close(&mut self, location: &CallLocation, turn: u32, outcome: Outcome) {
         let Some(call) = self.call(location, turn) else { return };
         let Some(open) = call.open().cloned() else { return };
@@ -70,7 +72,8 @@
         let (cost, state) = match outcome {
             Outcome::Answered(answer) => (answer.cost_tokens, Some(State::Answered(answer))),
             Outcome::NotRun(_) => (0, None),
-            // What the lost run has cost can't be known, so the worst case counts as spent.
+            // Unless the claimant reports it, the cost of a lost run is unknown, so the whole
+            // reservation counts as spent.
             Outcome::Unknown(unknown) => {
                 let is_idempotent = kind == CallKind::Idempotent;
                 let state = if is_idempotent { State::Claimable } else { State::Unknown };
@@ -114,10 +117,10 @@
         if let CallLocation::Keyed(key) = location {
             self.calls_due.insert((keep_until_ms, key.clone()));
         }
-        self.check_invariant(was_open, "an answer or unknown outcome is never overwritten", key);
+        self.check_invariant(was_open, "a recorded outcome is never overwritten", key);
     }
 
-    /// Removes a call that did not run, so that its turn or key is free again.
+    /// Removes a call that did not run, which frees its turn or key.
     fn remove_call(&mut self, location: &CallLocation) {
         match location {
             CallLocation::Turn(key) => {
@@ -129,8 +132,9 @@
         }
     }
 
-    /// After the late end of a call of an ended program: keeps its answer for the whole resend
-    /// window, and makes its endpoints release what the call held after the first orders.
+    /// Handles a call that closes after its program has ended: keeps its answer for the whole
+    /// resend window, and orders the endpoints again to release memory, since the call may have
+    /// used more after the first orders.
     fn extend_retention(&mut self, key: &TeamKey, uses_turn: bool) {
         if self.programs.get(key).is_none_or(|program| program.ended.is_none()) {
             return;
@@ -147,7 +151,7 @@
         }
     }
 
-    /// Orders each endpoint that the program used to release all it holds for the program.
+    /// Orders each endpoint that the program used to release all memory of the program.
     pub(super) fn order_program_release(&mut self, key: &TeamKey) {
         let Some(program) = self.programs.get(key) else { return };
         let endpoints = program.endpoints.iter().map(|e| e.to_string()).collect::<Vec<_>>();
@@ -157,6 +161,7 @@
             .for_each(|endpoint| self.add_release_order(&location, endpoint, None));
     }
 
+    /// Adds a release order, for one claim or, without one, for the whole program.
     fn add_release_order(&mut self, location: &CallLocation, endpoint: String, claim: Option<u64>) {
         let number = self.next_number();
         let (key, program) = match location {
--- a/crates/ledger/src/ledger/program.rs
+++ b/crates/ledger/src/ledger/program.rs
@@ -1,4 +1,4 @@
-//! One program: its turns in order, its limits, and what it has used together with its descendants.
+//! One program: its turns in order, its limits, and the resources that it and its descendants used.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,40 +14,44 @@
     call::{Call, Resend, State},
 };
 
-/// Memory of a program besides its calls.
+/// Memory accounted for a program in addition to its calls.
 pub(super) const PROGRAM_OVERHEAD_BYTES: u64 = 512;
 
 #[derive(Clone, Debug)]
 pub(super) struct Program {
     pub(super) limits: ProgramLimits,
     pub(super) created_ms: u64,
-    /// Time of the last begin or end of a call, of this program or a descendant.
+    /// Time of the last begin or end of a call of this program or a descendant.
     pub(super) touched_ms: u64,
-    /// Tokens spent by the program and its descendants, at most up to the budget.
+    /// Tokens spent by the program and its descendants, never more than the budget.
     pub(super) spent: u64,
-    /// Cost above the reservations that the budget had no room for.
+    /// Tokens that calls cost above their reservation and that exceeded the budget.
     pub(super) overrun: u64,
-    /// Turns of the program and its descendants, but for those that did not run.
+    /// Calls of the program and its descendants, except those that did not run.
     pub(super) turns_used: u32,
-    /// Turn n is at n - 1. Only the last may be pending.
+    /// Turn n is at index n - 1. Only the last one may be pending.
     pub(super) turns: Vec<Call>,
+    /// Endpoints that calls of this program were sent to.
     pub(super) endpoints: BTreeSet<Arc<str>>,
     pub(super) ended: Option<End>,
 
-    // Derived.
+    // Derived from the calls and rebuilt when a snapshot is restored.
+    /// Turn of each idempotency key.
     pub(super) keys: BTreeMap<Arc<str>, u32>,
-    /// Reservations of the open calls of the program and its descendants.
+    /// Tokens reserved by the open calls of the program and its descendants.
     pub(super) reserved: u64,
-    /// Number of these calls.
+    /// Number of open calls of the program and its descendants.
     pub(super) open: u32,
 }
 
+/// Why a program has ended, and until when it is kept.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct End {
     pub(super) cause: EndCause,
     pub(super) keep_until_ms: u64,
 }
 
+/// Limits of a program, with defaults filled in.
 #[derive(Clone, Debug)]
 pub(super) struct ProgramLimits {
     pub(super) tokens: u64,
@@ -56,15 +60,15 @@
     pub(super) idle_ms: u64,
 }
 
-/// What a [`Begin`] means for a program.
+/// How a program handles a [`Begin`].
 pub(super) enum TurnLookup {
-    /// This is the answer; nothing is run.
+    /// Return this answer; no run is needed.
     Answer(Answer),
-    /// The call takes the next turn.
+    /// A new call, which takes the next turn.
     Next,
-    /// The call takes the place of the last turn, whose claimant is gone.
+    /// The last turn, whose claimant is gone; the call replaces it.
     Reclaim,
-    /// The call's turn is ahead of the one expected.
+    /// A turn after the expected one.
     Ahead(OutOfOrder),
 }
 
@@ -126,8 +130,8 @@
         }
     }
 
-    /// Answers a `begin` that names an existing turn, but not its key. If either key was generated,
-    /// the turn identifies the call; two different keys of the caller mean two different calls.
+    /// Handles a `begin` that names an existing turn with another key. If either key was generated,
+    /// the turn identifies the call; two different keys set by the caller are two different calls.
     fn resend_by_turn(&self, begin: &Begin, turn: u32) -> TurnLookup {
         let Some(call) = self.turns.get(turn as usize - 1) else { return body_mismatch() };
         match call.state {
@@ -137,23 +141,23 @@
         }
     }
 
-    /// The answer to a `begin` that names a later turn than the first of a program that does not
-    /// exist yet.
+    /// Refuses a `begin` that names any turn but the first of a program that does not exist yet.
     pub(super) fn ahead_of_first(begin: &Begin) -> Option<OutOfOrder> {
         begin.turn.filter(|turn| *turn != 1).map(|_| OutOfOrder { expected: 1 })
     }
 
-    /// The last call, if it still awaits an outcome.
+    /// The last call, if it has no outcome yet.
     pub(super) fn pending(&self) -> Option<&Call> {
         self.turns.last().filter(|call| call.is_pending())
     }
 
-    /// The first turn that has no outcome yet.
+    /// Number of the first turn that has no outcome yet.
     pub(super) fn expected(&self) -> u32 {
         let closed = self.turns.len() - usize::from(self.pending().is_some());
         closed as u32 + 1
     }
 
+    /// Appends a call and returns its turn.
     pub(super) fn push(&mut self, call: Call) -> u32 {
         let turn = self.turns.len() as u32 + 1;
         self.keys.insert(call.key.clone(), turn);
@@ -161,14 +165,14 @@
         turn
     }
 
-    /// Removes the last call, so that its turn is free again.
+    /// Removes the last call, which frees its turn.
     pub(super) fn pop(&mut self) -> Option<Call> {
         let call = self.turns.pop()?;
         self.keys.remove(&call.key);
         Some(call)
     }
 
-    /// Why the program is past its limits, if it is.
+    /// The limit that the program has exceeded at `now_ms`, if any.
     pub(super) fn expiry_cause(&self, now_ms: u64) -> Option<EndCause> {
         if now_ms >= self.created_ms.saturating_add(self.limits.lifetime_ms) {
             Some(EndCause::Lifetime)
@@ -179,7 +183,8 @@
         }
     }
 
-    /// A time at or before the one at which the program is to be ended or dropped.
+    /// A time at or before the one at which the program must be ended or dropped. While calls are
+    /// open, the idle limit counts from `now_ms`, so the caller must check again at that time.
     pub(super) fn due_ms(&self, now_ms: u64) -> u64 {
         match self.ended {
             Some(end) => end.keep_until_ms,
--- a/crates/ledger/src/ledger/query.rs
+++ b/crates/ledger/src/ledger/query.rs
@@ -1,4 +1,4 @@
-//! Reads. A team sees its own programs only; those of others are answered as not found.
+//! Read-only queries. A team sees only its own programs; those of others are not found.
 
 use bytes::Bytes;
 use poplarspan_proto::ledger::{
@@ -15,8 +15,10 @@
 use crate::names::TeamKey;
 
 impl Ledger {
-    /// Answers a [`LedgerQuery`] with a [`LedgerQueryAnswer`]. The caller makes sure that this
-    /// replica is up to date.
+    /// Answers an encoded [`LedgerQuery`] with an encoded [`LedgerQueryAnswer`].
+    ///
+    /// The answer reflects the entries applied so far. For a linearizable read, the caller must
+    /// first make sure that this replica is up to date.
     pub fn query(&self, data: &[u8]) -> Bytes {
         let answer = match LedgerQuery::decode(data).map(|query| query.query) {
             Ok(Some(query)) => self.answer_query(query),
@@ -44,8 +46,11 @@
         }
     }
 
-    /// Turns of a program that have an outcome, from `from_turn` on, up to `max_bytes` but at least
-    /// one.
+    /// Returns the turns of a program that have an outcome, starting at `from_turn`, or `None` if the
+    /// program does not exist. Turns count from 1.
+    ///
+    /// A page holds up to `max_bytes` of calls, but at least one turn. `next_turn` of the page is 0
+    /// if no turns follow.
     pub fn history(
         &self,
         team: &str,
@@ -70,7 +75,7 @@
         Some(page)
     }
 
-    /// Turn order, budget and limits of a program.
+    /// Returns the next turn, token usage and state of a program, or `None` if it does not exist.
     pub fn status(&self, team: &str, program: &str) -> Option<ProgramStatus> {
         let program = self.programs.get(&TeamKey::new(team, program))?;
         let open = program.pending().and_then(Call::open);
@@ -88,12 +93,13 @@
         })
     }
 
-    /// Release orders that are not acknowledged and have a number greater than `after`, by number.
+    /// Unacknowledged release orders with a number greater than `after`, in ascending order.
     pub fn orders(&self, after: u64) -> impl Iterator<Item = &ReleaseOrder> {
         self.orders.range(after.saturating_add(1)..).map(|(_, order)| order)
     }
 
-    /// State of the call with this idempotency key, within `program` or, without one, the team.
+    /// Returns the state of the call with this idempotency key: a turn of `program`, or without
+    /// `program` a call of the team that belongs to no program. `None` if there is no such call.
     pub fn call_by_key(
         &self,
         team: &str,
@@ -117,17 +123,18 @@
         Some(CallStatus { turn, claim: call.claim, state: Some(state) })
     }
 
-    /// Bytes that the calls of a team use, with those that its open calls may still use.
+    /// Bytes accounted for a team: its programs, calls and answers, and the bytes that its open
+    /// calls have reserved for their answers.
     pub fn stored_bytes(&self, team: &str) -> u64 {
         self.used_bytes(team)
     }
 
-    /// Number of programs, ended ones that are still kept included.
+    /// Number of programs, including ended ones that are still kept.
     pub fn program_count(&self) -> usize {
         self.programs.len()
     }
 
-    /// Number of open calls.
+    /// Number of open calls, with and without a program.
     pub fn open_call_count(&self) -> usize {
         self.open.len()
     }
--- a/crates/ledger/src/ledger/snapshot.rs
+++ b/crates/ledger/src/ledger/snapshot.rs
@@ -45,7 +45,7 @@
         if message.format != SNAPSHOT_FORMAT {
             return Err(RestoreError::Format(message.format));
         }
-        require(message.last_number < MAX_COUNTER, "last number is beyond what can be reached")?;
+        require(message.last_number < MAX_COUNTER, "last number is out of bounds")?;
         let mut ledger = Self {
             index: message.index,
             now_ms: message.now_ms,
@@ -57,7 +57,10 @@
         message.programs.into_iter().try_for_each(|program| ledger.add_program(program))?;
         message.calls.into_iter().try_for_each(|call| ledger.add_call(call))?;
         for order in message.orders {
-            require(order.number <= ledger.last_number, "order beyond the last number")?;
+            require(
+                order.number <= ledger.last_number,
+                "release order number exceeds the last number",
+            )?;
             ledger.orders.insert(order.number, order);
         }
         for GoneInstance { instance, incarnation, at_ms, gone } in message.instances {
@@ -66,20 +69,23 @@
         Ok(ledger)
     }
 
-    /// Adds a program of a snapshot, whose parent was added before.
+    /// Adds a program of a snapshot. Its ancestors must have been added before.
     fn add_program(&mut self, state: ProgramState) -> Result<()> {
         require(is_name(&state.team) && is_path(&state.program), "program has an invalid name")?;
         let key = TeamKey::new(&state.team, &state.program);
         let program = Program::from_message(state)?;
         let path = key.ancestors_and_self();
         let ancestors = &path[..path.len() - 1];
-        require(ancestors.iter().all(|k| self.programs.contains_key(k)), "program has no parent")?;
-        require(!self.programs.contains_key(&key), "program occurs twice")?;
+        require(
+            ancestors.iter().all(|k| self.programs.contains_key(k)),
+            "program has a missing ancestor",
+        )?;
+        require(!self.programs.contains_key(&key), "duplicate program")?;
         self.programs_due.insert((program.due_ms(self.now_ms), key.clone()));
         self.add_bytes(&key.team, program.bytes());
         let pending = program.pending().cloned();
         let latest_claim = program.turns.iter().map(|call| call.claim).max();
-        require(latest_claim <= Some(self.last_number), "claim beyond the last number")?;
+        require(latest_claim <= Some(self.last_number), "claim exceeds the last number")?;
         self.programs.insert(key.clone(), program);
         if let Some(open) = pending.as_ref().and_then(Call::open) {
             self.restore_reservation(&path, open.reserved_tokens)?;
@@ -90,11 +96,11 @@
         }
     }
 
-    /// Adds an open call's reservation to its program and the ancestors.
+    /// Adds the reservation of an open call to each program on the path.
     fn restore_reservation(&mut self, path: &[TeamKey], tokens: u64) -> Result<()> {
         for level in path {
             let Some(program) = self.programs.get_mut(level) else { continue };
-            require(tokens <= program.remaining(), "reservations exceed a budget")?;
+            require(tokens <= program.remaining(), "reservations exceed the budget of a program")?;
             program.reserved += tokens;
             program.open += 1;
         }
@@ -102,7 +108,7 @@
     }
 
     fn restore_open_call(&mut self, location: CallLocation, call: &Call) -> Result<()> {
-        require(!self.open.contains_key(&call.claim), "claim occurs twice")?;
+        require(!self.open.contains_key(&call.claim), "duplicate claim of an open call")?;
         self.index_open_call(location, call);
         Ok(())
     }
@@ -111,8 +117,8 @@
         require(is_name(&state.team), "call has an invalid name")?;
         let key = TeamKey::new(&state.team, &state.key);
         let call = Call::from_message(state)?;
-        require(!self.calls.contains_key(&key), "call occurs twice")?;
-        require(call.claim <= self.last_number, "claim beyond the last number")?;
+        require(!self.calls.contains_key(&key), "duplicate call")?;
+        require(call.claim <= self.last_number, "claim exceeds the last number")?;
         self.restore_open_call(CallLocation::Keyed(key.clone()), &call)?;
         self.add_bytes(&key.team, call.bytes());
         if call.open().is_none() {
@@ -159,7 +165,10 @@
 
     fn from_message(state: ProgramState) -> Result<Self> {
         let limits = ProgramLimits::new(state.limits.as_ref(), &Settings::default());
-        require(state.spent_tokens <= limits.tokens, "spent tokens exceed a budget")?;
+        require(
+            state.spent_tokens <= limits.tokens,
+            "spent tokens exceed the budget of a program",
+        )?;
         let mut program = Self::new(limits, state.created_ms);
         let keep_until_ms = state.keep_until_ms;
         program.ended = match state.ended() {
@@ -172,9 +181,12 @@
         program.turns_used = state.turns_used;
         program.endpoints = state.endpoints.iter().map(|e| e.as_str().into()).collect();
         for turn in state.turns {
-            require(program.pending().is_none(), "a turn before the last is pending")?;
+            require(program.pending().is_none(), "pending turn is not the last one")?;
             let call = Call::from_message(turn)?;
-            require(!program.keys.contains_key(&call.key), "key occurs twice in a program")?;
+            require(
+                !program.keys.contains_key(&call.key),
+                "duplicate idempotency key in a program",
+            )?;
             program.push(call);
         }
         Ok(program)
--- a/crates/ledger/src/ledger/sweep.rs
+++ b/crates/ledger/src/ledger/sweep.rs
@@ -1,5 +1,5 @@
-//! What ends calls and programs without their claimant: lost instances, deadlines, finished and
-//! expired programs, and the end of the resend window.
+//! Ends calls and programs without a request of their claimant: after the loss of an instance, at
+//! deadlines, when programs finish or expire, and at the end of the resend window.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -11,7 +11,8 @@
 use super::{CallLocation, Ledger, program::End};
 use crate::names::TeamKey;
 
-/// How long a gone incarnation is remembered; no command of it is under way for so long.
+/// How long a gone incarnation is remembered. No command from it can still be in flight after that
+/// time.
 const GONE_RETENTION_MS: u64 = 24 * super::HOUR_MS;
 
 /// The latest known incarnation of an instance.
@@ -23,8 +24,8 @@
 }
 
 impl Ledger {
-    /// Whether the claimant was declared gone or has started again since. A claimant that is newer
-    /// than the known one shows that the known one is gone.
+    /// Whether the claimant was declared gone or its instance has restarted since. A newer incarnation
+    /// than the known one implies that the known one is gone, so its claims are abandoned.
     pub(super) fn is_fenced(&mut self, claimant: &Claimant) -> bool {
         let incarnation = claimant.incarnation;
         let known = self.instances.get(claimant.instance.as_str()).copied();
@@ -55,7 +56,7 @@
         self.abandon_claims(|open| open.instance == name && open.incarnation <= gone.incarnation)
     }
 
-    /// Ends the open calls that match as abandoned.
+    /// Closes the open calls that match as abandoned, and counts them by their new state.
     fn abandon_claims(&mut self, is_abandoned: impl Fn(&super::OpenClaim) -> bool) -> Swept {
         let abandoned =
             self.open.values().filter(|open| is_abandoned(open)).map(|open| open.location.clone());
@@ -85,7 +86,7 @@
         Answer::Finished(Finished {})
     }
 
-    /// Ends a program and its descendants, and returns how many were ended.
+    /// Ends a program and its descendants. Returns how many were not ended before.
     fn end_program(&mut self, key: &TeamKey, cause: EndCause) -> u64 {
         let keep_until_ms = self.now_ms.saturating_add(self.settings.resend_window_ms);
         let subtree = [key.clone()].into_iter().chain(self.descendants(key)).collect::<Vec<_>>();
@@ -109,7 +110,8 @@
         from.take_while(|k| k.team == key.team && k.name.starts_with(&*prefix)).cloned().collect()
     }
 
-    /// Ends the programs of a path that are past their limits.
+    /// Ends the programs on a path that have exceeded their lifetime or idle limit. Returns how many
+    /// programs were ended.
     pub(super) fn end_expired(&mut self, path: &[TeamKey]) -> u64 {
         let mut count = 0;
         for key in path {
@@ -121,10 +123,12 @@
         count
     }
 
+    /// Abandons calls past their deadline, ends programs past their limits, and drops programs, calls
+    /// and gone instances whose retention time is over.
     pub(super) fn expire(&mut self) -> Swept {
         let now_ms = self.now_ms;
         let mut counts = self.abandon_claims(|open| open.deadline_ms <= now_ms);
-        // Sorted by key, because the order in the index differs between replicas.
+        // Process in the order of keys, because the order in the index differs between replicas.
         let mut due = BTreeSet::new();
         while let Some((at_ms, key)) = self.programs_due.pop_first() {
             if at_ms > now_ms {
@@ -139,7 +143,8 @@
             counts.programs_ended += self.end_expired(std::slice::from_ref(&key));
             self.reschedule(key);
         }
-        // Children come after their parents in the order of keys, and are dropped before them.
+        // Children sort after their parents. Go in reverse, because a program with descendants is
+        // not dropped.
         for key in ended.into_iter().rev() {
             counts.programs_dropped += u64::from(self.drop_program(&key));
             self.reschedule(key);
@@ -151,14 +156,15 @@
         counts
     }
 
+    /// Schedules the next check of a program that still exists.
     fn reschedule(&mut self, key: TeamKey) {
         if let Some(program) = self.programs.get(&key) {
             self.programs_due.insert((program.due_ms(self.now_ms), key));
         }
     }
 
-    /// Drops an ended program whose resend window is over. A program with an open call, or with a
-    /// descendant that is still kept, stays.
+    /// Drops an ended program after its resend window, unless it has an open call or a descendant.
+    /// Returns whether the program was dropped.
     fn drop_program(&mut self, key: &TeamKey) -> bool {
         let Some(program) = self.programs.get(key) else { return false };
         let is_over = program.ended.is_some_and(|end| end.keep_until_ms <= self.now_ms);
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -2,27 +2,29 @@
 //!
 //! [`Catalog`] (group 0) holds the object set, the results of publications and the registered
 //! instances. [`Ledger`] (one per program group) holds programs: the order of their turns, budgets,
-//! claims, answers, history, and the orders that make endpoints release memory. [`group_of_program`] and
-//! [`group_of_key`] say which group holds a program or a call.
+//! claims, answers, history, and the orders that tell endpoints to release memory.
+//! [`group_of_program`] and [`group_of_key`] return the group that holds a program or a call.
 //!
-//! # Owners and failures
+//! # Replication and failures
 //!
-//! The state belongs to the replicated log: every replica applies the same entries in the same
-//! order and reaches the same state. When a replica fails, another one that applied the same
-//! entries goes on. When the instance that claimed a call fails, an idempotent call may be claimed
-//! again; the outcome of any other is unknown and stays so.
+//! The state follows from the replicated log: every replica applies the same entries in the same
+//! order and reaches the same state. When a replica fails, the others continue from that state.
+//! When the instance that claimed a call fails, an idempotent call can be claimed again; any other
+//! call ends with an unknown outcome, which is final.
 //!
 //! # Use
 //!
 //! Commands, answers, queries and snapshots are protobuf messages of [`poplarspan_proto::ledger`],
-//! encoded with `prost`. Neither state machine does I/O, so each also runs without a log, as in
+//! encoded with `prost`. Neither state machine does I/O, so both can run without a log, as in
 //! `examples/program_turns.rs` and `examples/publish_objects.rs`.
 //!
-//! Time is in milliseconds since the Unix epoch, stamped on each command by the group's leader; a
-//! state machine never lets it fall. Budgets are in tokens, sizes in bytes.
+//! Times are milliseconds since the Unix epoch, stamped on each command by the group's leader. A
+//! state machine ignores a stamp that is earlier than its own time, so time never goes backwards.
+//! Budgets are in tokens and sizes in bytes.
 //!
-//! A refusal is an answer like any other, because it is part of the replicated order; a malformed
-//! command is answered as `Invalid`. Only restoring a snapshot returns an error ([`RestoreError`]).
+//! Applying a command always returns an answer: a refusal, or `Invalid` for a malformed command,
+//! is a result of the replicated log too and must be the same on every replica. Only restoring a
+//! snapshot returns an error ([`RestoreError`]).
 //!
 //! # Example
 //!
--- a/crates/ledger/src/names.rs
+++ b/crates/ledger/src/names.rs
@@ -1,15 +1,15 @@
-//! Names of programs, teams and keys, and the group that each belongs to.
+//! Validation of names and program paths, and the mapping of programs and calls to groups.
 
 use std::sync::Arc;
 
-/// Deepest path of a program, counted in parts.
+/// Maximum number of parts in a program's path.
 const MAX_PATH_PARTS: usize = 8;
-/// Longest part of a program's path.
+/// Maximum length of one part of a program's path.
 const MAX_PART_CHARS: usize = 64;
-/// Longest name of a team, key, instance or endpoint.
+/// Maximum length of the name of a team, key, instance or endpoint.
 const MAX_NAME_BYTES: usize = 256;
 
-/// A program or key within its team.
+/// A program path or an idempotency key, qualified by its team.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TeamKey {
     pub(crate) team: Arc<str>,
@@ -21,7 +21,7 @@
         Self { team: team.into(), name: name.into() }
     }
 
-    /// The program's ancestors and itself, root first.
+    /// The keys of the program's ancestors and of the program itself, root first.
     pub(crate) fn ancestors_and_self(&self) -> Vec<Self> {
         let ends = self.name.match_indices('/').map(|(at, _)| at);
         let ancestors =
@@ -29,13 +29,13 @@
         ancestors.chain([self.clone()]).collect()
     }
 
-    /// Where the keys of the program's descendants start.
+    /// Lower bound of the keys of the program's descendants, which form a contiguous range.
     pub(crate) fn first_descendant(&self) -> Self {
         Self { team: self.team.clone(), name: format!("{}/", self.name).into() }
     }
 }
 
-/// Whether `path` is `root` or `root/child` and so on, within the allowed sizes.
+/// Whether `path` has the form `root` or `root/child/..` and is within the size limits.
 pub(crate) fn is_path(path: &str) -> bool {
     let part_ok = |part: &str| {
         (1..=MAX_PART_CHARS).contains(&part.len()) && part.bytes().all(|b| b.is_ascii_graphic())
@@ -47,8 +47,8 @@
     (1..=MAX_NAME_BYTES).contains(&name.len())
 }
 
-/// The group that holds `program` of `team`: 1 to `groups`. A program and all its descendants are
-/// in the group of their root.
+/// Returns the group that holds `program` of `team`, from 1 to `groups`. Only the root of the path
+/// is hashed, so a program and all its descendants are in one group.
 ///
 /// # Panics
 ///
@@ -58,7 +58,8 @@
     hash_to_group("program", team, root, groups)
 }
 
-/// The group that holds the call of `team` with `idempotency_key` and no program: 1 to `groups`.
+/// Returns the group that holds the call of `team` with `idempotency_key` and no program, from 1 to
+/// `groups`.
 ///
 /// # Panics
 ///
@@ -67,6 +68,8 @@
     hash_to_group("key", team, idempotency_key, groups)
 }
 
+/// Hashes the length-prefixed parts to a group from 1 to `groups`. Data is stored by this result, so
+/// the hash input must not change.
 fn hash_to_group(domain: &str, team: &str, name: &str, groups: u32) -> u32 {
     let mut hasher = blake3::Hasher::new();
     for part in [domain, team, name] {
