--- a/crates/ledger/tests/arbitrary_bytes.rs
+++ b/crates/ledger/tests/arbitrary_bytes.rs
@@ -1,5 +1,5 @@
-//! Guards against a panic or a half-done change on bytes that are no command or no snapshot. A
-//! replica that panics on an entry would panic on it again after each restart.
+//! Guards against a panic or a partial change on bytes that are not a valid command or snapshot. A
+//! replica that panics on a log entry panics again after each restart, when it replays the log.
 
 mod common;
 
@@ -9,7 +9,8 @@
 use proptest::prelude::*;
 use prost::Message;
 
-/// Commands that are applied after a damaged snapshot was accepted.
+/// Checks the budgets and applies some commands. Used after damaged input was accepted, which must
+/// not lead to a panic later.
 fn run_commands(ledger: Ledger) {
     let mut m = TestLedger { ledger, ..TestLedger::new() };
     for status in ["p", "p/c", "q"].iter().filter_map(|p| m.ledger.status("t", p)) {
@@ -25,6 +26,7 @@
     assert!(m.ledger.restore(&m.ledger.snapshot()).is_ok());
 }
 
+/// A ledger with programs, an ended program, a call without a program, and open calls.
 fn populated() -> TestLedger {
     let mut m = TestLedger::new();
     m.run(&with_budget(13, call("p", None, "a")), 1);
@@ -46,10 +48,16 @@
             let mut ledger = populated().ledger;
             match ledger.restore(&damaged) {
                 Ok(()) => run_commands(ledger),
-                Err(_) => assert!(ledger == populated().ledger, "byte {at}: the state was kept"),
+                Err(_) => assert!(
+                    ledger == populated().ledger,
+                    "byte {at}: a refused snapshot changed the state"
+                ),
             }
         }
-        assert!(Ledger::new().restore(&snapshot[..at]).is_err(), "truncated at {at}");
+        assert!(
+            Ledger::new().restore(&snapshot[..at]).is_err(),
+            "snapshot truncated at byte {at} was accepted"
+        );
     }
 }
 
--- a/crates/ledger/tests/body_replay.rs
+++ b/crates/ledger/tests/body_replay.rs
@@ -1,4 +1,4 @@
-//! Guards against a resend that runs again, and against one key that stands for two calls.
+//! Guards against a retry that runs a call again, and against one key that identifies two calls.
 
 mod common;
 
@@ -43,7 +43,8 @@
     assert_eq!(m.begin(&other), MISMATCH);
 }
 
-/// A proposal whose answer was lost is proposed again and must not find itself running.
+/// A claimant proposes a begin again when its answer was lost. It must get its own claim, not the
+/// answer that the call is already running.
 #[test]
 fn resent_proposal_gets_the_same_claim() {
     let mut m = TestLedger::new();
--- a/crates/ledger/tests/claim_takeover.rs
+++ b/crates/ledger/tests/claim_takeover.rs
@@ -1,5 +1,5 @@
-//! Guards against two holders of one call after an instance was lost, and against calls that stay
-//! open for ever.
+//! Guards against two claimants of one call after the loss of an instance, and against calls that
+//! stay open forever.
 
 mod common;
 
@@ -21,7 +21,7 @@
     assert!(second.claim > first.claim && second.turn == 1);
     assert_eq!(m.end(&begin, first, answered(1)), STALE);
     assert_eq!(m.end(&begin, first, common::not_run()), STALE);
-    assert_eq!(m.begin(&call("x", None, "a")), FENCED, "the gone incarnation begins nothing");
+    assert_eq!(m.begin(&call("x", None, "a")), FENCED, "a gone incarnation must not begin calls");
     m.end(&begin, second, answered(2));
     assert_eq!(m.begin(&from_instance("j", 1, begin)), Reply::Replay(answer(2)));
     assert!(matches!(m.end(&call("q", None, "a"), other, answered(1)), Reply::Recorded(_)));
@@ -35,7 +35,7 @@
     m.granted(&from_instance("i", 2, call("q", None, "b")));
     assert_eq!(m.end(&begin, first, answered(1)), STALE);
     assert_eq!(m.begin(&begin), FENCED);
-    assert_eq!(m.gone("i", 1).calls_claimable, 0, "the newer one keeps its claims");
+    assert_eq!(m.gone("i", 1).calls_claimable, 0, "the newer incarnation must keep its claims");
     assert!(m.granted(&from_instance("i", 2, begin)).claim > first.claim);
 }
 
@@ -46,9 +46,12 @@
     m.gone("i", 1);
     let swapped =
         Begin { body_digest: common::digest("x"), ..from_instance("j", 1, call("p", None, "a")) };
-    assert!(matches!(m.begin(&swapped), Reply::BodyMismatch(_)), "same key, other body");
+    assert!(matches!(m.begin(&swapped), Reply::BodyMismatch(_)), "same key with another body");
     let changed = from_instance("j", 1, common::non_idempotent("p", None, "a"));
-    assert!(matches!(m.begin(&changed), Reply::BodyMismatch(_)), "it may have run already");
+    assert!(
+        matches!(m.begin(&changed), Reply::BodyMismatch(_)),
+        "the idempotent run may have taken effect"
+    );
     let other = m.granted(&from_instance("j", 1, call("p", Some(1), "b")));
     assert!(other.claim > first.claim && other.turn == 1);
     assert_eq!(m.ledger.status("t", "p").expect("status").turns_used, 1);
--- a/crates/ledger/tests/common/mod.rs
+++ b/crates/ledger/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Commands and answers in short form, shared by the tests.
+//! Test helpers: a ledger with a settable clock, and constructors for commands and outcomes.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 
 pub use poplarspan_proto::ledger::ledger_answer::Answer as Reply;
 
-/// A ledger with a clock that the test sets.
+/// A ledger whose clock is set by the test.
 #[derive(Default)]
 pub struct TestLedger {
     pub ledger: Ledger,
@@ -29,7 +29,7 @@
         self.index += 1;
         let data = LedgerCommand { now_ms: self.now_ms, command: Some(command) }.encode_to_vec();
         let answer = self.ledger.apply(self.index, &data);
-        LedgerAnswer::decode(answer).expect("an answer").answer.expect("a known answer")
+        LedgerAnswer::decode(answer).expect("decode answer").answer.expect("known answer")
     }
 
     pub fn begin(&mut self, begin: &Begin) -> Reply {
@@ -46,7 +46,7 @@
         self.apply(Command::End(end(begin, granted, outcome)))
     }
 
-    /// Runs a call to its answer.
+    /// Begins a call and ends it with an answer that costs `cost_tokens`.
     pub fn run(&mut self, begin: &Begin, cost_tokens: u64) -> Granted {
         let granted = self.granted(begin);
         let reply = self.end(begin, granted, answered(cost_tokens));
@@ -63,7 +63,7 @@
         self.swept(Command::InstanceGone(gone))
     }
 
-    /// Lets time pass and expires what is due.
+    /// Advances the clock by `ms` and applies an `Expire` command.
     pub fn expire_after(&mut self, ms: u64) -> Swept {
         self.now_ms += ms;
         self.swept(Command::Expire(Expire {}))
@@ -71,17 +71,18 @@
 
     fn swept(&mut self, command: Command) -> Swept {
         let reply = self.apply(command);
-        let Reply::Swept(swept) = reply else { panic!("expected counts, got {reply:?}") };
+        let Reply::Swept(swept) = reply else { panic!("expected sweep counts, got {reply:?}") };
         swept
     }
 
-    /// Endpoint and claim of the pending release orders.
+    /// Endpoint and claim of the unacknowledged release orders, in ascending order of their numbers.
     pub fn orders(&self) -> Vec<(String, Option<u64>)> {
         self.ledger.orders(0).map(|order| (order.endpoint.clone(), order.claim)).collect()
     }
 }
 
-/// An idempotent call of team `t` with its own key, body, and a reservation of 10 tokens.
+/// An idempotent call of team `t` by instance `i`. Digest and request follow from the key; 10 tokens
+/// and 100 bytes are reserved.
 pub fn call(program: &str, turn: Option<u32>, key: &str) -> Begin {
     Begin {
         team: "t".into(),
@@ -109,7 +110,7 @@
     Begin { program: None, ..non_idempotent("", None, key) }
 }
 
-/// The call as another instance sends it.
+/// The same call, begun by another instance or incarnation.
 pub fn from_instance(instance: &str, incarnation: u64, begin: Begin) -> Begin {
     Begin { claimant: Some(claimant(instance, incarnation)), ..begin }
 }
--- a/crates/ledger/tests/history_isolation.rs
+++ b/crates/ledger/tests/history_isolation.rs
@@ -1,4 +1,5 @@
-//! Guards against histories that lose, mix or disclose turns.
+//! Guards against histories that lose turns, mix those of two programs, or show them to another
+//! team.
 
 mod common;
 
@@ -30,7 +31,7 @@
     }
     let query = Query::Status(StatusQuery { team: "v".into(), program: "p".into() });
     let reply = m.ledger.query(&LedgerQuery { query: Some(query) }.encode_to_vec());
-    let reply = LedgerQueryAnswer::decode(reply).expect("an answer").answer;
+    let reply = LedgerQueryAnswer::decode(reply).expect("decode answer").answer;
     assert!(matches!(reply, Some(ledger_query_answer::Answer::NotFound(_))));
 }
 
--- a/crates/ledger/tests/program_retention.rs
+++ b/crates/ledger/tests/program_retention.rs
@@ -1,5 +1,5 @@
-//! Guards against answers dropped before the resend window ends, and against memory that grows
-//! without bound.
+//! Guards against answers that are dropped before the resend window ends, and against memory that
+//! grows without bound.
 
 mod common;
 
@@ -53,7 +53,7 @@
     assert_eq!(ended, Some(EndCause::Idle.into()));
 }
 
-/// The sweeper may be late; the limits hold without it.
+/// The leader may propose `Expire` late. The limits must hold without it.
 #[test]
 fn lifetime_ends_programs_without_a_sweep() {
     let mut m = TestLedger::new();
@@ -66,11 +66,15 @@
     assert_eq!(m.expire_after(0).programs_dropped, 0, "a call is open");
     m.end(&begin, open, answered(1));
     m.expire_after(24 * HOUR_MS - 1);
-    assert_eq!(m.begin(&begin), Reply::Replay(answer(1)), "a late answer gets the whole window");
+    assert_eq!(
+        m.begin(&begin),
+        Reply::Replay(answer(1)),
+        "a late answer must be kept for the whole window"
+    );
     assert_eq!(m.expire_after(1).programs_dropped, 1);
 }
 
-/// A leader whose clock is behind must not make deadlines move away.
+/// A new leader whose clock is behind must not postpone deadlines.
 #[test]
 fn time_never_falls() {
     let mut m = TestLedger::new();
--- a/crates/ledger/tests/publishing.rs
+++ b/crates/ledger/tests/publishing.rs
@@ -1,4 +1,5 @@
-//! Guards against lost or doubled publications, and against instances that miss changes.
+//! Guards against publications that are lost or applied twice, and against instances that miss
+//! changes.
 
 use poplarspan_ledger::{Catalog, Changes};
 use poplarspan_proto::ledger::{
@@ -14,9 +15,10 @@
 fn apply(catalog: &mut Catalog, now_ms: u64, command: Command) -> Answer {
     let command = CatalogCommand { now_ms, command: Some(command) };
     let answer = catalog.apply(catalog.index() + 1, &command.encode_to_vec());
-    CatalogAnswer::decode(answer).expect("an answer").answer.expect("a known answer")
+    CatalogAnswer::decode(answer).expect("decode answer").answer.expect("known answer")
 }
 
+/// Sets the body of a team, or removes the team if `body` is empty.
 fn set(name: &str, body: &str) -> ObjectChange {
     let body = Some(body.to_owned().into()).filter(|_| !body.is_empty());
     ObjectChange { kind: "team".into(), name: name.into(), body }
@@ -47,8 +49,12 @@
     };
     assert_eq!(apply(&mut c, 2, lost.clone()), conflict(1));
     assert_eq!(apply(&mut c, 3, publish(1, "c", "cid", &[set("y", "1")])), published(2));
-    assert_eq!(apply(&mut c, 4, publish(0, "d", "bob", &[])), conflict(2), "the race's winner");
-    assert_eq!(apply(&mut c, 5, lost), conflict(1), "a resend gets the first answer");
+    assert_eq!(
+        apply(&mut c, 4, publish(0, "d", "bob", &[])),
+        conflict(2),
+        "the conflict must name the operator that won"
+    );
+    assert_eq!(apply(&mut c, 5, lost), conflict(1), "a retry must get the first answer");
     assert_eq!(c.object("team", "x").map(|b| &b[..]), Some(&b"1"[..]));
 }
 
@@ -65,7 +71,8 @@
     assert_eq!((c.generation(), c.object("team", "x").map(|b| &b[..])), (2, Some(&b"2"[..])));
 }
 
-/// The changes of a resend are computed against a later generation and differ from the first ones.
+/// A retry may compute its changes against a later generation, so they differ from the first ones.
+/// The content digest identifies it as a retry.
 #[test]
 fn resend_is_known_by_its_content() {
     let mut c = Catalog::new();
@@ -88,11 +95,22 @@
     for n in 0..10_100 {
         assert_eq!(apply(&mut c, 0, nth(n)), published(n + 1));
     }
-    assert_eq!(apply(&mut c, DAY_MS - 1, nth(0)), published(1), "younger than a day");
+    assert_eq!(
+        apply(&mut c, DAY_MS - 1, nth(0)),
+        published(1),
+        "results younger than a day must be kept"
+    );
     assert_eq!(apply(&mut c, DAY_MS, nth(10_100)), published(10_101));
     let reply = apply(&mut c, DAY_MS, nth(100));
-    assert!(matches!(reply, Answer::Conflict(_)), "old, and not among the last");
-    assert_eq!(apply(&mut c, 9 * DAY_MS, nth(200)), published(201), "among the last 10,000");
+    assert!(
+        matches!(reply, Answer::Conflict(_)),
+        "old results beyond the last 10,000 must be dropped"
+    );
+    assert_eq!(
+        apply(&mut c, 9 * DAY_MS, nth(200)),
+        published(201),
+        "the last 10,000 results must be kept"
+    );
 }
 
 #[test]
@@ -112,10 +130,10 @@
     }
     for (generation, mut set) in sets {
         match c.changes_since(generation) {
-            Changes::FullSet { .. } => assert_eq!(generation, 0, "deltas are kept"),
+            Changes::FullSet { .. } => assert_eq!(generation, 0, "the deltas must still be kept"),
             Changes::Deltas { generation, changes } => {
                 assert_eq!(generation, 200);
-                assert!(changes.len() <= 100, "one change per object");
+                assert!(changes.len() <= 100, "expected at most one change per object");
                 for ObjectChange { name, body, .. } in changes {
                     match body {
                         Some(body) => set.insert(name, body),
@@ -145,11 +163,15 @@
     let stale = |n| Answer::StaleIncarnation(StaleIncarnation { lowest_incarnation: n });
     apply(&mut c, 0, register(5));
     apply(&mut c, 0, register(5));
-    assert_eq!(c.view().epoch, 1, "the same registration changes nothing");
+    assert_eq!(c.view().epoch, 1, "a repeated registration must not change the epoch");
     assert_eq!(apply(&mut c, 0, register(4)), stale(5));
     apply(&mut c, 0, register(6));
     apply(&mut c, 0, Command::InstanceGone(gone(5)));
-    assert_eq!((c.view().epoch, c.view().instances.len()), (2, 1), "the newer one stays");
+    assert_eq!(
+        (c.view().epoch, c.view().instances.len()),
+        (2, 1),
+        "the newer incarnation must stay registered"
+    );
     apply(&mut c, 0, Command::InstanceGone(gone(6)));
     assert_eq!((c.view().epoch, c.view().instances.len()), (3, 0));
     assert_eq!(apply(&mut c, 0, register(6)), stale(7));
@@ -157,7 +179,7 @@
     for groups in [2, 3] {
         apply(&mut c, 0, Command::FixGroups(FixGroups { groups }));
     }
-    assert_eq!(c.group_count(), 2, "the first number of groups stays");
+    assert_eq!(c.group_count(), 2, "the first number of groups must stay");
 }
 
 #[test]
@@ -169,7 +191,7 @@
     let register = RegisterInstance { instance: "i".into(), ..RegisterInstance::default() };
     apply(&mut c, 0, Command::RegisterInstance(register));
     let mut other = Catalog::new();
-    other.restore(&c.snapshot()).expect("own snapshot");
+    other.restore(&c.snapshot()).expect("restore snapshot");
     assert!(other == c && other.snapshot() == c.snapshot());
     assert_eq!(other.changes_since(18), c.changes_since(18));
     let resend = publish(3, "r3", "ann", &[set("t0", "1")]);
--- a/crates/ledger/tests/random_commands.rs
+++ b/crates/ledger/tests/random_commands.rs
@@ -1,6 +1,9 @@
-//! Runs random commands against a simple model and against a replica that is restored from snapshots.
-//! Guards against second runs of non-idempotent calls, exceeded budgets, turns out of order, lost
-//! or mixed histories, early drops, and replicas that differ after a snapshot.
+//! Applies random commands to a ledger, to a second replica that is restored from snapshots now and
+//! then, and to a simple model.
+//!
+//! Guards against second runs of non-idempotent calls, exceeded budgets, turns out of order, lost or
+//! mixed histories, calls and programs that are dropped early, and replicas that diverge after a
+//! snapshot.
 
 mod common;
 
@@ -22,29 +25,35 @@
 #[derive(Clone, Debug)]
 enum Op {
     Send(Command),
-    /// Ends the call that was granted this many grants ago.
+    /// Ends the call of an earlier grant; 0 is the latest one.
     End(usize, Outcome),
+    /// Dispatches the call of an earlier grant; 0 is the latest one.
     Dispatch(usize),
+    /// Advances the clock by this many milliseconds and expires what is due.
     Expire(u64),
+    /// Restores the second replica from a snapshot of the first.
     Restore,
 }
 
-/// What must hold, kept independently of the ledger: all by (team, program or key).
+/// Expected state, computed from the answers without using the ledger's code.
 #[derive(Default)]
 struct Model {
     granted: Vec<(Begin, Granted)>,
     last_claim: u64,
-    /// Non-idempotent calls that were granted a claim and not reported as not run, and when they
-    /// were last known to be needed.
+    /// Non-idempotent calls that were granted a claim and not reported as not run, with the time of
+    /// their grant or end.
     may_have_run: BTreeMap<CallName, u64>,
-    /// Answers of each program, by turn; nothing stands for an unknown outcome.
+    /// Answered requests of each program by turn. Turns with an unknown outcome are missing.
     history: BTreeMap<ProgramName, BTreeMap<u32, bytes::Bytes>>,
-    /// Tokens that each root has certainly spent.
+    /// Lower bound of the tokens that each root program has spent.
     spent: BTreeMap<ProgramName, u64>,
+    /// Time of the last end of a call of each program.
     closed_ms: BTreeMap<ProgramName, u64>,
 }
 
+/// Team, program and idempotency key.
 type CallName = (String, Option<String>, String);
+/// Team and program.
 type ProgramName = (String, String);
 
 fn call_name(begin: &Begin) -> CallName {
@@ -59,21 +68,25 @@
     fn on_granted(&mut self, m: &TestLedger, begin: &Begin, granted: Granted) {
         if let Some((first, _)) = self.granted.iter().find(|(_, g)| g.claim == granted.claim) {
             let is_same = first.attempt == begin.attempt && first.claimant == begin.claimant;
-            assert!(is_same && begin.attempt != 0, "one claim for two proposals");
+            assert!(is_same && begin.attempt != 0, "one claim was granted to two proposals");
             return;
         }
-        assert!(granted.claim > self.last_claim, "claims rise");
+        assert!(granted.claim > self.last_claim, "claim numbers must increase");
         self.last_claim = granted.claim;
         if begin.kind == 2 {
             let former = self.may_have_run.insert(call_name(begin), m.now_ms);
-            assert_eq!(former, None, "a second run of {begin:?}");
+            assert_eq!(former, None, "non-idempotent call was granted twice: {begin:?}");
         }
         if let Some(name) = program_name(begin) {
             let status = m.ledger.status(&name.0, &name.1).expect("status");
             assert_eq!(status.next_turn, granted.turn);
             assert_eq!(status.running, begin.claimant);
             let last = self.history.get(&name).and_then(|h| h.keys().next_back().copied());
-            assert!(last < Some(granted.turn), "turn {} after turn {last:?}", granted.turn);
+            assert!(
+                last < Some(granted.turn),
+                "turn {} was granted after turn {last:?} was answered",
+                granted.turn
+            );
         }
         self.granted.push((begin.clone(), granted));
     }
@@ -89,26 +102,27 @@
         if let Outcome::Answered(answer) = outcome {
             let history = self.history.entry(name.clone()).or_default();
             let former = history.insert(granted.turn, begin.request.clone());
-            assert_eq!(former, None, "an answer was replaced");
+            assert_eq!(former, None, "a recorded answer was replaced");
             let root = name.1.split('/').next().unwrap_or_default().to_owned();
             let cost = answer.cost_tokens.min(begin.reserve_tokens);
             *self.spent.entry((name.0, root)).or_default() += cost;
         }
     }
 
-    /// Compares the programs with what is known of them, and forgets those that were dropped.
+    /// Compares the ledger's programs and calls with the model, and removes those that the ledger
+    /// dropped from the model.
     fn check(&mut self, m: &TestLedger) {
         assert_eq!(m.ledger.invariant_violations(), 0);
         self.may_have_run.retain(|(team, program, key), since_ms| {
             let is_kept = program.is_some() || m.ledger.call_by_key(team, None, key).is_some();
-            assert!(is_kept || *since_ms + WINDOW_MS <= m.now_ms, "{key} was dropped early");
+            assert!(is_kept || *since_ms + WINDOW_MS <= m.now_ms, "call {key} was dropped early");
             is_kept
         });
         for (team, program) in ["t", "u"].iter().flat_map(|t| PROGRAMS.map(|p| (*t, p))) {
             let name = (team.to_owned(), program.to_owned());
             let Some(status) = m.ledger.status(team, program) else {
                 let closed_ms = self.closed_ms.remove(&name).unwrap_or(0);
-                assert!(closed_ms + WINDOW_MS <= m.now_ms, "{name:?} was dropped early");
+                assert!(closed_ms + WINDOW_MS <= m.now_ms, "program {name:?} was dropped early");
                 self.history.remove(&name);
                 self.spent.remove(&name);
                 self.may_have_run
@@ -119,7 +133,7 @@
             assert!(self.spent.get(&name).copied().unwrap_or(0) <= status.spent_tokens);
             let page = m.ledger.history(team, program, 0, u64::MAX).expect("history");
             let turns = page.records.iter().map(|r| r.turn);
-            assert!(turns.eq(1..status.next_turn), "turns are contiguous");
+            assert!(turns.eq(1..status.next_turn), "turns of the history must be contiguous");
             let answers = page.records.into_iter().filter(|r| r.answer.is_some());
             let answers = answers.map(|r| (r.turn, r.request)).collect::<BTreeMap<_, _>>();
             assert_eq!(answers, self.history.get(&name).cloned().unwrap_or_default());
@@ -180,7 +194,7 @@
     })
 }
 
-/// Both replicas, the model, and the calls granted so far.
+/// Both replicas and the model, which also holds the calls granted so far.
 struct Harness {
     m: TestLedger,
     replica: Ledger,
@@ -209,7 +223,9 @@
                 self.m.now_ms += ms;
                 self.send(Command::Expire(Expire {}));
             }
-            Op::Restore => self.replica.restore(&self.m.ledger.snapshot()).expect("own snapshot"),
+            Op::Restore => {
+                self.replica.restore(&self.m.ledger.snapshot()).expect("restore snapshot")
+            }
         }
         self.model.check(&self.m);
     }
@@ -221,9 +237,9 @@
         let reply = self.m.apply(command);
         let replica_reply = LedgerAnswer::decode(self.replica.apply(self.m.index, &data));
         assert_eq!(
-            replica_reply.expect("an answer").answer.as_ref(),
+            replica_reply.expect("decode answer").answer.as_ref(),
             Some(&reply),
-            "replicas differ"
+            "replicas diverged"
         );
         if let (Some(begin), Reply::Granted(granted)) = (begin, reply) {
             self.model.on_granted(&self.m, &begin, granted);
@@ -239,7 +255,7 @@
         ..Configure::default()
     }));
     ops.iter().for_each(|op| run.step(op));
-    assert!(run.replica == run.m.ledger, "replicas differ");
+    assert!(run.replica == run.m.ledger, "replicas diverged");
 }
 
 #[test]
@@ -253,6 +269,6 @@
             run(&ops);
             Ok(())
         });
-        assert!(result.is_ok(), "seed {seed}: {}", result.expect_err("a failure"));
+        assert!(result.is_ok(), "seed {seed}: {}", result.expect_err("failing case"));
     }
 }
--- a/crates/ledger/tests/release_orders.rs
+++ b/crates/ledger/tests/release_orders.rs
@@ -1,4 +1,5 @@
-//! Guards against engine memory that stays held by programs that ended or lost their caller.
+//! Guards against engine memory that is never released after a program ended or its claimant was
+//! lost.
 
 mod common;
 
@@ -24,11 +25,14 @@
     m.finish("p");
     assert_eq!(m.orders(), [("e".into(), None), ("f".into(), None)]);
     m.finish("p");
-    assert_eq!(m.orders().len(), 2, "a second finish orders nothing");
+    assert_eq!(m.orders().len(), 2, "a second finish must not add orders");
     assert!(matches!(dispatch(&mut m, &begin, granted, "g"), Reply::Ended(_)));
     let last = m.ledger.orders(0).map(|order| order.number).max();
     m.end(&begin, granted, answered(1));
-    assert!(m.ledger.orders(0).map(|o| o.number).max() > last, "the late call is released too");
+    assert!(
+        m.ledger.orders(0).map(|o| o.number).max() > last,
+        "a call that ends late must be released too"
+    );
 }
 
 #[test]
--- a/crates/ledger/tests/token_budgets.rs
+++ b/crates/ledger/tests/token_budgets.rs
@@ -1,4 +1,5 @@
-//! Guards against programs that, alone or with their sub-agents, exceed a budget or turn limit.
+//! Guards against programs that exceed a budget or turn limit, alone or together with their
+//! sub-agents.
 
 mod common;
 
@@ -9,6 +10,7 @@
     Reply::BudgetExceeded(BudgetExceeded { remaining })
 }
 
+/// Spent and reserved tokens of a program.
 fn used(m: &TestLedger, program: &str) -> (u64, u64) {
     let status = m.ledger.status("t", program).expect("status");
     (status.spent_tokens, status.reserved_tokens)
@@ -40,11 +42,11 @@
     assert_eq!(used(&m, "p/b"), (0, 10));
     let last = call("p/d", None, "d");
     assert_eq!(m.begin(&Begin { reserve_tokens: 11, ..last.clone() }), exceeded(10));
-    assert!(m.ledger.status("t", "p/d").is_none(), "a refused call creates no program");
+    assert!(m.ledger.status("t", "p/d").is_none(), "a refused call must not create a program");
     m.granted(&last);
     assert_eq!(m.begin(&call("p", None, "own")), exceeded(0));
     let own = with_budget(5, call("q/x", None, "x"));
-    assert_eq!(m.begin(&own), exceeded(5), "a new program's own budget counts too");
+    assert_eq!(m.begin(&own), exceeded(5), "the budget of a new program must be checked too");
 }
 
 #[test]
@@ -78,7 +80,7 @@
     let granted = m.granted(&begin);
     m.granted(&call("p/d", None, "d"));
     m.end(&begin, granted, answered(100));
-    assert_eq!(used(&m, "p"), (15, 10), "the other reservation stays covered");
+    assert_eq!(used(&m, "p"), (15, 10), "the other reservation must stay within the budget");
     assert_eq!(m.ledger.status("t", "p").expect("status").overrun_tokens, 85);
     assert_eq!((m.ledger.cost_overruns(), m.ledger.invariant_violations()), (1, 0));
     let page = m.ledger.history("t", "p/c", 0, 1000).expect("history");
--- a/crates/ledger/tests/turn_order.rs
+++ b/crates/ledger/tests/turn_order.rs
@@ -1,4 +1,4 @@
-//! Guards against turns that run out of order, twice, or at the same time.
+//! Guards against turns that run out of order, twice, or concurrently.
 
 mod common;
 
@@ -11,9 +11,9 @@
     let mut m = TestLedger::new();
     let expect = |expected| Reply::OutOfOrder(OutOfOrder { expected });
     assert_eq!(m.begin(&call("p", Some(2), "k2")), expect(1));
-    assert!(m.ledger.status("t", "p").is_none(), "a refused call creates no program");
+    assert!(m.ledger.status("t", "p").is_none(), "a refused call must not create a program");
     let first = m.granted(&call("p", Some(1), "k1"));
-    assert_eq!(m.begin(&call("p", Some(2), "k2")), expect(1), "turn 1 has no outcome yet");
+    assert_eq!(m.begin(&call("p", Some(2), "k2")), expect(1), "turn 1 is still open");
     m.end(&call("p", Some(1), "k1"), first, common::answered(1));
     assert_eq!(m.begin(&call("p", Some(3), "k3")), expect(2));
     assert_eq!(m.run(&call("p", Some(2), "k2"), 1).turn, 2);
--- a/crates/ledger/tests/unknown_outcomes.rs
+++ b/crates/ledger/tests/unknown_outcomes.rs
@@ -1,4 +1,4 @@
-//! Guards against a second run of a non-idempotent call that may have run.
+//! Guards against a second run of a non-idempotent call that may already have run.
 
 mod common;
 
@@ -7,7 +7,7 @@
 };
 use poplarspan_proto::ledger::{Begin, Granted, OutcomeUnknown, Stale};
 
-/// The unknown outcome stays whatever the former claimant reports, and no resend runs.
+/// Checks that neither a report of the former claimant nor a retry replaces the unknown outcome.
 fn assert_final(m: &mut TestLedger, begin: &Begin, granted: Granted) {
     let unknown_reply = Reply::OutcomeUnknown(OutcomeUnknown { turn: granted.turn });
     let resend = from_instance("j", 1, begin.clone());
@@ -39,5 +39,9 @@
         assert!(matches!(m.end(&begin, granted, unknown()), Reply::Recorded(_)));
         assert_final(&mut m, &begin, granted);
     }
-    assert_eq!(m.granted(&call("p", Some(2), "b")).turn, 2, "the program goes on");
+    assert_eq!(
+        m.granted(&call("p", Some(2), "b")).turn,
+        2,
+        "the program must accept the next turn"
+    );
 }
