--- a/crates/objects/src/apply.rs
+++ b/crates/objects/src/apply.rs
@@ -1,4 +1,4 @@
-//! Sets from records, differences between sets, and their application.
+//! Building sets from records, comparing sets, and applying changes to them.
 
 use std::sync::Arc;
 
@@ -10,12 +10,12 @@
 use crate::set_rules::{Issue, Scope, verify};
 use crate::unparsed::UnparsedNames;
 
-/// Builds a set from records.
+/// Builds a set from records and checks it.
 pub(crate) fn from_records(records: &[Record]) -> Result<ObjectSet, Findings> {
     let mut objects = Objects::default();
     let mut findings = Vec::new();
     for_each_kind!(decode_kind(records, &mut objects, &mut findings));
-    // Without the malformed records, references to them would be reported as unknown.
+    // Stop at malformed records, because references to them would be reported as unknown.
     Findings::into_result(findings)?;
     check_and_index(objects, &ObjectSet::default(), Scope::ALL, Vec::new())
 }
@@ -32,7 +32,7 @@
     *T::list_mut(objects) = Arc::new(decoded);
 }
 
-/// The changes that make `new` from `old`.
+/// Returns the changes that turn `old` into `new`, sorted by kind and name.
 pub(crate) fn diff(old: &Objects, new: &Objects) -> Vec<Change> {
     let mut changes = Vec::new();
     for_each_kind!(diff_kind(old, new, &mut changes));
@@ -57,7 +57,7 @@
     changes.extend(old.map(remove));
 }
 
-/// The set after `changes`.
+/// Returns the set after `changes`, and checks the kinds that the changes may have broken.
 pub(crate) fn apply(set: &ObjectSet, changes: &[Change]) -> Result<ObjectSet, Findings> {
     let mut objects = set.objects().clone();
     let mut findings = Vec::new();
@@ -99,7 +99,8 @@
                 findings.push(object_finding(T::KIND, name, message));
             }
         }
-        // An endpoint may serve less than before; for other kinds only a removal breaks references.
+        // Replacing an endpoint can break references to it, since it may serve less than before. For
+        // other kinds only a removal does.
         if existed && (current.is_none() || T::KIND == Kind::Endpoint) {
             scope.add_referrers(T::KIND);
         }
@@ -109,11 +110,12 @@
     *T::list_mut(objects) = Arc::new(merged);
 }
 
-/// Makes one change of an object; a malformed record leaves the object as it was.
+/// Applies one change to an object.
 ///
 /// # Errors
 ///
-/// The message of a finding.
+/// Returns the message of a finding if the record is malformed or the object to remove does not
+/// exist. The object is unchanged then.
 fn apply_change<T: Object>(change: &Change, current: &mut Option<T>) -> Result<(), String> {
     match change {
         Change::Upsert(record) => *current = Some(decode(record)?),
@@ -126,7 +128,7 @@
     Ok(())
 }
 
-/// Checks the kinds in `scope` and derives the lookups.
+/// Builds the lookup tables and checks the kinds in `scope`.
 fn check_and_index(
     objects: Objects,
     old: &ObjectSet,
@@ -161,7 +163,7 @@
     name
 }
 
-/// A finding about an object that has no position in a file.
+/// Creates a finding about an object from a record, which has no position in a file.
 fn object_finding(kind: Kind, name: &str, message: String) -> Finding {
     Finding { file: format!("{kind}/{name}").into(), line: 0, column: 0, message }
 }
--- a/crates/objects/src/finding.rs
+++ b/crates/objects/src/finding.rs
@@ -1,10 +1,10 @@
-//! Findings: what is wrong with a set, and where.
+//! Findings: the errors of a set with their positions.
 
 use std::error;
 use std::fmt;
 use std::sync::Arc;
 
-/// One fault, with its position.
+/// One error of a set, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
     /// Path of the file; for records and changes, `kind/name` of the object.
@@ -13,7 +13,7 @@
     pub line: u32,
     /// Column in characters, from 1; 0 when the object came from a record.
     pub column: u32,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
@@ -31,7 +31,7 @@
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// `Err` with the sorted findings, or `Ok` when there are none.
+    /// Returns `Err` with the findings, sorted and without duplicates, or `Ok` if there are none.
     pub(crate) fn into_result(mut findings: Vec<Finding>) -> Result<(), Self> {
         if findings.is_empty() {
             return Ok(());
@@ -41,12 +41,12 @@
         Err(Self(findings))
     }
 
-    /// The findings in order.
+    /// Iterates over the findings by file, line and column.
     pub fn iter(&self) -> std::slice::Iter<'_, Finding> {
         self.0.iter()
     }
 
-    /// The findings in order.
+    /// The findings, sorted by file, line and column.
     pub fn as_slice(&self) -> &[Finding] {
         &self.0
     }
@@ -71,7 +71,7 @@
 }
 
 impl fmt::Display for Findings {
-    /// One finding a line, without a final line break.
+    /// Writes one finding per line, without a final line break.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, finding) in self.0.iter().enumerate() {
             let separator = if i == 0 { "" } else { "\n" };
--- a/crates/objects/src/from_fields.rs
+++ b/crates/objects/src/from_fields.rs
@@ -1,4 +1,4 @@
-//! Reads each kind of object from its table.
+//! Reads each kind of object from the fields of its table.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -25,12 +25,15 @@
 const DURATION_EXAMPLE: &str = "a duration such as \"300ms\"";
 const SIZE_EXAMPLE: &str = "a size such as \"64KiB\"";
 
-/// Reads one kind of object. A field with a finding gets a substitute that passes every rule
-/// about other fields.
+/// An object that can be read from the fields of a table.
+///
+/// A field with a finding gets a substitute value. It is chosen to pass the rules about the other
+/// fields, so that one error in a file is not reported several times.
 pub(crate) trait FromFields: Object {
-    /// Names of the fields.
+    /// Names of the fields; all others are reported as unknown.
     const FIELDS: &'static [&'static str];
 
+    /// Reads the object and reports findings to `fields`.
     fn from_fields(fields: &mut Fields<'_, '_>) -> Self;
 }
 
@@ -59,7 +62,8 @@
     }
 }
 
-/// A digest. Whatever starts like a secret is reported as one, and never repeated.
+/// Reads a digest. Text with the prefix of a secret is reported as a secret, and no finding quotes
+/// the text.
 fn read_digest(fields: &mut Fields<'_, '_>) -> Digest {
     if !fields.has("digest") {
         fields.report("digest", None, "missing field `digest`".into());
--- a/crates/objects/src/index.rs
+++ b/crates/objects/src/index.rs
@@ -1,4 +1,4 @@
-//! Lookups other than by name, derived from the objects.
+//! Lookup tables for values other than names, derived from the objects.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
 use crate::object::{Objects, Serves};
 use crate::secret::Digest;
 
-/// Pairs of a value and an index into the vector of a kind, sorted.
+/// Sorted pairs of a value and the index of its object in the vector of its kind.
 type SortedPairs<T> = Arc<Vec<(T, u32)>>;
 
-/// Sorted lookup tables.
+/// Lookup tables, each for binary search by value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Index {
     pub(crate) key_digests: SortedPairs<Digest>,
     pub(crate) operator_digests: SortedPairs<Digest>,
-    /// Paths without the final slash.
+    /// Paths of routes without a final slash.
     pub(crate) route_paths: SortedPairs<Arc<str>>,
     pub(crate) model_aliases: SortedPairs<Name>,
     pub(crate) endpoint_models: SortedPairs<Name>,
@@ -22,12 +22,13 @@
 }
 
 impl Index {
-    /// Builds the tables of all kinds.
+    /// Builds all tables.
     pub(crate) fn build(objects: &Objects) -> Self {
         Self::default().update(&Objects::default(), objects)
     }
 
-    /// The tables after a change; tables of kinds that both sets share are kept.
+    /// Returns the tables for `new`. `self` must belong to `old`; the tables of kinds whose vector
+    /// both share are reused.
     pub(crate) fn update(&self, old: &Objects, new: &Objects) -> Self {
         let mut index = self.clone();
         if !Arc::ptr_eq(&old.keys, &new.keys) {
@@ -58,12 +59,12 @@
     }
 }
 
-/// The path without its final slash, so that `/a` and `/a/` are one path.
+/// Returns the path without a final slash, so that `/a` and `/a/` are the same path.
 pub(crate) fn trim_final_slash(path: &str) -> &str {
     path.strip_suffix('/').unwrap_or(path)
 }
 
-/// Pairs the values of each object with the object's index, sorted by value and index.
+/// Pairs the values of each object with the object's index, sorted by value, then index.
 fn sorted_pairs<T: Ord, V: IntoIterator<Item = T>>(
     values: impl Iterator<Item = V>,
 ) -> SortedPairs<T> {
@@ -75,7 +76,7 @@
     Arc::new(pairs)
 }
 
-/// Indexes paired with names equal to `name`.
+/// Indexes of the objects that are paired with `name`, in ascending order.
 pub(crate) fn indexes_of<'a>(
     table: &'a [(Name, u32)],
     name: &str,
--- a/crates/objects/src/kind.rs
+++ b/crates/objects/src/kind.rs
@@ -9,7 +9,7 @@
 /// Name of an object: `[a-z0-9][a-z0-9._-]{0,62}`.
 pub type Name = Arc<str>;
 
-/// Greatest length of a name in bytes.
+/// Maximum length of a name in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 63;
 
 /// Kind of an object, in the order in which records are sorted.
@@ -22,22 +22,22 @@
     Key,
     /// A request rate that teams refer to.
     Rate,
-    /// A path that callers may use.
+    /// A path that callers may request.
     Route,
-    /// A model engine or a plain service.
+    /// A model engine or a service.
     Endpoint,
     /// A model that endpoints serve.
     Model,
     /// An availability zone.
     Zone,
-    /// Limits of a program.
+    /// Limits of a program and its sub-agents.
     Budget,
     /// A person or tool that publishes objects.
     Operator,
 }
 
 impl Kind {
-    /// All kinds, in order.
+    /// All kinds, in the order in which records are sorted.
     pub const ALL: [Self; 9] = [
         Self::Team,
         Self::Key,
@@ -50,7 +50,7 @@
         Self::Operator,
     ];
 
-    /// The kind as it is written in TOML.
+    /// The kind as written in files and records.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Team => "team",
@@ -72,7 +72,7 @@
     }
 }
 
-/// The text names no kind of object.
+/// The text is not the name of an object kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown object kind")]
 pub struct UnknownKind;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether `name` is a valid object name.
+/// Whether `name` matches the pattern of [`Name`].
 pub(crate) fn is_valid_name(name: &str) -> bool {
     let is_alnum = |b: &u8| b.is_ascii_lowercase() || b.is_ascii_digit();
     name.len() <= MAX_NAME_BYTES
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -1,21 +1,22 @@
-//! The object set: what operators publish, and the rules that a set must satisfy.
+//! The object set: the configuration objects that operators publish, and the rules that a set must
+//! satisfy.
 //!
-//! Operators write TOML files; [`check`] reads them, collects every finding of all files with its
-//! position, and returns an [`ObjectSet`] only when there is none. A set travels between instances
-//! as [`Record`]s and [`Change`]s, which are checked again where they arrive. See
-//! `examples/check_objects.rs`.
+//! Operators write TOML files. [`check`] reads them and returns an [`ObjectSet`], or all findings of
+//! all files with their positions. Sets are sent between instances as [`Record`]s and [`Change`]s,
+//! which the receiver checks again. See `examples/check_objects.rs`.
 //!
-//! # Owners and failures
+//! # State and failures
 //!
-//! The crate holds no state of its own. Group 0 owns the published set; every instance keeps an
-//! immutable copy and replaces it as a whole, so the failure of an instance loses nothing.
+//! The crate has no state of its own. The published set is stored in group 0. Every instance keeps
+//! an immutable copy, which it replaces as a whole, so the failure of an instance loses nothing.
 //!
 //! # Units and errors
 //!
-//! Files state the units: durations such as `"300ms"`, rates such as `"50/s"` ([`RequestRate`]),
-//! sizes such as `"64KiB"` ([`ByteSize`]); plain integers count tokens, calls and turns. What is
-//! wrong with a set is reported as [`Findings`], all of them together. Lines and columns count
-//! from 1. Secrets of keys never are part of a set, only their BLAKE3 digests.
+//! Values in files carry their unit: durations such as `"300ms"`, rates such as `"50/s"`
+//! ([`RequestRate`]) and sizes such as `"64KiB"` ([`ByteSize`]). Plain integers are weights and
+//! counts, such as tokens, requests or turns. All errors of a set are reported together as
+//! [`Findings`]. Lines and columns count from 1. A set never contains the secrets of keys, only
+//! their BLAKE3 digests.
 //!
 //! # Example
 //!
--- a/crates/objects/src/nearest.rs
+++ b/crates/objects/src/nearest.rs
@@ -1,13 +1,14 @@
-//! Suggestions of the name that was probably meant.
+//! Suggestions for misspelt names.
 
 use crate::kind::MAX_NAME_BYTES;
 
-/// Most edits between a name and its suggestion.
+/// Maximum edit distance between a name and its suggestion.
 const MAX_EDIT_DISTANCE: usize = 3;
 
-/// The candidate with the fewest edits from `name`, if it is near enough to be meant.
+/// Returns the candidate with the smallest edit distance from `name`, the first one if several have
+/// it. The distance is at most [`MAX_EDIT_DISTANCE`] and at most half the length of `name`.
 ///
-/// Text longer than a name is not compared, because the cost is quadratic in the length.
+/// Text longer than a valid name gets no suggestion, because the cost is quadratic in the length.
 pub(crate) fn nearest<'a>(
     name: &str,
     candidates: impl IntoIterator<Item = &'a str>,
@@ -29,7 +30,7 @@
     best
 }
 
-/// Levenshtein distance in bytes.
+/// Levenshtein distance of two strings, counted in bytes.
 fn edit_distance(a: &[u8], b: &[u8]) -> usize {
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.iter().enumerate() {
--- a/crates/objects/src/object.rs
+++ b/crates/objects/src/object.rs
@@ -1,4 +1,4 @@
-//! The typed objects of a set.
+//! The object types of a set.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,33 +10,33 @@
 use crate::secret::Digest;
 use crate::units::{self, ByteSize, RequestRate};
 
-/// A team of callers, which has its own rate and its own fair share.
+/// A team of callers. Each team has its own rate limit and its own share in the fair queue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// Name of the team.
     pub name: Name,
-    /// Name of the team's rate.
+    /// Name of the rate that limits the team.
     pub rate: Name,
-    /// Name of the budget of each of the team's programs; `None` means no limit.
+    /// Name of the budget that applies to each program of the team; `None` means no limit.
     pub budget: Option<Name>,
-    /// Weight in the fair queue, 1 to 1000.
+    /// Weight in the fair queue, from 1 to 1000.
     pub weight: u32,
 }
 
-/// A key with which callers of a team identify themselves.
+/// An API key that authenticates callers of a team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
     /// Name of the key.
     pub name: Name,
-    /// Name of the team that the key belongs to.
+    /// Name of the team whose callers use the key.
     pub team: Name,
     /// Digest of the key's secret.
     pub digest: Digest,
 }
 
-/// A request rate with the burst that it permits.
+/// A request rate limit with its burst.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
@@ -44,21 +44,21 @@
     pub name: Name,
     /// Sustained requests per second.
     pub rate: RequestRate,
-    /// Requests permitted at once, at least 1.
+    /// Maximum number of requests at once, at least 1.
     pub burst: u32,
 }
 
-/// What a route leads to.
+/// What kind of target a route has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RouteKind {
-    /// Chat completions of a model; the path is matched exactly.
+    /// Chat completions of a model. The path is matched exactly.
     Chat,
-    /// A plain service; the path is a prefix.
+    /// A service. The path is a prefix.
     Service,
 }
 
-/// Which requests of a route must run at most once.
+/// Which requests of a route are not idempotent and must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NonIdempotent {
@@ -66,34 +66,34 @@
     None,
     /// Every request.
     All,
-    /// Requests with one of these methods, in upper case and sorted.
+    /// Requests with one of these HTTP methods, in upper case and sorted.
     Methods(Vec<Arc<str>>),
 }
 
-/// A path that callers may use.
+/// A path that callers may request, and the target that serves it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
     /// Name of the route.
     pub name: Name,
-    /// Path: exact for chat routes, a prefix of whole segments for service routes.
+    /// Path; the exact path of a chat route, or a prefix of whole segments for a service route.
     pub path: Arc<str>,
-    /// What the route leads to.
+    /// Kind of the target.
     pub kind: RouteKind,
-    /// Model of a chat route; when absent, the request body names the model.
+    /// Model of a chat route. If `None`, the request body names the model.
     pub model: Option<Name>,
-    /// Service of a service route.
+    /// Service of a service route; `None` for a chat route.
     pub service: Option<Name>,
-    /// Whether the route needs no key.
+    /// Whether callers need no key.
     pub open: bool,
     /// Which requests must run at most once.
     pub non_idempotent: NonIdempotent,
-    /// Longest time that a request may take.
+    /// Maximum time that a request may take, from 1 ms to 24 hours.
     #[serde(with = "units::duration")]
     pub timeout: Duration,
-    /// Largest request body.
+    /// Maximum size of a request body, from 1 byte to 1 GiB.
     pub max_body: ByteSize,
-    /// Most requests that may wait at one instance.
+    /// Maximum number of requests that may wait at one instance.
     pub max_queue: u32,
 }
 
@@ -114,39 +114,40 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Serves {
-    /// A model engine with these models, sorted by name.
+    /// A model engine that serves these models, sorted by name.
     Models(Vec<Name>),
-    /// A plain service of this name.
+    /// A service with this name.
     Service(Name),
 }
 
-/// A model engine or a plain service.
+/// A model engine or a service to which requests are sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
     /// Name of the endpoint.
     pub name: Name,
-    /// Name of its zone.
+    /// Name of the endpoint's zone.
     pub zone: Name,
-    /// Address at which it accepts HTTP.
+    /// Address on which the endpoint accepts HTTP requests.
     pub address: SocketAddr,
-    /// What it serves.
+    /// The models or the service that the endpoint serves.
     pub serves: Serves,
-    /// Concurrent requests when warm.
+    /// Maximum number of concurrent requests when the endpoint is warm.
     pub capacity: u32,
-    /// Concurrent requests when cold.
+    /// Maximum number of concurrent requests when the endpoint is cold, at least 1 and at most
+    /// `capacity`.
     pub cold_capacity: u32,
-    /// Time from cold to warm.
+    /// Time that a cold endpoint takes to become warm.
     #[serde(with = "units::duration")]
     pub ramp: Duration,
-    /// Whether it rejects orders with a stale fencing number.
+    /// Whether the endpoint checks fencing tokens and rejects stale ones.
     pub fencing: bool,
-    /// Whether it is leaving and takes no new work.
+    /// Whether the endpoint is being taken out of service and gets no new requests.
     pub leaving: bool,
 }
 
 impl Endpoint {
-    /// Whether the endpoint serves the model with this name. Aliases are not resolved.
+    /// Whether the endpoint serves the model with this name. Does not resolve aliases.
     pub fn serves_model(&self, model: &str) -> bool {
         match &self.serves {
             Serves::Models(models) => models.binary_search_by(|m| m.as_ref().cmp(model)).is_ok(),
@@ -166,23 +167,23 @@
 pub struct Model {
     /// Name of the model.
     pub name: Name,
-    /// Greatest number of tokens of prompt and answer together.
+    /// Maximum number of tokens of prompt and answer together.
     pub max_context: u64,
-    /// Greatest number of tokens of an answer.
+    /// Maximum number of tokens of an answer, at most `max_context`.
     pub max_output: u64,
-    /// Version of the weights.
+    /// Version of the model weights.
     pub version: Arc<str>,
-    /// Other names by which callers may ask for the model, sorted.
+    /// Other names that callers may use for the model, sorted.
     pub aliases: Vec<Name>,
 }
 
-/// Whether a zone takes work.
+/// Whether a zone gets new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ZoneState {
-    /// The zone takes work.
+    /// The zone gets new requests.
     In,
-    /// The zone takes no new work.
+    /// The zone is out of service and gets no new requests.
     Out,
 }
 
@@ -192,7 +193,7 @@
 pub struct Zone {
     /// Name of the zone.
     pub name: Name,
-    /// Whether the zone takes work.
+    /// Whether the zone gets new requests.
     pub state: ZoneState,
 }
 
@@ -202,11 +203,11 @@
 pub struct Budget {
     /// Name of the budget.
     pub name: Name,
-    /// Tokens of prompts and answers.
+    /// Maximum number of tokens of prompts and answers.
     pub tokens: u64,
-    /// Calls.
+    /// Maximum number of calls.
     pub turns: u32,
-    /// Time from the first call to the end of the program.
+    /// Maximum time from the first call to the end of the program.
     #[serde(with = "units::duration")]
     pub lifetime: Duration,
 }
@@ -221,7 +222,7 @@
     pub digest: Digest,
 }
 
-/// What all objects have in common.
+/// Common interface of all object types.
 pub(crate) trait Object:
     'static + Clone + PartialEq + Serialize + for<'de> Deserialize<'de>
 {
@@ -229,14 +230,14 @@
 
     fn name(&self) -> &Name;
 
-    /// The objects of this kind.
+    /// All objects of this kind.
     fn list(objects: &Objects) -> &Arc<Vec<Self>>;
 
-    /// The objects of this kind, to change.
+    /// Mutable access to all objects of this kind.
     fn list_mut(objects: &mut Objects) -> &mut Arc<Vec<Self>>;
 }
 
-/// All objects, each kind sorted by name. Sets that do not differ in a kind share its vector.
+/// All objects, each kind sorted by name. Sets with the same objects of a kind can share the vector.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Objects {
     pub(crate) teams: Arc<Vec<Team>>,
@@ -251,7 +252,8 @@
 }
 
 impl Objects {
-    /// Index of the object with this name; of the first one while duplicates are not yet excluded.
+    /// Index of the object with this name, or of the first one in a set that may still contain
+    /// duplicates.
     pub(crate) fn position<T: Object>(&self, name: &str) -> Option<usize> {
         let objects = T::list(self);
         let i = objects.partition_point(|object| object.name().as_ref() < name);
@@ -296,7 +298,8 @@
     Operator operators,
 );
 
-/// Calls a generic function once for each kind of object: `for_each_kind!(f(args))`.
+/// Calls a generic function once for each kind of object, in the order of kinds:
+/// `for_each_kind!(f(args))`.
 macro_rules! for_each_kind {
     ($f:ident $args:tt) => {
         for_each_kind!(@call $f $args Team Key Rate Route Endpoint Model Zone Budget Operator)
--- a/crates/objects/src/object_rules.rs
+++ b/crates/objects/src/object_rules.rs
@@ -1,4 +1,4 @@
-//! Rules that concern one object alone.
+//! Rules that concern a single object.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,18 +27,19 @@
 const MAX_BUDGET_TOKENS: u64 = 1_000_000_000_000;
 const MAX_TURNS: u32 = 1_000_000;
 const MAX_VERSION_BYTES: usize = 128;
-/// Methods of HTTP that a route may name, in the order of names.
+/// HTTP methods that a route may list, sorted.
 pub(crate) const HTTP_METHODS: [&str; 7] =
     ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
-/// Paths that every instance answers itself.
+/// Paths that instances answer themselves, so no route may use them.
 const RESERVED_PATHS: [&str; 2] = ["/v1/models", "/v1/programs"];
 
-/// Rules of one kind of object that need no other object.
+/// Rules for one kind of object that can be checked without other objects.
 pub(crate) trait ObjectRules: Object {
+    /// Reports the rules that the object at `at` violates.
     fn check_object(&self, at: Location, cx: &mut Checker<'_>);
 }
 
-/// Reports a name that does not match the pattern.
+/// Reports a name that does not match the pattern of [`crate::Name`].
 pub(crate) fn check_name(name: &str, at: Location, cx: &mut Checker<'_>) {
     if !is_valid_name(name) {
         let message = format!(
@@ -75,7 +76,8 @@
     }
 }
 
-/// Reports repeated elements, and elements out of order, which only records can have.
+/// Reports duplicate elements and elements out of order. Only records can be out of order, since
+/// lists from files are sorted when they are read.
 fn check_sorted<T: AsRef<str>>(elements: &[T], at: Location, cx: &mut Checker<'_>) {
     for (i, pair) in elements.windows(2).enumerate() {
         let (a, b) = (pair[0].as_ref(), pair[1].as_ref());
@@ -164,7 +166,7 @@
     cx.report(at, message);
 }
 
-/// Whether `path` is `base` or below it.
+/// Whether `path` is `base` or a path below it.
 fn is_below(path: &str, base: &str) -> bool {
     trim_final_slash(path)
         .strip_prefix(base)
--- a/crates/objects/src/origin.rs
+++ b/crates/objects/src/origin.rs
@@ -1,25 +1,26 @@
-//! Where objects and their fields were written.
+//! Source positions of objects and their fields.
 
 use std::sync::Arc;
 
 use crate::finding::Finding;
 use crate::source::Source;
 
-/// Where one object was written. Offsets are bytes from the start of its file.
+/// Source position of one object. Offsets are in bytes from the start of the file.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Origin {
     /// Index of the file.
     pub(crate) file: usize,
     /// Offset of the table header.
     pub(crate) header: usize,
-    /// Offset of each field's value and of each element of an array, by field and element.
+    /// Field, element and offset of each value. The element is `None` for the field as a whole, or
+    /// the index of an element of an array.
     pub(crate) fields: Vec<(&'static str, Option<usize>, usize)>,
-    /// Fields that already have a finding and hold a substitute value.
+    /// Fields that have a finding already and hold a substitute value.
     pub(crate) invalid: Vec<&'static str>,
 }
 
 impl Origin {
-    /// Offset of a field or element, or of the nearest part around it that was written.
+    /// Offset of an element, or if it has none, of the field or of the table header.
     pub(crate) fn offset(&self, field: &str, element: Option<usize>) -> usize {
         let find = |element| {
             self.fields.iter().find(|(f, e, _)| *f == field && *e == element).map(|(.., at)| *at)
@@ -28,7 +29,7 @@
     }
 }
 
-/// Line starts of one file.
+/// Offsets of the lines of one file, to convert byte offsets to line and column.
 pub(crate) struct LineIndex<'a> {
     source: &'a Source,
     starts: Vec<usize>,
@@ -41,7 +42,7 @@
         Self { source, starts }
     }
 
-    /// Line and column from 1; the column counts characters.
+    /// Returns line and column, from 1. The column counts characters.
     pub(crate) fn position(&self, offset: usize) -> (u32, u32) {
         let text = &self.source.text;
         let offset = text.floor_char_boundary(offset.min(text.len()));
@@ -50,12 +51,13 @@
         (saturate(line), saturate(column))
     }
 
+    /// Creates a finding at a byte offset.
     pub(crate) fn finding(&self, offset: usize, message: String) -> Finding {
         let (line, column) = self.position(offset);
         Finding { file: Arc::clone(&self.source.path), line, column, message }
     }
 
-    /// `file:line:column`.
+    /// Formats a byte offset as `file:line:column`.
     pub(crate) fn describe(&self, offset: usize) -> String {
         let (line, column) = self.position(offset);
         format!("{}:{line}:{column}", self.source.path)
--- a/crates/objects/src/record.rs
+++ b/crates/objects/src/record.rs
@@ -1,4 +1,4 @@
-//! Records and changes: the form in which objects travel between instances.
+//! Records and changes, the form in which objects are sent between instances.
 
 use bytes::Bytes;
 
@@ -6,21 +6,22 @@
 use crate::object::Object;
 use crate::secret::SECRET_PREFIX;
 
-/// One object in its transferable form.
+/// One object in encoded form.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Record {
     /// Kind of the object.
     pub kind: Kind,
     /// Name of the object.
     pub name: Name,
-    /// The object as canonical JSON: fields in declared order, no white space, defaults written.
+    /// The object as canonical JSON: fields in declared order, no white space, and all defaults
+    /// written out.
     pub body: Bytes,
 }
 
 /// One difference between two sets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
-    /// Adds the object or replaces the object of the same kind and name.
+    /// Adds the object, or replaces the object with the same kind and name.
     Upsert(Record),
     /// Removes the object.
     Remove {
@@ -51,20 +52,21 @@
 
 /// Encodes an object.
 pub(crate) fn encode<T: Object>(object: &T) -> Record {
-    // Object types hold only strings, integers, booleans and sequences of them, which always
-    // have a JSON form.
-    let body = serde_json::to_vec(object).expect("an object has a JSON form");
+    // This cannot fail, because object types contain only strings, integers, booleans and sequences
+    // of them.
+    let body = serde_json::to_vec(object).expect("serialize object to JSON");
     Record { kind: T::KIND, name: object.name().clone(), body: body.into() }
 }
 
-/// Decodes an object and compares its name with the record's.
+/// Decodes an object.
 ///
 /// # Errors
 ///
-/// The message of a finding.
+/// Returns the message of a finding if the body is malformed or contains another name than the
+/// record.
 pub(crate) fn decode<T: Object>(record: &Record) -> Result<T, String> {
     let object: T = serde_json::from_slice(&record.body).map_err(|err| {
-        // The parser's message may quote a value, which must not reach a log if it is a secret.
+        // The parser's message may quote a value. A secret must not end up in a log.
         let detail = Some(err.to_string()).filter(|detail| !detail.contains(SECRET_PREFIX));
         let detail = detail.as_deref().unwrap_or("unexpected value");
         format!("malformed {} record: {detail}", record.kind)
@@ -75,8 +77,8 @@
     Ok(object)
 }
 
-/// Feeds a record to a hasher. Each part is preceded by its length, so that no two sequences of
-/// records feed the same bytes.
+/// Adds a record to a hasher. Each part is preceded by its length, so that different sequences of
+/// records never hash the same bytes.
 pub(crate) fn hash(record: &Record, hasher: &mut blake3::Hasher) {
     for part in [record.kind.as_str().as_bytes(), record.name.as_bytes(), &record.body] {
         hasher.update(&(part.len() as u64).to_le_bytes());
--- a/crates/objects/src/secret.rs
+++ b/crates/objects/src/secret.rs
@@ -9,24 +9,25 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use subtle::ConstantTimeEq;
 
+/// Start of every secret, by which a secret in a file or log is recognised.
 pub(crate) const SECRET_PREFIX: &str = "ps_";
-/// 43 characters of 6 bits each hold at least 256 bits.
+/// Random characters after the prefix. 43 characters of 6 bits each hold at least 256 bits.
 const SECRET_CHARS: usize = 43;
 const BASE64URL_ALPHABET: &[u8; 64] =
     b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 const DIGEST_PREFIX: &str = "blake3:";
 
-/// Secret of a key, which only its holder knows. `Debug` does not show it.
+/// Secret of a key or operator. Only its digest is stored. `Debug` does not show the secret.
 #[derive(Clone)]
 pub struct Secret(String);
 
 impl Secret {
-    /// The secret in clear, to hand to its holder.
+    /// The secret in plain text, to hand it to its owner.
     pub fn expose(&self) -> &str {
         &self.0
     }
 
-    /// The digest to publish.
+    /// Digest of the secret, which can be published.
     pub fn digest(&self) -> Digest {
         Digest::of_secret(&self.0)
     }
@@ -38,11 +39,11 @@
     }
 }
 
-/// Generates a secret from the operating system's random source.
+/// Generates a secret with the operating system's random number generator.
 ///
 /// # Errors
 ///
-/// Fails when the operating system has no random bytes to give.
+/// Returns an error if the operating system cannot provide random bytes.
 pub fn generate_secret() -> io::Result<Secret> {
     let mut buf = [0u8; SECRET_CHARS];
     OsRng.try_fill_bytes(&mut buf).map_err(io::Error::other)?;
@@ -50,29 +51,30 @@
     Ok(Secret(SECRET_PREFIX.chars().chain(chars).collect()))
 }
 
-/// Whether `text` has the form of a secret, or starts like one and is longer.
+/// Whether `text` has the form of a secret, or of a secret followed by more characters of its
+/// alphabet.
 pub(crate) fn looks_like_secret(text: &str) -> bool {
     text.strip_prefix(SECRET_PREFIX).is_some_and(|rest| {
         rest.len() >= SECRET_CHARS && rest.bytes().all(|b| BASE64URL_ALPHABET.contains(&b))
     })
 }
 
-/// BLAKE3 digest of a secret. Equality is decided in constant time.
+/// BLAKE3 digest of a secret. `==` compares in constant time; ordering does not.
 #[derive(Clone, Copy, Eq, PartialOrd, Ord)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Digest of the secret that a caller presents.
+    /// Computes the digest of a secret, such as one presented by a caller.
     pub fn of_secret(secret: &str) -> Self {
         Self(*blake3::hash(secret.as_bytes()).as_bytes())
     }
 
-    /// A digest from its bytes.
+    /// Creates a digest from the 32 bytes of the BLAKE3 hash.
     pub const fn from_bytes(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
 
-    /// The digest's bytes.
+    /// The 32 bytes of the BLAKE3 hash.
     pub const fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
@@ -96,7 +98,7 @@
     }
 }
 
-/// The text is not a digest. The text itself is left out, since it may be a secret.
+/// The text is not a digest. The error does not contain the text, since it may be a secret.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a digest is written as \"blake3:\" and 64 hexadecimal digits")]
 pub struct InvalidDigest;
--- a/crates/objects/src/set.rs
+++ b/crates/objects/src/set.rs
@@ -1,4 +1,4 @@
-//! The checked set and its lookups.
+//! The checked object set and its lookups.
 
 use subtle::ConstantTimeEq;
 
@@ -14,7 +14,7 @@
 use crate::secret::Digest;
 use crate::{apply, record};
 
-/// A set of objects without findings. Immutable; a clone is cheap.
+/// A set of objects that satisfies all rules. Immutable and cheap to clone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ObjectSet {
     objects: Objects,
@@ -62,9 +62,9 @@
 
     /// The key with this digest.
     ///
-    /// The search ends at the only candidate, which is compared in constant time. The search
-    /// itself depends on the digest of what the caller presented, from which neither a stored
-    /// digest nor a secret can be derived.
+    /// A binary search finds the only candidate, which is then compared in constant time. The
+    /// timing of the search depends on the digest of what the caller presented. Neither a stored
+    /// digest nor a secret can be derived from it.
     pub fn key_by_digest(&self, digest: &Digest) -> Option<&Key> {
         find_digest(&self.index.key_digests, digest).map(|i| &self.objects.keys[i])
     }
@@ -74,11 +74,11 @@
         find_digest(&self.index.operator_digests, digest).map(|i| &self.objects.operators[i])
     }
 
-    /// The route for a request's path, which has no query.
+    /// The route for the path of a request, without its query.
     ///
     /// A chat route matches its exact path. A service route matches its path and all paths below
-    /// it, in whole segments: `/orders` matches `/orders/7`, but not `/orders-old`. The longest
-    /// matching path wins.
+    /// it, by whole segments: `/orders` matches `/orders/7`, but not `/orders-old`. The route with
+    /// the longest matching path is returned.
     pub fn route_for(&self, path: &str) -> Option<&Route> {
         let paths = &self.index.route_paths;
         let mut candidate = trim_final_slash(path);
@@ -105,7 +105,7 @@
 
     /// The endpoints that serve the model with this name or alias, sorted by name.
     ///
-    /// Endpoints that are leaving or in a zone that is out are included.
+    /// Includes endpoints that are leaving or in a zone that is out.
     pub fn endpoints_for_model(&self, model: &str) -> impl ExactSizeIterator<Item = &Endpoint> {
         let name = self.resolve_model(model).map_or(model, |m| m.name.as_ref());
         indexes_of(&self.index.endpoint_models, name).map(|i| &self.objects.endpoints[i])
@@ -113,7 +113,7 @@
 
     /// The endpoints that serve the service with this name, sorted by name.
     ///
-    /// Endpoints that are leaving or in a zone that is out are included.
+    /// Includes endpoints that are leaving or in a zone that is out.
     pub fn endpoints_for_service(&self, service: &str) -> impl ExactSizeIterator<Item = &Endpoint> {
         indexes_of(&self.index.endpoint_services, service).map(|i| &self.objects.endpoints[i])
     }
@@ -143,7 +143,7 @@
         records
     }
 
-    /// The record of one object.
+    /// The record of the object with this kind and name.
     pub fn record(&self, kind: Kind, name: &str) -> Option<Record> {
         fn get<T: Object>(objects: &Objects, kind: Kind, name: &str, found: &mut Option<Record>) {
             if T::KIND == kind {
@@ -155,34 +155,35 @@
         found
     }
 
-    /// Builds a set from records in any order and checks it like files.
+    /// Builds a set from records in any order and checks it with the same rules as files.
     ///
     /// # Errors
     ///
-    /// All findings; the file of each is `kind/name` of the object.
+    /// Returns all findings. Their `file` is `kind/name` of the object.
     pub fn from_records(records: &[Record]) -> Result<Self, Findings> {
         apply::from_records(records)
     }
 
-    /// The changes that make `newer` from this set, sorted by kind and name.
+    /// Returns the changes that turn this set into `newer`, sorted by kind and name.
     pub fn diff(&self, newer: &Self) -> Vec<Change> {
         apply::diff(&self.objects, &newer.objects)
     }
 
-    /// The set after `changes`, which take effect in their order.
+    /// Returns the set after `changes`, which are applied in order.
     ///
-    /// The cost is linear in the kinds that change and in the kinds that refer to something
-    /// removed; all other kinds are shared with this set and not checked again.
+    /// The cost is linear in the number of objects of the kinds that change, and of the kinds that
+    /// may refer to a removed object or a replaced endpoint. All other kinds are shared with this
+    /// set and not checked again.
     ///
     /// # Errors
     ///
-    /// All findings, among them removals of objects that do not exist. The file of each is
+    /// Returns all findings, including removals of objects that do not exist. Their `file` is
     /// `kind/name` of the object.
     pub fn apply(&self, changes: &[Change]) -> Result<Self, Findings> {
         apply::apply(self, changes)
     }
 
-    /// BLAKE3 digest over the records: equal sets have equal digests on every instance.
+    /// BLAKE3 digest of all records. Equal sets have equal digests on every instance.
     pub fn content_digest(&self) -> [u8; 32] {
         let mut hasher = blake3::Hasher::new();
         for record in self.records() {
--- a/crates/objects/src/set_rules.rs
+++ b/crates/objects/src/set_rules.rs
@@ -12,16 +12,18 @@
 use crate::object_rules::{ObjectRules, check_name};
 use crate::unparsed::UnparsedNames;
 
-/// Searching all names for a suggestion is linear, so only the first findings get one.
+/// Maximum number of suggestions per check. Each one searches all names, so only the first findings
+/// get a suggestion.
 const MAX_SUGGESTIONS: usize = 32;
 
-/// Part of an object that an issue is about.
+/// An object, or the field or array element of one, that an issue is about.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Location {
     pub(crate) kind: Kind,
     /// Index of the object among those of its kind.
     pub(crate) index: usize,
     pub(crate) field: &'static str,
+    /// Index of the element if the field is an array.
     pub(crate) element: Option<usize>,
 }
 
@@ -39,16 +41,16 @@
     }
 }
 
-/// A broken rule, before its position is known.
+/// A violation of a rule, before its position in a file is known.
 #[derive(Debug)]
 pub(crate) struct Issue {
     pub(crate) at: Location,
     pub(crate) message: String,
-    /// An earlier part that this one contradicts.
+    /// The earlier definition that this one conflicts with, if any.
     pub(crate) earlier: Option<Location>,
 }
 
-/// Kinds to check.
+/// The kinds to check.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Scope([bool; Kind::ALL.len()]);
 
@@ -60,7 +62,7 @@
         self.0[kind as usize] = true;
     }
 
-    /// Adds the kinds whose objects may refer to a removed object of this kind.
+    /// Adds the kinds whose objects may refer to an object of this kind.
     pub(crate) fn add_referrers(&mut self, kind: Kind) {
         let referrers: &[Kind] = match kind {
             Kind::Team => &[Kind::Key],
@@ -80,7 +82,7 @@
     }
 }
 
-/// Checks the kinds in `scope`; objects are sorted, but may contain duplicates.
+/// Checks the kinds in `scope`. The objects must be sorted by name but may contain duplicates.
 pub(crate) fn verify(
     objects: &Objects,
     index: &Index,
@@ -114,6 +116,7 @@
     cx.issues
 }
 
+/// Checks each object of one kind by itself, and reports duplicate names.
 fn check_kind<T: ObjectRules>(scope: Scope, cx: &mut Checker<'_>) {
     if !scope.has(T::KIND) {
         return;
@@ -151,7 +154,7 @@
         self.issues.push(Issue { at, message, earlier: Some(earlier) });
     }
 
-    /// A suggestion among `candidates`, as the end of a message.
+    /// Returns a suggestion among `candidates` to append to a message, or an empty string.
     fn hint(&mut self, name: &str, candidates: impl IntoIterator<Item = &'a str>) -> String {
         let Some(left) = self.suggestions_left.checked_sub(1) else {
             return String::new();
@@ -170,7 +173,8 @@
         }
     }
 
-    /// Reports a reference to a model that does not exist or is named by an alias.
+    /// Reports a reference to a model that does not exist, or that uses an alias instead of the
+    /// name.
     fn check_model(&mut self, name: &str, at: Location) {
         let alias = indexes_of(&self.index.model_aliases, name).next();
         match alias.map(|i| &self.objects.models[i]) {
@@ -240,8 +244,9 @@
         }
     }
 
-    /// Reports a route that no endpoint serves. Endpoints that are leaving or in a zone that is
-    /// out count, so that operators can always take an endpoint or a zone out.
+    /// Reports a route that no endpoint serves. Endpoints that are leaving or in a zone that is out
+    /// count as serving, so that operators can always take the last endpoint or zone of a route out
+    /// of service.
     fn check_route_is_served(&mut self, route: &Route, at: Location) {
         let (objects, index) = (self.objects, self.index);
         let is_unparsed = |name: &str| self.unparsed.has_service(name);
--- a/crates/objects/src/source.rs
+++ b/crates/objects/src/source.rs
@@ -1,4 +1,4 @@
-//! Checks TOML files as one set.
+//! Reads TOML files and checks them as one set.
 
 use std::mem;
 use std::sync::Arc;
@@ -17,30 +17,30 @@
 use crate::table::{Fields, FileFinding, hint, quote, type_name};
 use crate::unparsed::UnparsedNames;
 
-/// Version of the format that [`check`] reads.
+/// Version of the file format that [`check`] reads.
 const FORMAT: &str = "1";
 
 /// One file of a set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
-    /// Path of the file, as findings show it.
+    /// Path of the file as shown in findings. The file is not opened.
     pub path: Arc<str>,
-    /// Its text.
+    /// Contents of the file.
     pub text: String,
 }
 
 impl Source {
-    /// A file with its text.
+    /// Creates a source from a path and the contents of the file.
     pub fn new(path: impl Into<Arc<str>>, text: impl Into<String>) -> Self {
         Self { path: path.into(), text: text.into() }
     }
 }
 
-/// Checks files as one set.
+/// Reads files and checks their objects as one set. An object may refer to objects of other files.
 ///
 /// # Errors
 ///
-/// All findings of all files, sorted by file, line and column.
+/// Returns all findings of all files, sorted by file, line and column.
 pub fn check(sources: &[Source]) -> Result<ObjectSet, Findings> {
     let lines: Vec<_> = sources.iter().map(LineIndex::new).collect();
     let mut reader = SetReader::default();
@@ -60,7 +60,8 @@
     Ok(ObjectSet::new(objects, index))
 }
 
-/// The finding for an issue; `None` if it is about a field that already has one.
+/// Adds the position to an issue. Returns `None` if the field, or the one that it conflicts with,
+/// has a finding already.
 fn to_finding(issue: Issue, origins: &Origins, lines: &[LineIndex<'_>]) -> Option<Finding> {
     let origin = &origins[issue.at.kind as usize][issue.at.index];
     if origin.invalid.contains(&issue.at.field) {
@@ -79,15 +80,15 @@
     Some(lines[origin.file].finding(offset, message))
 }
 
-/// Where the objects of each kind were written, parallel to the objects.
+/// Source positions of the objects, by kind and then in the order of the objects.
 type Origins = [Vec<Origin>; Kind::ALL.len()];
 
-/// Collects the objects of all files.
+/// Collects objects, positions and findings of all files.
 #[derive(Default)]
 struct SetReader {
     objects: Objects,
     origins: Origins,
-    /// Findings of the current file.
+    /// Findings of the file that is being read.
     findings: Vec<FileFinding>,
     unparsed: UnparsedNames,
 }
@@ -180,7 +181,7 @@
     reader.origins[kind as usize].push(origin);
 }
 
-/// Sorts the objects of one kind by name, duplicates in the order in which they were written.
+/// Sorts the objects of one kind by name. Duplicates stay in the order of the files.
 fn sort_kind<T: FromFields>(reader: &mut SetReader) {
     let objects = mem::take(Arc::make_mut(T::list_mut(&mut reader.objects)));
     let origins = mem::take(&mut reader.origins[T::KIND as usize]);
--- a/crates/objects/src/table.rs
+++ b/crates/objects/src/table.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of one TOML table and reports what does not fit.
+//! Reads the fields of a TOML table and reports missing, unknown and malformed ones.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -12,10 +12,10 @@
 use crate::origin::Origin;
 use crate::secret::looks_like_secret;
 
-/// A finding of one file: byte offset and message.
+/// Byte offset and message of a finding in one file.
 pub(crate) type FileFinding = (usize, String);
 
-/// The fields of one table.
+/// Reader for the fields of one table.
 pub(crate) struct Fields<'a, 'i> {
     table: &'a DeTable<'i>,
     origin: Origin,
@@ -32,7 +32,7 @@
         Self { table, origin: Origin { file, header, ..Origin::default() }, findings }
     }
 
-    /// Reports fields other than `known`, and returns where the object was written.
+    /// Reports fields that are not in `known`, and returns the source position of the object.
     pub(crate) fn finish(self, known: &[&'static str]) -> Origin {
         for (key, _) in self.table {
             let name = key.get_ref().as_ref();
@@ -49,13 +49,14 @@
         self.table.contains_key(field)
     }
 
+    /// Returns the value of a field and records its position.
     fn get(&mut self, field: &'static str) -> Option<&'a Spanned<DeValue<'i>>> {
         let value = self.table.get(field)?;
         self.origin.fields.push((field, None, value.span().start));
         Some(value)
     }
 
-    /// Reports a finding at a field and marks its value as a substitute.
+    /// Reports a finding about a field and marks the field as invalid.
     pub(crate) fn report(&mut self, field: &'static str, element: Option<usize>, message: String) {
         self.findings.push((self.origin.offset(field, element), message));
         self.origin.invalid.push(field);
@@ -70,7 +71,7 @@
         self.report(field, None, message);
     }
 
-    /// Reports a secret in clear, and returns whether there was one.
+    /// Reports `text` if it looks like a secret, and returns whether it does.
     fn report_secret(&mut self, field: &'static str, element: Option<usize>, text: &str) -> bool {
         let is_secret = looks_like_secret(text);
         if is_secret {
@@ -80,7 +81,7 @@
         is_secret
     }
 
-    /// A string; `None` after a finding or when the field is absent.
+    /// Reads a string. `None` if the field is absent or a finding was reported.
     pub(crate) fn text(&mut self, field: &'static str, expected: &str) -> Option<&'a str> {
         let value = self.get(field)?.get_ref();
         let Some(text) = value.as_str() else {
@@ -90,7 +91,7 @@
         (!self.report_secret(field, None, text)).then_some(text)
     }
 
-    /// A required string; empty after a finding.
+    /// Reads a required string. Empty if a finding was reported.
     pub(crate) fn require_text(&mut self, field: &'static str) -> Arc<str> {
         if !self.has(field) {
             self.missing(field);
@@ -98,14 +99,15 @@
         self.text(field, "a string").unwrap_or_default().into()
     }
 
-    /// An optional name.
+    /// Reads an optional name. `None` only if the field is absent; empty if a finding was reported.
     pub(crate) fn optional_name(&mut self, field: &'static str) -> Option<Name> {
         let has = self.has(field);
         let text = self.text(field, "a string").unwrap_or_default();
         has.then(|| text.into())
     }
 
-    /// A value that is written as a string, such as a rate.
+    /// Reads a value that is written as a string, such as a rate. `expected` describes it in the
+    /// finding about a wrong type.
     pub(crate) fn parsed<T>(&mut self, field: &'static str, expected: &str) -> Option<T>
     where
         T: FromStr,
@@ -114,7 +116,7 @@
         self.parsed_with(field, expected, T::from_str)
     }
 
-    /// As [`Self::parsed`], with a function.
+    /// Like [`Self::parsed`], with a parse function.
     pub(crate) fn parsed_with<T, E: Display>(
         &mut self,
         field: &'static str,
@@ -125,7 +127,7 @@
         parse(text).map_err(|err| self.report(field, None, format!("`{field}`: {err}"))).ok()
     }
 
-    /// A required value that is written as a string.
+    /// Like [`Self::parsed`], but a missing field is reported.
     pub(crate) fn require_parsed<T>(&mut self, field: &'static str, expected: &str) -> Option<T>
     where
         T: FromStr,
@@ -137,7 +139,7 @@
         self.parsed(field, expected)
     }
 
-    /// One of several words.
+    /// Reads a required string that must be one of `words`, and returns the value of that word.
     pub(crate) fn keyword<T: Copy>(
         &mut self,
         field: &'static str,
@@ -156,11 +158,11 @@
         found
     }
 
-    /// A number without unit.
+    /// Reads an integer without a unit. `None` if the field is absent or a finding was reported.
     pub(crate) fn integer<T: TryFrom<u64>>(&mut self, field: &'static str) -> Option<T> {
         let value = self.get(field)?.get_ref();
         let Some(integer) = value.as_integer() else {
-            self.wrong_type(field, "an integer without unit", value);
+            self.wrong_type(field, "an integer without a unit", value);
             return None;
         };
         let number = u64::from_str_radix(integer.as_str(), integer.radix()).ok();
@@ -172,7 +174,7 @@
         number
     }
 
-    /// A required number without unit.
+    /// Like [`Self::integer`], but a missing field is reported.
     pub(crate) fn require_integer<T: TryFrom<u64>>(&mut self, field: &'static str) -> Option<T> {
         if !self.has(field) {
             self.missing(field);
@@ -180,7 +182,7 @@
         self.integer(field)
     }
 
-    /// A boolean, false when absent.
+    /// Reads a boolean. `false` if the field is absent or a finding was reported.
     pub(crate) fn boolean(&mut self, field: &'static str) -> bool {
         let Some(value) = self.get(field) else {
             return false;
@@ -192,7 +194,8 @@
         flag.unwrap_or_default()
     }
 
-    /// A boolean or else a list of strings; `None` when absent or after a finding.
+    /// Reads a boolean (`Ok`) or a sorted list of strings (`Err`). `None` if the field is absent or
+    /// a finding was reported.
     pub(crate) fn boolean_or_list(
         &mut self,
         field: &'static str,
@@ -211,7 +214,7 @@
         }
     }
 
-    /// A list of strings, sorted; `None` when absent or after a finding.
+    /// Reads a list of strings and sorts it. `None` if the field is absent or a finding was reported.
     pub(crate) fn list(&mut self, field: &'static str) -> Option<Vec<Arc<str>>> {
         let value = self.get(field)?.get_ref();
         let Some(array) = value.as_array() else {
@@ -253,7 +256,7 @@
     }
 }
 
-/// The type of a value, as part of a message.
+/// Name of a value's type with its article, for messages.
 pub(crate) fn type_name(value: &DeValue<'_>) -> &'static str {
     match value {
         DeValue::String(_) => "a string",
@@ -266,13 +269,13 @@
     }
 }
 
-/// A suggestion among `candidates`, as the end of a message.
+/// Returns a suggestion among `candidates` to append to a message, or an empty string.
 pub(crate) fn hint<'c>(name: &str, candidates: impl IntoIterator<Item = &'c str>) -> String {
     let near = nearest(name, candidates);
     near.map(|near| format!("; did you mean `{near}`?")).unwrap_or_default()
 }
 
-/// A key of TOML in a message, without what may be a secret.
+/// Quotes a TOML key for a message. A key that looks like a secret is not shown.
 pub(crate) fn quote(key: &str) -> String {
     if looks_like_secret(key) { "`ps_..`".to_owned() } else { format!("`{}`", key.escape_debug()) }
 }
--- a/crates/objects/src/units.rs
+++ b/crates/objects/src/units.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// The text is not a value with the expected unit.
+/// The text is not a value with a unit of the expected kind, or is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidUnit(&'static str);
@@ -21,22 +21,23 @@
 const SIZE_TOO_LARGE: InvalidUnit = InvalidUnit("the size is too large");
 const DURATION_FORMAT: InvalidUnit = InvalidUnit("a duration needs a unit, for example \"300ms\"");
 
-/// Requests per second, stored exactly in thousandths.
+/// A rate in requests per second, stored as an integer number of thousandths. Written as `50/s` or
+/// `0.25/s`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestRate(u64);
 
 impl RequestRate {
-    /// A rate of `milli` thousandths of a request per second.
+    /// Creates a rate of `milli` thousandths of a request per second.
     pub const fn from_milli_per_second(milli: u64) -> Self {
         Self(milli)
     }
 
-    /// Thousandths of a request per second.
+    /// The rate in thousandths of a request per second.
     pub const fn milli_per_second(self) -> u64 {
         self.0
     }
 
-    /// Requests per second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0 as f64 / 1000.0
     }
@@ -74,21 +75,21 @@
     }
 }
 
-/// Number of bytes.
+/// A size in bytes. Written with one of the units `B`, `KiB`, `MiB` and `GiB`, such as `64KiB`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ByteSize(u64);
 
 impl ByteSize {
-    /// Units from the largest to the smallest.
+    /// Units with their size in bytes, from the largest to the smallest.
     const UNITS: [(&str, u64); 4] =
         [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1)];
 
-    /// A size of `bytes` bytes.
+    /// Creates a size of `bytes` bytes.
     pub const fn from_bytes(bytes: u64) -> Self {
         Self(bytes)
     }
 
-    /// A size of `mib` mebibytes.
+    /// Creates a size of `mib` mebibytes.
     pub const fn from_mib(mib: u32) -> Self {
         Self((mib as u64) << 20)
     }
@@ -127,9 +128,9 @@
     !s.is_empty() && s.bytes().all(|b| b.is_ascii_digit())
 }
 
-/// Reads a duration such as `300ms` or `1h 30m`.
+/// Parses a duration such as `300ms` or `1h 30m`.
 ///
-/// A bare `0` is refused although `humantime` accepts it, because units are required.
+/// Refuses a bare `0`, which `humantime` accepts, because units are required.
 pub(crate) fn parse_duration(s: &str) -> Result<Duration, InvalidUnit> {
     if is_digits(s) {
         return Err(DURATION_FORMAT);
@@ -137,7 +138,7 @@
     humantime::parse_duration(s).map_err(|_| DURATION_FORMAT)
 }
 
-/// Reads a value from a string through `FromStr`, for `serde`.
+/// Deserializes a string and parses it.
 fn deserialize_text<'de, D, T>(
     deserializer: D,
     parse: fn(&str) -> Result<T, InvalidUnit>,
@@ -173,7 +174,7 @@
     }
 }
 
-/// `serde` functions for durations written as text.
+/// Functions for `#[serde(with)]` that write durations as text.
 pub(crate) mod duration {
     use super::*;
 
--- a/crates/objects/src/unparsed.rs
+++ b/crates/objects/src/unparsed.rs
@@ -1,17 +1,18 @@
 //! Names in malformed files.
 //!
-//! The parser skips part of a malformed file. References to what it skipped would be reported as
-//! unknown and hide the true cause, so names are also collected from the text.
+//! The parser skips part of a malformed file. References to skipped objects would be reported as
+//! unknown and hide the actual error, so names are also collected from the raw text.
 
-/// Names that malformed files define as far as their text shows; sorted.
+/// Names that the text of malformed files seems to define, sorted.
 #[derive(Debug, Default)]
 pub(crate) struct UnparsedNames {
     names: Vec<String>,
+    /// Models and services that endpoints serve.
     services: Vec<String>,
 }
 
 impl UnparsedNames {
-    /// Adds the names of a malformed file.
+    /// Adds the names in the text of a malformed file.
     pub(crate) fn add(&mut self, text: &str) {
         let mut in_endpoint = false;
         for line in text.lines().map(str::trim_start) {
@@ -46,7 +47,7 @@
     sorted.binary_search_by(|s| s.as_str().cmp(name)).is_ok()
 }
 
-/// The parts of `text` that have only characters of names.
+/// Splits `text` at all characters other than ASCII letters, digits, `.`, `_` and `-`.
 fn words(text: &str) -> impl Iterator<Item = String> {
     let is_other = |c: char| !c.is_ascii_alphanumeric() && !matches!(c, '.' | '_' | '-');
     text.split(is_other).filter(|word| !word.is_empty()).map(str::to_owned)
--- a/crates/objects/tests/finding_positions.rs
+++ b/crates/objects/tests/finding_positions.rs
@@ -158,7 +158,7 @@
         &[
             "a:13:11: error: `address` must be an address such as \"127.0.0.1:9000\", not an integer",
             "a:14:11: error: elements of `models` must be strings, not an integer",
-            "a:15:12: error: `capacity` must be an integer without unit, not a string",
+            "a:15:12: error: `capacity` must be an integer without a unit, not a string",
             "a:16:11: error: `leaving` must be true or false, not an integer",
         ],
     );
