--- a/crates/objects/examples/check_objects.rs
+++ b/crates/objects/examples/check_objects.rs
@@ -1,5 +1,5 @@
-//! Checks two files as one set and prints the findings with their positions; then corrects the set,
-//! changes it, and carries the difference to another copy.
+//! Checks two files as one set and prints the findings with their positions. Then corrects the files,
+//! changes the set, and applies the difference to the old set.
 
 use poplarspan_objects::{Change, Findings, Source, check};
 
@@ -23,7 +23,7 @@
 "#;
 
 fn main() -> Result<(), Findings> {
-    // Nothing of a set with findings is used. All findings of all files are reported together.
+    // A set with findings is refused as a whole. The findings of all files are reported together.
     let zones = Source::new("zones.toml", ZONES);
     match check(&[Source::new("teams.toml", TEAMS), zones]) {
         Err(findings) => println!("{findings}"),
@@ -35,7 +35,7 @@
     let old = check(&[teams.clone(), zones])?;
     println!("{} objects; burst {:?}", old.len(), old.rate("small").map(|r| r.burst));
 
-    // The zone is removed and the burst raised.
+    // Remove the zone and raise the burst.
     let teams = Source::new("teams.toml", teams.text.replace("10", "20"));
     let new = check(&[teams])?;
     let changes = old.diff(&new);
@@ -49,9 +49,9 @@
         }
     }
 
-    // Changes are checked again where they arrive.
+    // The receiver of changes checks them again.
     let copy = old.apply(&changes)?;
-    println!("copies are equal: {}", copy.content_digest() == new.content_digest());
+    println!("sets are equal: {}", copy.content_digest() == new.content_digest());
     if let Err(findings) = copy.apply(&changes) {
         println!("{findings}");
     }
--- a/crates/objects/tests/arbitrary_input.rs
+++ b/crates/objects/tests/arbitrary_input.rs
@@ -1,17 +1,17 @@
-//! No input may panic: files come from operators, records from other instances.
+//! Guards against panics on malformed input: files come from operators, records from other instances.
 
 use poplarspan_objects::{Change, Kind, ObjectSet, Record, Source, check};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Printed by proptest with every failure.
+/// Fixed, so that each run tests the same cases. Proptest prints it with each failure.
 const SEED: u64 = 7;
 
 fn config(cases: u32) -> Config {
     Config { cases, rng_seed: RngSeed::Fixed(SEED), failure_persistence: None, ..Config::default() }
 }
 
-/// Lines that are near to valid ones, so that every branch of the reader is reached.
+/// Generates lines that are almost valid, so that they reach every branch of the reader.
 fn line() -> impl Strategy<Value = String> {
     let kinds = "team|key|rate|route|endpoint|model|zone|budget|operator|format|x";
     let fields = "name|rate|budget|weight|team|digest|burst|path|kind|model|service|open|\
@@ -32,14 +32,14 @@
 proptest! {
     #![proptest_config(config(700))]
 
-    /// Guards against a panic of the parser or of position arithmetic.
+    /// Guards against a panic in the parser or in the computation of positions.
     #[test]
     fn text_never_panics(text in any::<String>(), other in "\\PC*") {
         let _ = check(&[Source::new("a", text), Source::new("b", other)]);
     }
 
-    /// Guards against a panic of a rule that meets a substitute value, and against findings
-    /// outside the file.
+    /// Guards against a rule that panics on a substitute value, and against positions outside the
+    /// file.
     #[test]
     fn toml_never_panics(lines in prop::collection::vec(line(), 0..30)) {
         let text = format!("format = 1\n{}", lines.join("\n"));
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Guards against a panic at an instance that receives damaged records.
+    /// Guards against a panic of an instance that receives malformed records.
     #[test]
     fn records_never_panic(
         records in prop::collection::vec((0..9usize, "[a-z]{0,2}", record_body()), 0..6),
--- a/crates/objects/tests/finding_positions.rs
+++ b/crates/objects/tests/finding_positions.rs
@@ -1,4 +1,4 @@
-//! Every kind of finding, with its exact position and message.
+//! The position and message of each kind of finding.
 
 use poplarspan_objects::{Source, check};
 
@@ -7,7 +7,7 @@
     check(&sources).err().map(|findings| findings.to_string()).unwrap_or_default()
 }
 
-/// Checks one file `a` that starts with `format = 1` on line 1.
+/// Checks the findings of one file `a`, in which `text` follows `format = 1` on line 1.
 fn expect(text: &str, expected: &[&str]) {
     let found = findings(&[("a", &format!("format = 1\n{text}"))]);
     assert_eq!(found.lines().collect::<Vec<_>>(), expected, "in:\n{text}");
@@ -20,7 +20,7 @@
     format!("blake3:{}", digit.to_string().repeat(64))
 }
 
-/// An endpoint on 7 lines, preceded by its zone and model on lines 2 to 9.
+/// An endpoint with `fields` from line 13 on, preceded by its zone and model on lines 2 to 9.
 fn endpoint(fields: &str) -> String {
     format!(
         "[[zone]]\nname = \"z\"\nstate = \"in\"\n[[model]]\nname = \"m\"\nmax_context = 10\n\
@@ -30,7 +30,7 @@
 
 const SERVES: &str = "address = \"127.0.0.1:80\"\nmodels = [\"m\"]\n";
 
-/// Guards against references that resolve to nothing at run time.
+/// Guards against references to objects that do not exist, which would only fail at run time.
 #[test]
 fn unknown_references() {
     expect(
@@ -52,7 +52,7 @@
     expect(&text, &["a:12:9: error: unknown model \"nn\"; it is an alias of `n`"]);
 }
 
-/// Guards against two definitions of one name, also in different files.
+/// Guards against two definitions of one name, even in different files.
 #[test]
 fn duplicate_names() {
     let text = format!("format = 1\n{RATE}");
@@ -60,7 +60,7 @@
     assert_eq!(findings(&[("a", &text), ("b", &text)]), expected);
 }
 
-/// Guards against rates that no team can use or that limit nothing.
+/// Guards against rates that admit no request, and against rates too high to be a limit.
 #[test]
 fn impossible_rates() {
     let rate = |rate: &str, burst: &str| {
@@ -81,7 +81,7 @@
     expect(&rate("5/s", "1000001"), &[burst]);
 }
 
-/// Guards against routes that can only fail.
+/// Guards against routes without an endpoint, whose requests can only fail.
 #[test]
 fn unserved_routes() {
     let base = endpoint("address = \"127.0.0.1:80\"\nservice = \"orders\"\ncapacity = 1\n");
@@ -96,7 +96,7 @@
     expect(&format!("{base}{chat}model = \"m\"\n"), &[message]);
 }
 
-/// Guards against misspelt fields and kinds that would silently have no effect.
+/// Guards against misspelt fields and kinds that are silently ignored.
 #[test]
 fn unknown_fields() {
     expect(
@@ -113,7 +113,8 @@
     expect("[[zone]]\nname = \"z\"\n", &["a:2:1: error: missing field `state`"]);
 }
 
-/// Guards against values without unit, which would be read in a unit the operator did not mean.
+/// Guards against values without a unit, which could be read in another unit than the operator
+/// meant.
 #[test]
 fn wrong_units() {
     let form = "a rate needs the unit requests per second, for example \"50/s\"";
@@ -132,7 +133,7 @@
     expect(&text, &[&format!("a:20:12: error: `max_body`: {form}")]);
 }
 
-/// Guards against secrets in files, and against findings that repeat them.
+/// Guards against secrets in files, and against findings that quote them.
 #[test]
 fn plaintext_secrets() {
     let text = format!("[[operator]]\nname = \"o\"\ndigest = \"{SECRET}\"\n");
@@ -149,7 +150,7 @@
     expect(&text, &[&format!("a:4:10: error: `digest`: {message}")]);
 }
 
-/// Guards against a value of a wrong type being taken as a default.
+/// Guards against a value of the wrong type being replaced by the default.
 #[test]
 fn wrong_types() {
     let text = endpoint("address = 80\nmodels = [5]\ncapacity = \"1\"\nleaving = 1\n");
@@ -164,7 +165,7 @@
     );
 }
 
-/// Guards against one malformed line hiding all other findings, or causing false ones.
+/// Guards against a malformed line that hides all other findings or causes false ones.
 #[test]
 fn malformed_toml() {
     let team = "[[team]]\nname = \"t\"\nrate = \"lost\"\n[[team]]\nname = \"u\"\nrate = \"s\"\n";
@@ -178,7 +179,7 @@
     );
 }
 
-/// Guards against files of another version being read by the rules of this one.
+/// Guards against files of another format version being read as this one.
 #[test]
 fn format_line() {
     assert_eq!(findings(&[("a", RATE)]), "a:1:1: error: missing `format = 1`");
@@ -188,7 +189,7 @@
     assert_eq!(findings(&[("a", "format = \"1\"\n")]), message);
 }
 
-/// Guards against sets that leave nowhere to run anything.
+/// Guards against a set in which every zone is out, so that no request can run.
 #[test]
 fn zones_out() {
     let zone = "[[zone]]\nname = \"z\"\nstate = \"out\"\n";
@@ -196,7 +197,7 @@
     expect(&format!("{zone}[[zone]]\nname = \"y\"\nstate = \"in\"\n"), &[]);
 }
 
-/// Guards against requests or model names with two meanings.
+/// Guards against paths, addresses, model names and digests that identify two objects.
 #[test]
 fn conflicts() {
     let base = endpoint("address = \"127.0.0.1:80\"\nservice = \"s\"\ncapacity = 1\n");
@@ -229,7 +230,7 @@
     expect(&format!("{}{}", key("o"), key("p")), &[message]);
 }
 
-/// Guards against numbers that contradict each other.
+/// Guards against fields of one object that contradict each other.
 #[test]
 fn contradictions() {
     let text = endpoint(&format!("{SERVES}capacity = 2\ncold_capacity = 3\n"));
@@ -249,7 +250,7 @@
     );
 }
 
-/// Guards against findings in the order of reading instead of by file, line and column.
+/// Guards against findings in reading order instead of sorted by file, line and column.
 #[test]
 fn sorted_over_files() {
     let text = "format = 1\n[[zone]]\nname = \"Ä\"\nstate = 1\n# ä\n";
--- a/crates/objects/tests/large_sets.rs
+++ b/crates/objects/tests/large_sets.rs
@@ -1,4 +1,4 @@
-//! Sets of the target size.
+//! Sets with 30,000 teams, the size that the system is designed for.
 
 use std::fmt::Write;
 use std::time::Instant;
@@ -7,7 +7,7 @@
 
 const TEAMS: usize = 30_000;
 
-/// A set with a key for each team; every team's rate is `rate`.
+/// A file with [`TEAMS`] teams, a key for each, and the rate `standard`. All teams refer to `rate`.
 fn source(rate: &str) -> Source {
     let mut text =
         "format = 1\n[[rate]]\nname = \"standard\"\nrate = \"5/s\"\nburst = 5\n".to_owned();
@@ -20,7 +20,7 @@
     Source::new("large", text)
 }
 
-/// Runs `f` and prints how long it took; there is no bound, since the machine may be busy.
+/// Runs `f` and prints its duration. There is no time limit, since the machine may be busy.
 fn timed<T>(what: &str, f: impl FnOnce() -> T) -> T {
     let start = Instant::now();
     let value = f();
@@ -28,8 +28,8 @@
     value
 }
 
-/// Guards against a cost that grows with the square of the number of teams, which would make this
-/// test run for minutes.
+/// Guards against a cost that is quadratic in the number of teams, which would make this test run
+/// for minutes.
 #[test]
 fn thirty_thousand_teams() {
     let source = source("standard");
@@ -55,7 +55,7 @@
     assert_eq!(changed.key_by_digest(&digest).unwrap().name.as_ref(), "key-29999");
 }
 
-/// Guards against suggestions that are searched among all names for each of many findings.
+/// Guards against a search of all names for a suggestion for each of many findings.
 #[test]
 fn many_findings() {
     let source = source("standart");
--- a/crates/objects/tests/sample_sets.rs
+++ b/crates/objects/tests/sample_sets.rs
@@ -1,4 +1,4 @@
-//! The sets under `examples/` must stay valid, since operators start from them.
+//! Checks that the sets under `examples/` are valid, since operators copy them as a start.
 
 use std::path::Path;
 
@@ -10,14 +10,14 @@
     check(&[Source::new(name, text)]).unwrap_or_else(|findings| panic!("{findings}"))
 }
 
-/// Zones, chat endpoints, service endpoints and teams.
+/// Numbers of zones, chat endpoints, service endpoints and teams.
 fn sizes(set: &ObjectSet) -> [usize; 4] {
     let is_chat = |serves: &Serves| matches!(serves, Serves::Models(_));
     let chat = set.endpoints().iter().filter(|e| is_chat(&e.serves)).count();
     [set.zones().len(), chat, set.endpoints().len() - chat, set.teams().len()]
 }
 
-/// Guards against a sample that `dev` refuses to start with.
+/// Guards against a sample with which the `dev` command fails to start.
 #[test]
 fn dev_passes() {
     let set = load("dev.toml");
@@ -30,7 +30,7 @@
     assert_eq!(set.rate("demo").unwrap().burst, 200);
 }
 
-/// Guards against samples that drift from the deployments they describe.
+/// Guards against samples that no longer match the deployments that they describe.
 #[test]
 fn deployments_pass() {
     assert_eq!(sizes(&load("highlands.toml")), [4, 15, 10, 8]);
--- a/crates/objects/tests/set_changes.rs
+++ b/crates/objects/tests/set_changes.rs
@@ -1,4 +1,4 @@
-//! Records, differences and their application.
+//! Records, differences between sets, and applying changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -8,10 +8,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Printed by proptest with every failure.
+/// Fixed, so that each run tests the same cases. Proptest prints it with each failure.
 const SEED: u64 = 11;
 
-/// What a generated set contains: objects by number with the values that vary.
+/// Contents of a generated set: the numbers of its objects, with the values that vary.
 #[derive(Clone, Debug, Default)]
 struct SetSpec {
     teams: BTreeMap<u8, u16>,
@@ -100,7 +100,8 @@
         ..Config::default()
     })]
 
-    /// Guards against instances that apply the changes and end with another set or other lookups.
+    /// Guards against instances that have another set or other lookup tables after applying the
+    /// changes.
     #[test]
     fn diff_then_apply(old in spec(), new in spec()) {
         let (old, new) = (build(&old), build(&new));
@@ -113,7 +114,7 @@
         prop_assert!(order.is_sorted());
     }
 
-    /// Guards against records that lose a field, and against an encoding that is not canonical.
+    /// Guards against records that lose a field, and against a non-canonical encoding.
     #[test]
     fn records_round_trip(spec in spec()) {
         let set = build(&spec);
@@ -125,7 +126,8 @@
         prop_assert_eq!(ObjectSet::from_records(&records).unwrap(), set);
     }
 
-    /// Guards against the partial check of `apply` accepting what a full check refuses.
+    /// Guards against `apply`, which checks only some kinds, accepting a set that a full check
+    /// refuses.
     #[test]
     fn apply_checks_enough(spec in spec(), pick in any::<prop::sample::Index>()) {
         let set = build(&spec);
@@ -154,7 +156,7 @@
     set.apply(changes).unwrap_err().to_string()
 }
 
-/// Guards against changes that are refused without saying why, or not refused.
+/// Guards against invalid changes that are accepted, or refused without the reason.
 #[test]
 fn refused_changes() {
     let set = sample();
@@ -172,8 +174,8 @@
     assert!(found.contains("malformed endpoint record: unknown field `new_field`"), "{found}");
 }
 
-/// Guards against a route that stays published when its last endpoint turns to another service,
-/// and against a secret in a record that reaches a log.
+/// Guards against a route that remains when its last endpoint changes to another service, and
+/// against findings that quote a secret from a record.
 #[test]
 fn refused_upserts() {
     let spec =
@@ -190,7 +192,7 @@
     assert_eq!(refused(&set, &[Change::Upsert(change)]), message);
 }
 
-/// Guards against lookups by binary search in lists that a record left unsorted.
+/// Guards against unsorted lists in records, on which lookups by binary search fail.
 #[test]
 fn unsorted_lists() {
     let set = sample();
@@ -200,7 +202,8 @@
     assert!(found.contains("endpoint/e0: error: `models` is not sorted"), "{found}");
 }
 
-/// Guards against changes of several publications, sent together, being taken out of order.
+/// Guards against changes of several publications being applied out of order when they are sent
+/// together.
 #[test]
 fn changes_in_order() {
     let set = sample();
@@ -211,7 +214,7 @@
     assert!(set.apply(&[add, remove]).unwrap().team("t2").is_none());
 }
 
-/// Guards against two records of one object, of which only one would be kept.
+/// Guards against duplicate records of one object, of which all but one would be dropped silently.
 #[test]
 fn duplicate_records() {
     let mut records = sample().records();
--- a/crates/objects/tests/set_lookups.rs
+++ b/crates/objects/tests/set_lookups.rs
@@ -1,4 +1,4 @@
-//! Lookups of a set.
+//! Lookups of routes, models, endpoints and keys in a set.
 
 use poplarspan_objects::{Digest, ObjectSet, Source, check, generate_secret};
 
@@ -16,8 +16,8 @@
     check(&[Source::new("a", text + extra)]).unwrap_or_else(|findings| panic!("{findings}"))
 }
 
-/// Guards against a request reaching a route that shares only part of a segment, or the shorter of
-/// two routes.
+/// Guards against a request that is matched by part of a path segment, or by the shorter of two
+/// matching paths.
 #[test]
 fn longest_prefix() {
     let set = build(
@@ -47,7 +47,8 @@
     assert!(root.route_for("/").is_some() && root.route_for("/any/thing").is_some());
 }
 
-/// Guards against POST requests that are repeated because a route does not mention them.
+/// Guards against POST requests that are retried because the route does not list its non-idempotent
+/// methods.
 #[test]
 fn idempotency_defaults() {
     let set = build(&[("c", "/c", "chat"), ("s", "/s", "service")], "");
@@ -56,7 +57,7 @@
     assert!(!set.route("s").unwrap().is_non_idempotent("PUT"));
 }
 
-/// Guards against aliases that find no endpoint.
+/// Guards against aliases that resolve to no endpoint.
 #[test]
 fn aliases_and_services() {
     let set = build(&[], "");
@@ -67,7 +68,8 @@
     assert_eq!(set.endpoints_for_service("m").len(), 0);
 }
 
-/// Guards against a key that is found by another secret, and against secrets in logs.
+/// Guards against a key that is found by another secret, and against `Debug` output that contains a
+/// secret.
 #[test]
 fn keys_by_digest() {
     let secrets: Vec<_> = (0..20).map(|_| generate_secret().unwrap()).collect();
