--- a/crates/agreement/benches/commit.rs
+++ b/crates/agreement/benches/commit.rs
@@ -10,8 +10,8 @@
 use futures::future::{BoxFuture, join_all};
 use poplarspan_agreement::{
     Entry, FileStore, FolderId, GroupHandle, GroupId, LogPosition, Node, NodeConfig, Payload,
-    PeerMessage, Persist, ReplicaId, Role, Snapshot, StateMachine, Storage, StoreError,
-    StoreOptions, StoreStats, Stored, Transport, init_voters,
+    PeerMessage, PersistRequest, ReplicaId, Role, Snapshot, StateMachine, Storage, StoreError,
+    StoreOptions, StoreStats, StoredGroup, Transport, init_voters,
 };
 use tempfile::TempDir;
 use tokio::runtime::Runtime;
@@ -41,12 +41,12 @@
 
 type Nodes = Arc<Mutex<Vec<Weak<Node>>>>;
 
-struct Port {
+struct LocalTransport {
     from: ReplicaId,
     nodes: Nodes,
 }
 
-impl Transport for Port {
+impl Transport for LocalTransport {
     fn send(&self, to: ReplicaId, message: PeerMessage) {
         let nodes = self.nodes.lock().expect("no panic");
         let node = nodes.iter().filter_map(Weak::upgrade).find(|n| n.replica() == to);
@@ -58,16 +58,16 @@
 }
 
 /// Lets the benchmark read the counters of a store that a node owns.
-struct Shared(Arc<FileStore>);
+struct SharedStore(Arc<FileStore>);
 
-impl Storage for Shared {
-    fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, Stored)>, StoreError>> {
+impl Storage for SharedStore {
+    fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, StoredGroup)>, StoreError>> {
         self.0.load()
     }
 
     fn persist(
         &self,
-        batch: Vec<(GroupId, Persist)>,
+        batch: Vec<(GroupId, PersistRequest)>,
     ) -> BoxFuture<'static, Result<(), StoreError>> {
         self.0.persist(batch)
     }
@@ -135,8 +135,8 @@
 }
 
 async fn start(id: ReplicaId, store: Arc<FileStore>, nodes: Nodes) -> Arc<Node> {
-    let transport = Arc::new(Port { from: id, nodes });
-    let builder = Node::builder(id, Box::new(Shared(store)), transport)
+    let transport = Arc::new(LocalTransport { from: id, nodes });
+    let builder = Node::builder(id, Box::new(SharedStore(store)), transport)
         .config(NodeConfig { seed: id.0, ..NodeConfig::default() })
         .group(GROUP, Box::new(Counter(0)));
     Arc::new(builder.start().await.expect("started"))
@@ -216,7 +216,7 @@
         });
         init_voters(store.as_ref(), &[GROUP], &[ReplicaId(1)]).await.expect("voters");
         for entry in entries {
-            let persist = Persist { entries: vec![entry], ..Persist::default() };
+            let persist = PersistRequest { entries: vec![entry], ..PersistRequest::default() };
             store.persist(vec![(GROUP, persist)]).await.expect("persisted");
         }
         store.close().await.expect("closed");
--- a/crates/agreement/examples/replicated_counter.rs
+++ b/crates/agreement/examples/replicated_counter.rs
@@ -36,12 +36,12 @@
 type Nodes = Arc<Mutex<Vec<Weak<Node>>>>;
 
 /// Delivers messages to the nodes of this process.
-struct InMemory {
+struct LocalTransport {
     from: (ReplicaId, FolderId),
     nodes: Nodes,
 }
 
-impl Transport for InMemory {
+impl Transport for LocalTransport {
     fn send(&self, to: ReplicaId, message: PeerMessage) {
         let nodes = self.nodes.lock().expect("no thread panics");
         // Without such a node the message is lost, which the log tolerates.
@@ -56,7 +56,7 @@
     for id in VOTERS {
         let dir = DataDir::open(&folder.join(id.0.to_string()))?;
         let store = FileStore::open(&dir.log_folder(), StoreOptions::default())?;
-        let transport = InMemory { from: (id, dir.folder()), nodes: nodes.clone() };
+        let transport = LocalTransport { from: (id, dir.folder()), nodes: nodes.clone() };
         let node = Node::builder(id, Box::new(store), Arc::new(transport))
             .peers(dir.peers()?)
             .group(GROUP, Box::<Counter>::default());
--- a/crates/agreement/src/core.rs
+++ b/crates/agreement/src/core.rs
@@ -16,22 +16,22 @@
 mod api;
 mod durability;
 mod election;
-mod log_view;
 mod membership;
+mod memory_log;
 mod progress;
 mod reads;
 mod replication;
 mod snapshot;
 
 pub use api::{
-    CoreConfig, Input, Output, ProposalResult, ReadResult, Refusal, Restored, Role, RoleChange,
-    Status, VoterChange,
+    CoreConfig, InitialState, Input, MembershipChange, MembershipChangeError, Output,
+    ProposalResult, ReadResult, Role, RoleChange, Status,
 };
 
 use durability::Durability;
-use election::Ballot;
-use log_view::LogView;
-use progress::Lead;
+use election::VoteTally;
+use memory_log::MemoryLog;
+use progress::LeaderState;
 use snapshot::PartialSnapshot;
 
 /// Counts violated invariants, by name.
@@ -52,27 +52,27 @@
     /// a heartbeat just before its restart.
     heard_at: Option<Duration>,
     election_deadline: Duration,
-    ballot: Ballot,
-    lead: Lead,
-    log: LogView,
+    tally: VoteTally,
+    leader_state: LeaderState,
+    log: MemoryLog,
     commit: u64,
     applied: u64,
     durability: Durability,
     /// Snapshot at the log's snapshot position, if it is in memory.
     snapshot: Option<Snapshot>,
     partial_snapshot: Option<PartialSnapshot>,
-    /// Proposals of this replica whose index is not committed, with their tickets.
+    /// Proposals of this replica whose index is not committed, with their request ids.
     proposals: Vec<(LogPosition, u64)>,
-    reported: RoleChange,
+    reported_role: RoleChange,
     out: Output,
     violations: u64,
 }
 
 impl Core {
     /// Creates a replica from its durable state. It starts as a follower.
-    pub fn new(cfg: CoreConfig, restored: Restored) -> Self {
-        let Restored { hard_state, snapshot, membership, entries } = restored;
-        let mut log = LogView::new(snapshot, membership);
+    pub fn new(cfg: CoreConfig, restored: InitialState) -> Self {
+        let InitialState { hard_state, snapshot, membership, entries } = restored;
+        let mut log = MemoryLog::new(snapshot, membership);
         for e in entries {
             if e.position.index == log.last().index + 1 {
                 log.append(e);
@@ -88,8 +88,8 @@
             leader: None,
             heard_at: None,
             election_deadline: Duration::ZERO,
-            ballot: Ballot::default(),
-            lead: Lead::default(),
+            tally: VoteTally::default(),
+            leader_state: LeaderState::default(),
             commit: snapshot.index,
             applied: snapshot.index,
             durability: Durability::new(log.last().index),
@@ -97,7 +97,7 @@
             snapshot: None,
             partial_snapshot: None,
             proposals: Vec::new(),
-            reported: RoleChange { role: Role::Follower, term: hard_state.term, leader: None },
+            reported_role: RoleChange { role: Role::Follower, term: hard_state.term, leader: None },
             out: Output::default(),
             violations: 0,
         }
@@ -122,10 +122,12 @@
         match input {
             Input::Tick => self.tick(),
             Input::Message { from, message } => self.receive(from, message),
-            Input::Synced { ticket } => self.synced(ticket),
-            Input::Propose { data, ticket } => self.propose(data, ticket),
-            Input::Read { ticket } => self.read(ticket),
-            Input::ChangeVoters { change, ticket } => self.change_voters(change, ticket),
+            Input::Synced { sequence } => self.synced(sequence),
+            Input::Propose { data, request_id } => self.propose(data, request_id),
+            Input::Read { request_id } => self.read(request_id),
+            Input::ChangeMembership { change, request_id } => {
+                self.change_membership(change, request_id)
+            }
             Input::TransferLeadership { to } => self.transfer_leadership(to),
             Input::Compact { snapshot } => self.compact(snapshot),
         }
@@ -143,14 +145,14 @@
             snapshot: self.log.snapshot(),
             membership: self.log.membership().clone(),
             membership_committed: self.log.membership_index() <= self.commit,
-            peers: self.lead.peers.iter().map(|p| (p.id, p.matched)).collect(),
-            silence: self
-                .lead
+            peers: self.leader_state.peers.iter().map(|p| (p.id, p.matched)).collect(),
+            last_contact: self
+                .leader_state
                 .peers
                 .iter()
                 .map(|p| (p.id, self.now.saturating_sub(p.heard_at)))
                 .collect(),
-            transfer: self.lead.transfer.as_ref().map(|t| t.to),
+            transfer: self.leader_state.transfer.as_ref().map(|t| t.to),
             violations: self.violations,
         }
     }
@@ -196,8 +198,8 @@
         }
     }
 
-    fn synced(&mut self, ticket: u64) {
-        let Some(messages) = self.durability.synced(ticket) else { return };
+    fn synced(&mut self, sequence: u64) {
+        let Some(messages) = self.durability.synced(sequence) else { return };
         self.out.messages.extend(messages);
         match self.role {
             Role::Candidate if self.durability.hard_state_synced() => {
@@ -208,31 +210,31 @@
         }
     }
 
-    fn propose(&mut self, data: bytes::Bytes, ticket: u64) {
-        if self.role != Role::Leader || self.lead.transfer.is_some() {
+    fn propose(&mut self, data: bytes::Bytes, request_id: u64) {
+        if self.role != Role::Leader || self.leader_state.transfer.is_some() {
             let leader = self.leader.filter(|&id| id != self.cfg.id);
-            self.out.proposals.push((ticket, ProposalResult::NotLeader { leader }));
+            self.out.proposals.push((request_id, ProposalResult::NotLeader { leader }));
             return;
         }
-        self.append_own(Payload::Command(data), ticket);
+        self.append_proposal(Payload::Command(data), request_id);
     }
 
     fn finish(&mut self) -> Output {
         if self.commit < self.applied {
-            self.violation("commit index never goes back");
+            self.report_violation("commit index never goes back");
         } else if self.applied < self.commit {
             self.out.apply = self.log.range(self.applied + 1, self.commit);
             self.applied = self.commit;
-            self.settle_proposals();
+            self.report_overwritten_proposals();
         }
         self.out.persist = self.durability.next_persist(self.hard_state, &self.log);
         let role = self.role_change();
-        if role != self.reported {
+        if role != self.reported_role {
             info!(
                 "replica {}: role {:?}, term {}, leader {:?}",
                 self.cfg.id.0, role.role, role.term, role.leader
             );
-            self.reported = role;
+            self.reported_role = role;
             self.out.role = Some(role);
         }
         std::mem::take(&mut self.out)
@@ -240,12 +242,12 @@
 
     /// Reports the proposals whose index was committed with another entry. An entry that was only
     /// removed from this log may be on another replica and still be committed.
-    fn settle_proposals(&mut self) {
+    fn report_overwritten_proposals(&mut self) {
         let Self { proposals, log, out, commit, .. } = self;
-        proposals.retain(|&(position, ticket)| {
+        proposals.retain(|&(position, request_id)| {
             let committed = position.index <= *commit;
             if committed && !log.matches(position) {
-                out.proposals.push((ticket, ProposalResult::Overwritten));
+                out.proposals.push((request_id, ProposalResult::Overwritten));
             }
             !committed
         });
@@ -261,19 +263,19 @@
 
     /// Sends a message once the current term and vote are synced.
     fn send_after_vote_sync(&mut self, to: ReplicaId, message: Message) {
-        self.send_after(self.durability.hard_state_ticket(), to, message);
+        self.send_after(self.durability.hard_state_sequence(), to, message);
     }
 
     /// Sends a message once everything in memory is synced.
     fn send_after_sync(&mut self, to: ReplicaId, message: Message) {
-        self.send_after(self.durability.full_ticket(&self.log), to, message);
+        self.send_after(self.durability.full_sequence(&self.log), to, message);
     }
 
-    fn send_after(&mut self, ticket: u64, to: ReplicaId, message: Message) {
-        if self.durability.is_synced(ticket) {
+    fn send_after(&mut self, sequence: u64, to: ReplicaId, message: Message) {
+        if self.durability.is_synced(sequence) {
             self.send(to, message);
         } else {
-            self.durability.hold(ticket, to, message);
+            self.durability.defer(sequence, to, message);
         }
     }
 
@@ -292,7 +294,7 @@
     }
 
     /// Reports a violated invariant: a panic in debug builds, a log line and a counter otherwise.
-    fn violation(&mut self, invariant: &'static str) {
+    fn report_violation(&mut self, invariant: &'static str) {
         self.violations += 1;
         metrics::counter!(VIOLATIONS_METRIC, "invariant" => invariant).increment(1);
         error!("replica {}: invariant violated: {invariant}", self.cfg.id.0);
--- a/crates/agreement/src/core/api.rs
+++ b/crates/agreement/src/core/api.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 
 use crate::message::Message;
-use crate::types::{Entry, HardState, LogPosition, Membership, Persist, ReplicaId, Snapshot};
+use crate::types::{
+    Entry, HardState, LogPosition, Membership, PersistRequest, ReplicaId, Snapshot,
+};
 
 /// Configuration of one replica of a group.
 #[derive(Clone, Debug)]
@@ -57,7 +59,7 @@
 
 /// Durable state with which a replica starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Restored {
+pub struct InitialState {
     /// Last synced term and vote.
     pub hard_state: HardState,
     /// Position of the last snapshot; the default for a group without one.
@@ -81,29 +83,29 @@
         /// Message.
         message: Message,
     },
-    /// Storage has made the `Persist` with this ticket durable.
+    /// Storage has made the `PersistRequest` with this sequence number durable.
     Synced {
-        /// Ticket of the `Persist`.
-        ticket: u64,
+        /// Sequence number of the `PersistRequest`.
+        sequence: u64,
     },
     /// Proposes a command.
     Propose {
         /// Command.
         data: Bytes,
         /// Identifies the proposal in `Output::proposals`.
-        ticket: u64,
+        request_id: u64,
     },
     /// Asks for an index at which a local read is linearizable.
     Read {
         /// Identifies the read in `Output::reads`.
-        ticket: u64,
+        request_id: u64,
     },
     /// Proposes a change of the membership.
-    ChangeVoters {
+    ChangeMembership {
         /// Change.
-        change: VoterChange,
+        change: MembershipChange,
         /// Identifies the change in `Output::proposals`.
-        ticket: u64,
+        request_id: u64,
     },
     /// Transfers leadership. Ignored unless this replica leads and `to` is another voter.
     TransferLeadership {
@@ -119,7 +121,7 @@
 
 /// A change of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VoterChange {
+pub enum MembershipChange {
     /// Adds a replica that receives the log but does not vote.
     AddLearner(ReplicaId),
     /// Makes a learner that has caught up a voter.
@@ -138,14 +140,14 @@
     /// If it has a snapshot, storage keeps its entries after the snapshot's position only if it has
     /// the entry at that position with the same term; otherwise it discards its whole log, because
     /// entries of another history would follow the snapshot.
-    pub persist: Option<Persist>,
-    /// Snapshot that replaces the state machine's state. It is also part of a `Persist`.
+    pub persist: Option<PersistRequest>,
+    /// Snapshot that replaces the state machine's state. It is also part of a `PersistRequest`.
     pub install: Option<Snapshot>,
     /// Committed entries to apply in order.
     pub apply: Vec<Entry>,
-    /// Results of proposals, by ticket.
+    /// Results of proposals, by request id.
     pub proposals: Vec<(u64, ProposalResult)>,
-    /// Results of reads, by ticket.
+    /// Results of reads, by request id.
     pub reads: Vec<(u64, ReadResult)>,
     /// New role, term or leader, if one of them changed.
     pub role: Option<RoleChange>,
@@ -166,7 +168,7 @@
         leader: Option<ReplicaId>,
     },
     /// The change of voters is not possible now; it was not appended.
-    Refused(Refusal),
+    Refused(MembershipChangeError),
     /// Another entry was committed at the index; the command will never be applied.
     Overwritten,
     /// A snapshot covers the index, so it is not known whether the command was applied.
@@ -175,7 +177,7 @@
 
 /// Why a change of voters is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum MembershipChangeError {
     /// An earlier change is not committed.
     #[error("an earlier change of voters is not committed")]
     Pending,
@@ -257,7 +259,7 @@
     /// Peers and the index up to which their logs match; empty unless this replica leads.
     pub peers: Vec<(ReplicaId, u64)>,
     /// Time since each peer last answered; empty unless this replica leads.
-    pub silence: Vec<(ReplicaId, Duration)>,
+    pub last_contact: Vec<(ReplicaId, Duration)>,
     /// Target of a leadership transfer under way.
     pub transfer: Option<ReplicaId>,
     /// Violated invariants since the start.
--- a/crates/agreement/src/core/election.rs
+++ b/crates/agreement/src/core/election.rs
@@ -7,16 +7,16 @@
 
 use super::Core;
 use super::api::{ReadResult, Role};
-use super::progress::Lead;
+use super::progress::LeaderState;
 
 /// Answers to the requests of a candidate or pre-candidate.
 #[derive(Debug, Default)]
-pub(super) struct Ballot {
+pub(super) struct VoteTally {
     granted: Vec<ReplicaId>,
     refused: Vec<ReplicaId>,
 }
 
-impl Ballot {
+impl VoteTally {
     fn count(&mut self, from: ReplicaId, granted: bool) {
         if !self.granted.contains(&from) && !self.refused.contains(&from) {
             if granted { self.granted.push(from) } else { self.refused.push(from) }
@@ -34,7 +34,7 @@
     pub(super) fn accept_term(&mut self, from: ReplicaId, message: &Message) -> bool {
         let term = message.term();
         if term < self.hard_state.term {
-            self.answer_stale(from, message);
+            self.reject_stale(from, message);
             return false;
         }
         if term == self.hard_state.term {
@@ -51,7 +51,7 @@
     }
 
     /// Tells the sender of a message of an earlier term the current one.
-    fn answer_stale(&mut self, from: ReplicaId, message: &Message) {
+    fn reject_stale(&mut self, from: ReplicaId, message: &Message) {
         let term = self.hard_state.term;
         let answer = match message {
             Message::PreVote { .. } => Message::PreVoteAnswer { term, granted: false },
@@ -73,7 +73,7 @@
 
     pub(super) fn become_follower(&mut self, term: u64, leader: Option<ReplicaId>) {
         if term < self.hard_state.term {
-            self.violation("term never goes back");
+            self.report_violation("term never goes back");
             return;
         }
         if self.role == Role::Leader {
@@ -97,18 +97,18 @@
     }
 
     fn stop_leading(&mut self, leader: Option<ReplicaId>) {
-        let lead = std::mem::take(&mut self.lead);
-        let reads = lead.pending_reads.iter().map(|r| r.ticket);
-        for ticket in lead.early_reads.iter().copied().chain(reads) {
-            self.out.reads.push((ticket, ReadResult::NotLeader { leader }));
+        let state = std::mem::take(&mut self.leader_state);
+        let reads = state.pending_reads.iter().map(|r| r.request_id);
+        for request_id in state.deferred_reads.iter().copied().chain(reads) {
+            self.out.reads.push((request_id, ReadResult::NotLeader { leader }));
         }
         self.reset_election_timer();
     }
 
     /// Notes a message from the leader of the current term. Returns whether it is to be handled.
-    pub(super) fn hear_leader(&mut self, from: ReplicaId) -> bool {
+    pub(super) fn accept_leader_message(&mut self, from: ReplicaId) -> bool {
         if self.role == Role::Leader || self.leader.is_some_and(|id| id != from) {
-            self.violation("at most one leader a term");
+            self.report_violation("at most one leader a term");
             return false;
         }
         self.become_follower(self.hard_state.term, Some(from));
@@ -122,11 +122,11 @@
     pub(super) fn election_timeout(&mut self) {
         self.reset_election_timer();
         self.leader = None;
-        if !self.log.is_voter_from(self.commit, self.cfg.id) {
+        if !self.log.is_voter_at_or_after(self.commit, self.cfg.id) {
             return;
         }
         self.role = Role::PreCandidate;
-        self.ballot = Ballot::default();
+        self.tally = VoteTally::default();
         let message = Message::PreVote { term: self.hard_state.term + 1, last: self.log.last() };
         self.ask_voters(message);
         self.count_pre_vote(self.cfg.id, true);
@@ -137,7 +137,7 @@
         self.role = Role::Candidate;
         self.leader = None;
         self.partial_snapshot = None;
-        self.ballot = Ballot::default();
+        self.tally = VoteTally::default();
         self.set_term(self.hard_state.term + 1, Some(self.cfg.id));
         let message = Message::Vote { term: self.hard_state.term, last: self.log.last(), transfer };
         self.ask_voters(message);
@@ -166,8 +166,8 @@
     }
 
     fn count_pre_vote(&mut self, from: ReplicaId, granted: bool) {
-        self.ballot.count(from, granted);
-        if is_majority(&self.ballot.granted, self.voters()) {
+        self.tally.count(from, granted);
+        if is_majority(&self.tally.granted, self.voters()) {
             self.campaign(false);
         }
     }
@@ -193,10 +193,10 @@
     }
 
     pub(super) fn count_vote(&mut self, from: ReplicaId, granted: bool) {
-        self.ballot.count(from, granted);
-        if is_majority(&self.ballot.granted, self.voters()) {
+        self.tally.count(from, granted);
+        if is_majority(&self.tally.granted, self.voters()) {
             self.become_leader();
-        } else if is_majority(&self.ballot.refused, self.voters()) {
+        } else if is_majority(&self.tally.refused, self.voters()) {
             self.become_follower(self.hard_state.term, None);
         }
     }
@@ -209,8 +209,9 @@
         }
         self.role = Role::Leader;
         self.leader = Some(self.cfg.id);
-        self.lead = Lead { first_index: self.log.last().index + 1, ..Lead::default() };
-        self.refresh_members();
+        self.leader_state =
+            LeaderState { first_index: self.log.last().index + 1, ..LeaderState::default() };
+        self.update_peers();
         self.append(Payload::Empty);
         self.broadcast_heartbeat();
         self.replicate();
@@ -239,11 +240,11 @@
             self.become_follower(self.hard_state.term, None);
             return;
         }
-        if self.lead.transfer.as_ref().is_some_and(|t| self.now >= t.deadline) {
-            self.lead.transfer = None;
+        if self.leader_state.transfer.as_ref().is_some_and(|t| self.now >= t.deadline) {
+            self.leader_state.transfer = None;
         }
-        self.lead.forget_removed(self.now.checked_sub(self.cfg.election_timeout_max));
-        if self.now >= self.lead.next_heartbeat {
+        self.leader_state.drop_removed_peers(self.now.checked_sub(self.cfg.election_timeout_max));
+        if self.now >= self.leader_state.next_heartbeat {
             self.broadcast_heartbeat();
         }
         self.resend_snapshot_chunks();
--- a/crates/agreement/src/core/membership.rs
+++ b/crates/agreement/src/core/membership.rs
@@ -6,24 +6,24 @@
 use crate::types::{Membership, Payload, ReplicaId};
 
 use super::Core;
-use super::api::{ProposalResult, Refusal, Role, VoterChange};
+use super::api::{MembershipChange, MembershipChangeError, ProposalResult, Role};
 use super::progress::LeadershipTransfer;
 
 impl Core {
-    pub(super) fn change_voters(&mut self, change: VoterChange, ticket: u64) {
-        if self.role != Role::Leader || self.lead.transfer.is_some() {
+    pub(super) fn change_membership(&mut self, change: MembershipChange, request_id: u64) {
+        if self.role != Role::Leader || self.leader_state.transfer.is_some() {
             let leader = self.leader.filter(|&id| id != self.cfg.id);
-            self.out.proposals.push((ticket, ProposalResult::NotLeader { leader }));
+            self.out.proposals.push((request_id, ProposalResult::NotLeader { leader }));
             return;
         }
         match self.changed_membership(change) {
             Err(refusal) => {
-                self.out.proposals.push((ticket, ProposalResult::Refused(refusal)));
+                self.out.proposals.push((request_id, ProposalResult::Refused(refusal)));
             }
             Ok(membership) => {
                 info!("replica {}: membership change {change:?}", self.cfg.id.0);
-                self.append_own(Payload::Membership(membership), ticket);
-                self.refresh_members();
+                self.append_proposal(Payload::Membership(membership), request_id);
+                self.update_peers();
                 self.replicate();
             }
         }
@@ -32,33 +32,38 @@
     /// Returns the membership after a change. One change at a time keeps the quorums of successive
     /// memberships overlapping; the first commit of the term makes sure that a change of an earlier
     /// leader is not in flight.
-    fn changed_membership(&self, change: VoterChange) -> Result<Membership, Refusal> {
+    fn changed_membership(
+        &self,
+        change: MembershipChange,
+    ) -> Result<Membership, MembershipChangeError> {
         if self.log.membership_index() > self.commit {
-            return Err(Refusal::Pending);
+            return Err(MembershipChangeError::Pending);
         }
         if !self.has_committed_in_term() {
-            return Err(Refusal::TermNotCommitted);
+            return Err(MembershipChangeError::TermNotCommitted);
         }
         let mut m = self.log.membership().clone();
         match change {
-            VoterChange::AddLearner(id) => {
+            MembershipChange::AddLearner(id) => {
                 if m.voters.contains(&id) || !insert(&mut m.learners, id) {
-                    return Err(Refusal::AlreadyMember);
+                    return Err(MembershipChangeError::AlreadyMember);
                 }
             }
-            VoterChange::PromoteLearner(id) => {
+            MembershipChange::PromoteLearner(id) => {
                 if !remove(&mut m.learners, id) {
-                    return Err(Refusal::NotMember);
+                    return Err(MembershipChangeError::NotMember);
                 }
                 if !self.has_caught_up(id) {
-                    return Err(Refusal::NotCaughtUp);
+                    return Err(MembershipChangeError::NotCaughtUp);
                 }
                 insert(&mut m.voters, id);
             }
-            VoterChange::RemoveVoter(id) if id == self.cfg.id => return Err(Refusal::IsLeader),
-            VoterChange::RemoveVoter(id) => {
+            MembershipChange::RemoveVoter(id) if id == self.cfg.id => {
+                return Err(MembershipChangeError::IsLeader);
+            }
+            MembershipChange::RemoveVoter(id) => {
                 if !remove(&mut m.voters, id) && !remove(&mut m.learners, id) {
-                    return Err(Refusal::NotMember);
+                    return Err(MembershipChangeError::NotMember);
                 }
             }
         }
@@ -66,7 +71,7 @@
     }
 
     fn has_caught_up(&self, id: ReplicaId) -> bool {
-        self.lead.peer(id).is_some_and(|p| {
+        self.leader_state.peer(id).is_some_and(|p| {
             p.matched + self.cfg.promote_lag >= self.commit
                 && p.acked_round > 0
                 && self.now < p.heard_at + self.cfg.election_timeout_min
@@ -74,20 +79,20 @@
     }
 
     /// Makes the peers those of the membership in force.
-    pub(super) fn refresh_members(&mut self) {
+    pub(super) fn update_peers(&mut self) {
         let next = self.log.last().index + 1;
-        self.lead.set_members(self.cfg.id, self.log.membership(), next, self.now);
+        self.leader_state.set_members(self.cfg.id, self.log.membership(), next, self.now);
         self.advance_commit();
     }
 
     pub(super) fn transfer_leadership(&mut self, to: ReplicaId) {
         let possible = self.role == Role::Leader
-            && self.lead.transfer.is_none()
+            && self.leader_state.transfer.is_none()
             && to != self.cfg.id
             && self.voters().contains(&to);
         if possible {
             let deadline = self.now + self.cfg.election_timeout_max;
-            self.lead.transfer = Some(LeadershipTransfer { to, deadline, sent: false });
+            self.leader_state.transfer = Some(LeadershipTransfer { to, deadline, sent: false });
             self.continue_transfer();
         }
     }
@@ -96,13 +101,13 @@
     /// first, because voters elect the target although they have just heard from this leader.
     pub(super) fn continue_transfer(&mut self) {
         let last = self.log.last().index;
-        let Some(t) = &mut self.lead.transfer else { return };
+        let Some(t) = &mut self.leader_state.transfer else { return };
         let to = t.to;
-        if t.sent || self.lead.peers.iter().all(|p| p.id != to || p.matched < last) {
+        if t.sent || self.leader_state.peers.iter().all(|p| p.id != to || p.matched < last) {
             return;
         }
         t.sent = true;
-        self.lead.lease_given_up = true;
+        self.leader_state.lease_released = true;
         self.send(to, Message::TimeoutNow { term: self.hard_state.term });
     }
 }
--- a/crates/agreement/src/core/log_view.rs
+++ b/crates/agreement/src/core/memory_log.rs
@@ -9,7 +9,7 @@
 
 /// Entries after a base position, and the memberships that they define.
 #[derive(Debug)]
-pub(super) struct LogView {
+pub(super) struct MemoryLog {
     /// Position before the first entry in memory.
     base: LogPosition,
     entries: VecDeque<Entry>,
@@ -19,7 +19,7 @@
     memberships: Vec<(u64, Membership)>,
 }
 
-impl LogView {
+impl MemoryLog {
     pub(super) fn new(snapshot: LogPosition, membership: Membership) -> Self {
         Self {
             base: snapshot,
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether a membership that is in force at `index` or later has `id` as a voter.
-    pub(super) fn is_voter_from(&self, index: u64, id: ReplicaId) -> bool {
+    pub(super) fn is_voter_at_or_after(&self, index: u64, id: ReplicaId) -> bool {
         let after = self.memberships.partition_point(|m| m.0 <= index);
         self.memberships[after.saturating_sub(1)..].iter().any(|m| m.1.voters.contains(&id))
     }
--- a/crates/agreement/src/core/progress.rs
+++ b/crates/agreement/src/core/progress.rs
@@ -7,11 +7,11 @@
 
 /// Heartbeat rounds whose send times a leader remembers. An answer to an older round does not
 /// extend the lease.
-const MAX_REMEMBERED_ROUNDS: usize = 256;
+const MAX_TRACKED_ROUNDS: usize = 256;
 
 /// How a peer is sent the log.
 #[derive(Debug)]
-pub(super) enum Stage {
+pub(super) enum ProgressState {
     /// The matching position is not known; one append at a time.
     Probe {
         /// Whether an append has been sent and not been answered.
@@ -23,12 +23,12 @@
         inflight: VecDeque<u64>,
     },
     /// The peer is behind the log in memory and receives a snapshot.
-    Snapshot(Transfer),
+    Snapshot(SnapshotTransfer),
 }
 
 /// A snapshot on its way to a peer; one chunk is in flight.
 #[derive(Debug)]
-pub(super) struct Transfer {
+pub(super) struct SnapshotTransfer {
     pub(super) snapshot: Snapshot,
     /// Offset of the chunk that was sent last.
     pub(super) offset: u64,
@@ -43,7 +43,7 @@
     pub(super) matched: u64,
     /// Next index to send.
     pub(super) next: u64,
-    pub(super) stage: Stage,
+    pub(super) state: ProgressState,
     /// When the peer last answered in this term.
     pub(super) heard_at: Duration,
     /// Last heartbeat round that the peer acknowledged.
@@ -53,7 +53,7 @@
     /// When the peer was removed from the membership.
     pub(super) removed_at: Option<Duration>,
     /// First round that told the peer that its removal is committed.
-    pub(super) last_round: Option<u64>,
+    pub(super) removal_round: Option<u64>,
 }
 
 impl Progress {
@@ -62,35 +62,35 @@
             id,
             matched: 0,
             next,
-            stage: Stage::Probe { paused: false },
+            state: ProgressState::Probe { paused: false },
             heard_at: now,
             acked_round: 0,
             acked_sent_at: None,
             removed_at: None,
-            last_round: None,
+            removal_round: None,
         }
     }
 
     /// Returns to sending one append at a time, from the first index that is not known to match.
     pub(super) fn probe_from(&mut self, next: u64) {
         self.next = next.max(self.matched + 1);
-        self.stage = Stage::Probe { paused: false };
+        self.state = ProgressState::Probe { paused: false };
     }
 
     /// Notes that the peer's log matches up to `index`.
     pub(super) fn matched_up_to(&mut self, index: u64) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched + 1);
-        match &mut self.stage {
-            Stage::Replicate { inflight } => {
+        match &mut self.state {
+            ProgressState::Replicate { inflight } => {
                 while inflight.front().is_some_and(|&last| last <= index) {
                     inflight.pop_front();
                 }
             }
-            Stage::Snapshot(t) if self.matched < t.snapshot.last.index => {}
-            Stage::Probe { .. } | Stage::Snapshot(_) => {
+            ProgressState::Snapshot(t) if self.matched < t.snapshot.last.index => {}
+            ProgressState::Probe { .. } | ProgressState::Snapshot(_) => {
                 self.next = self.matched + 1;
-                self.stage = Stage::Replicate { inflight: VecDeque::new() };
+                self.state = ProgressState::Replicate { inflight: VecDeque::new() };
             }
         }
     }
@@ -99,7 +99,7 @@
 /// A read that waits for a quorum to acknowledge a heartbeat round.
 #[derive(Debug)]
 pub(super) struct PendingRead {
-    pub(super) ticket: u64,
+    pub(super) request_id: u64,
     pub(super) index: u64,
     /// First round that was, or will be, sent after the read arrived.
     pub(super) round: u64,
@@ -115,7 +115,7 @@
 
 /// State that exists only while this replica leads.
 #[derive(Debug, Default)]
-pub(super) struct Lead {
+pub(super) struct LeaderState {
     /// Peers, voters and learners, sorted by id.
     pub(super) peers: Vec<Progress>,
     /// Index of the entry with which the term began.
@@ -126,16 +126,16 @@
     pub(super) rounds: VecDeque<(u64, Duration)>,
     pub(super) next_heartbeat: Duration,
     /// Reads that wait for the term's first commit.
-    pub(super) early_reads: Vec<u64>,
+    pub(super) deferred_reads: Vec<u64>,
     /// Reads that wait for a round; the rounds never fall.
     pub(super) pending_reads: VecDeque<PendingRead>,
     pub(super) transfer: Option<LeadershipTransfer>,
     /// Set for the rest of the term once `TimeoutNow` was sent: a late copy of it may let another
     /// replica win an election at any time.
-    pub(super) lease_given_up: bool,
+    pub(super) lease_released: bool,
 }
 
-impl Lead {
+impl LeaderState {
     pub(super) fn peer(&self, id: ReplicaId) -> Option<&Progress> {
         self.peers.binary_search_by_key(&id, |p| p.id).ok().map(|i| &self.peers[i])
     }
@@ -157,7 +157,7 @@
             |id: &ReplicaId| membership.voters.contains(id) || membership.learners.contains(id);
         for p in &mut self.peers {
             p.removed_at = if is_member(&p.id) { None } else { p.removed_at.or(Some(now)) };
-            p.last_round = None;
+            p.removal_round = None;
         }
         for &id in membership.voters.iter().chain(&membership.learners) {
             if id != leader
@@ -168,18 +168,18 @@
         }
     }
 
-    /// Forgets the removed peers that know of their removal or were removed before `removed_by`.
-    pub(super) fn forget_removed(&mut self, removed_by: Option<Duration>) {
+    /// Forgets the removed peers that know of their removal or were removed before `removed_before`.
+    pub(super) fn drop_removed_peers(&mut self, removed_before: Option<Duration>) {
         self.peers.retain(|p| {
-            let informed = p.last_round.is_some_and(|round| p.acked_round >= round);
-            p.removed_at.is_none_or(|at| !informed && removed_by.is_none_or(|by| at > by))
+            let informed = p.removal_round.is_some_and(|round| p.acked_round >= round);
+            p.removed_at.is_none_or(|at| !informed && removed_before.is_none_or(|by| at > by))
         });
     }
 
     /// Starts a heartbeat round and returns its number.
     pub(super) fn start_round(&mut self, now: Duration) -> u64 {
         self.round += 1;
-        if self.rounds.len() == MAX_REMEMBERED_ROUNDS {
+        if self.rounds.len() == MAX_TRACKED_ROUNDS {
             self.rounds.pop_front();
         }
         self.rounds.push_back((self.round, now));
--- a/crates/agreement/src/core/reads.rs
+++ b/crates/agreement/src/core/reads.rs
@@ -14,7 +14,10 @@
     /// acknowledging voters refuse other candidates for the shortest election timeout from a later
     /// moment.
     pub fn lease_valid(&self, now: Duration) -> bool {
-        if self.role != Role::Leader || self.lead.lease_given_up || !self.has_committed_in_term() {
+        if self.role != Role::Leader
+            || self.leader_state.lease_released
+            || !self.has_committed_in_term()
+        {
             return false;
         }
         let length = self.cfg.election_timeout_min.saturating_sub(self.cfg.drift_margin);
@@ -22,14 +25,14 @@
             if id == self.cfg.id {
                 Some(now)
             } else {
-                self.lead.peer(id).and_then(|p| p.acked_sent_at)
+                self.leader_state.peer(id).and_then(|p| p.acked_sent_at)
             }
         });
         start.flatten().is_some_and(|start| now < start + length)
     }
 
     pub(super) fn has_committed_in_term(&self) -> bool {
-        self.commit >= self.lead.first_index
+        self.commit >= self.leader_state.first_index
     }
 
     /// Returns whether a quorum answered within the shortest election timeout.
@@ -38,56 +41,64 @@
             if id == self.cfg.id {
                 self.now
             } else {
-                self.lead.peer(id).map_or(Duration::ZERO, |p| p.heard_at)
+                self.leader_state.peer(id).map_or(Duration::ZERO, |p| p.heard_at)
             }
         });
         heard_at.is_some_and(|at| self.now < at + self.cfg.election_timeout_min)
     }
 
-    pub(super) fn read(&mut self, ticket: u64) {
+    pub(super) fn read(&mut self, request_id: u64) {
         if self.role != Role::Leader {
             let leader = self.leader;
-            self.out.reads.push((ticket, ReadResult::NotLeader { leader }));
+            self.out.reads.push((request_id, ReadResult::NotLeader { leader }));
         } else if !self.has_committed_in_term() {
-            self.lead.early_reads.push(ticket);
+            self.leader_state.deferred_reads.push(request_id);
         } else if self.lease_valid(self.now) {
-            self.out.reads.push((ticket, ReadResult::Ready { index: self.commit }));
+            self.out.reads.push((request_id, ReadResult::Ready { index: self.commit }));
         } else {
-            self.read_by_round(ticket);
+            self.read_by_quorum(request_id);
         }
     }
 
-    fn read_by_round(&mut self, ticket: u64) {
-        let first = self.lead.pending_reads.is_empty();
-        let round = self.lead.round + 1;
-        self.lead.pending_reads.push_back(PendingRead { ticket, index: self.commit, round });
+    fn read_by_quorum(&mut self, request_id: u64) {
+        let first = self.leader_state.pending_reads.is_empty();
+        let round = self.leader_state.round + 1;
+        self.leader_state.pending_reads.push_back(PendingRead {
+            request_id,
+            index: self.commit,
+            round,
+        });
         if first {
             self.broadcast_heartbeat();
-            self.release_reads();
+            self.complete_reads();
         }
     }
 
     /// Starts the reads that waited for the term's first commit.
-    pub(super) fn start_early_reads(&mut self) {
+    pub(super) fn start_deferred_reads(&mut self) {
         if self.has_committed_in_term() {
-            for ticket in std::mem::take(&mut self.lead.early_reads) {
-                self.read(ticket);
+            for request_id in std::mem::take(&mut self.leader_state.deferred_reads) {
+                self.read(request_id);
             }
         }
     }
 
     /// Releases the reads whose round a quorum acknowledged, and starts a round for those that
     /// arrived during it.
-    pub(super) fn release_reads(&mut self) {
-        let own = self.lead.round;
+    pub(super) fn complete_reads(&mut self) {
+        let own = self.leader_state.round;
         let acked = quorum_value(self.voters(), |id| {
-            if id == self.cfg.id { own } else { self.lead.peer(id).map_or(0, |p| p.acked_round) }
+            if id == self.cfg.id {
+                own
+            } else {
+                self.leader_state.peer(id).map_or(0, |p| p.acked_round)
+            }
         });
         let acked = acked.unwrap_or(0);
-        while let Some(r) = self.lead.pending_reads.pop_front_if(|r| r.round <= acked) {
-            self.out.reads.push((r.ticket, ReadResult::Ready { index: r.index }));
+        while let Some(r) = self.leader_state.pending_reads.pop_front_if(|r| r.round <= acked) {
+            self.out.reads.push((r.request_id, ReadResult::Ready { index: r.index }));
         }
-        if self.lead.pending_reads.front().is_some_and(|r| r.round > own) {
+        if self.leader_state.pending_reads.front().is_some_and(|r| r.round > own) {
             self.broadcast_heartbeat();
         }
     }
--- a/crates/agreement/src/core/replication.rs
+++ b/crates/agreement/src/core/replication.rs
@@ -5,7 +5,7 @@
 
 use super::Core;
 use super::api::{ProposalResult, Role};
-use super::progress::{Stage, quorum_value};
+use super::progress::{ProgressState, quorum_value};
 
 impl Core {
     /// Appends an entry to the leader's log.
@@ -17,24 +17,24 @@
     }
 
     /// Appends a proposal to the leader's log and sends it; it is synced meanwhile.
-    pub(super) fn append_own(&mut self, payload: Payload, ticket: u64) {
+    pub(super) fn append_proposal(&mut self, payload: Payload, request_id: u64) {
         let position = self.append(payload);
-        self.proposals.push((position, ticket));
-        self.out.proposals.push((ticket, ProposalResult::Appended(position)));
+        self.proposals.push((position, request_id));
+        self.out.proposals.push((request_id, ProposalResult::Appended(position)));
         self.replicate();
     }
 
     /// Sends every peer the entries that its window has room for.
     pub(super) fn replicate(&mut self) {
-        for i in 0..self.lead.peers.len() {
+        for i in 0..self.leader_state.peers.len() {
             self.replicate_to(i, false);
         }
     }
 
     /// Sends entries to the peer with index `i`. With `check`, sends an empty append if there is
     /// nothing to send, so that the peer reports a lost one.
-    fn replicate_to(&mut self, i: usize, check: bool) {
-        if self.lead.peers[i].next <= self.log.base().index {
+    fn replicate_to(&mut self, i: usize, send_empty: bool) {
+        if self.leader_state.peers[i].next <= self.log.base().index {
             self.start_snapshot(i);
             return;
         }
@@ -43,39 +43,42 @@
             sent = true;
             self.send_append(i);
         }
-        if check && !sent && matches!(self.lead.peers[i].stage, Stage::Replicate { .. }) {
+        if send_empty
+            && !sent
+            && matches!(self.leader_state.peers[i].state, ProgressState::Replicate { .. })
+        {
             self.send_entries(i, Vec::new());
         }
     }
 
     fn may_append(&self, i: usize) -> bool {
-        let p = &self.lead.peers[i];
-        match &p.stage {
-            Stage::Probe { paused } => !paused,
-            Stage::Replicate { inflight } => {
+        let p = &self.leader_state.peers[i];
+        match &p.state {
+            ProgressState::Probe { paused } => !paused,
+            ProgressState::Replicate { inflight } => {
                 p.next <= self.log.last().index && inflight.len() < self.cfg.max_inflight_appends
             }
-            Stage::Snapshot(_) => false,
+            ProgressState::Snapshot(_) => false,
         }
     }
 
     fn send_append(&mut self, i: usize) {
-        let entries = self.log.batch(self.lead.peers[i].next, self.cfg.max_append_bytes);
+        let entries = self.log.batch(self.leader_state.peers[i].next, self.cfg.max_append_bytes);
         let last = entries.last().map(|e| e.position.index);
         self.send_entries(i, entries);
-        let p = &mut self.lead.peers[i];
-        match &mut p.stage {
-            Stage::Probe { paused } => *paused = true,
-            Stage::Replicate { inflight } => {
+        let p = &mut self.leader_state.peers[i];
+        match &mut p.state {
+            ProgressState::Probe { paused } => *paused = true,
+            ProgressState::Replicate { inflight } => {
                 inflight.extend(last);
                 p.next = last.map_or(p.next, |last| last + 1);
             }
-            Stage::Snapshot(_) => {}
+            ProgressState::Snapshot(_) => {}
         }
     }
 
     fn send_entries(&mut self, i: usize, entries: Vec<Entry>) {
-        let p = &self.lead.peers[i];
+        let p = &self.leader_state.peers[i];
         let (to, index) = (p.id, p.next - 1);
         let Some(term) = self.log.term_at(index) else { return };
         let previous = LogPosition { index, term };
@@ -90,14 +93,14 @@
         entries: Vec<Entry>,
         commit: u64,
     ) {
-        if !self.hear_leader(from) {
+        if !self.accept_leader_message(from) {
             return;
         }
         let result = if previous.index < self.log.base().index {
             AppendResult::Matched(self.commit)
         } else if self.log.matches(previous) {
             let matched = previous.index + entries.len() as u64;
-            self.merge(entries);
+            self.merge_entries(entries);
             self.commit_to(commit.min(matched));
             AppendResult::Matched(matched)
         } else {
@@ -109,7 +112,7 @@
     }
 
     /// Appends entries that follow a matching position; replaces what differs.
-    fn merge(&mut self, entries: Vec<Entry>) {
+    fn merge_entries(&mut self, entries: Vec<Entry>) {
         for e in entries {
             if self.log.matches(e.position) {
                 continue;
@@ -117,7 +120,7 @@
             let index = e.position.index;
             if index <= self.log.last().index {
                 if index <= self.commit {
-                    self.violation("committed entries never change");
+                    self.report_violation("committed entries never change");
                     return;
                 }
                 self.log.truncate_from(index);
@@ -136,20 +139,20 @@
         if self.role != Role::Leader {
             return;
         }
-        let Ok(i) = self.lead.peers.binary_search_by_key(&from, |p| p.id) else { return };
-        self.lead.peers[i].heard_at = self.now;
+        let Ok(i) = self.leader_state.peers.binary_search_by_key(&from, |p| p.id) else { return };
+        self.leader_state.peers[i].heard_at = self.now;
         match result {
             AppendResult::Matched(index) if index > self.log.last().index => {
-                self.violation("a follower's log matches the leader's");
+                self.report_violation("a follower's log matches the leader's");
                 return;
             }
-            AppendResult::Matched(index) => self.lead.peers[i].matched_up_to(index),
+            AppendResult::Matched(index) => self.leader_state.peers[i].matched_up_to(index),
             AppendResult::Mismatch { rejected, hint } => {
                 let next = self.next_after_mismatch(rejected, hint);
-                let p = &mut self.lead.peers[i];
-                match p.stage {
-                    Stage::Probe { .. } if rejected + 1 == p.next => p.probe_from(next),
-                    Stage::Replicate { .. } if rejected > p.matched => {
+                let p = &mut self.leader_state.peers[i];
+                match p.state {
+                    ProgressState::Probe { .. } if rejected + 1 == p.next => p.probe_from(next),
+                    ProgressState::Replicate { .. } if rejected > p.matched => {
                         p.probe_from(p.matched + 1);
                     }
                     _ => return,
@@ -179,7 +182,7 @@
             if id == self.cfg.id {
                 self.durability.stable()
             } else {
-                self.lead.peer(id).map_or(0, |p| p.matched)
+                self.leader_state.peer(id).map_or(0, |p| p.matched)
             }
         });
         if let Some(index) = quorum
@@ -187,26 +190,26 @@
             && self.log.term_at(index) == Some(self.hard_state.term)
         {
             self.commit_to(index);
-            self.start_early_reads();
+            self.start_deferred_reads();
         }
     }
 
     pub(super) fn broadcast_heartbeat(&mut self) {
-        let round = self.lead.start_round(self.now);
-        self.lead.next_heartbeat = self.now + self.cfg.heartbeat_interval;
+        let round = self.leader_state.start_round(self.now);
+        self.leader_state.next_heartbeat = self.now + self.cfg.heartbeat_interval;
         let term = self.hard_state.term;
-        for i in 0..self.lead.peers.len() {
-            let p = &mut self.lead.peers[i];
+        for i in 0..self.leader_state.peers.len() {
+            let p = &mut self.leader_state.peers[i];
             let (to, commit) = (p.id, self.commit.min(p.matched));
             if p.removed_at.is_some() && commit >= self.log.membership_index() {
-                p.last_round = p.last_round.or(Some(round));
+                p.removal_round = p.removal_round.or(Some(round));
             }
             self.send(to, Message::Heartbeat { term, round, commit });
         }
     }
 
     pub(super) fn handle_heartbeat(&mut self, from: ReplicaId, round: u64, commit: u64) {
-        if !self.hear_leader(from) {
+        if !self.accept_leader_message(from) {
             return;
         }
         self.commit_to(commit);
@@ -218,18 +221,18 @@
         if self.role != Role::Leader {
             return;
         }
-        let Ok(i) = self.lead.peers.binary_search_by_key(&from, |p| p.id) else { return };
-        self.lead.round_acked(from, round);
-        let p = &mut self.lead.peers[i];
+        let Ok(i) = self.leader_state.peers.binary_search_by_key(&from, |p| p.id) else { return };
+        self.leader_state.round_acked(from, round);
+        let p = &mut self.leader_state.peers[i];
         p.heard_at = self.now;
         let behind = p.matched < self.log.last().index;
-        if let Stage::Probe { paused } = &mut p.stage {
+        if let ProgressState::Probe { paused } = &mut p.state {
             *paused = !behind;
         }
         if behind {
             self.replicate_to(i, true);
         }
-        self.lead.forget_removed(None);
-        self.release_reads();
+        self.leader_state.drop_removed_peers(None);
+        self.complete_reads();
     }
 }
--- a/crates/agreement/src/core/snapshot.rs
+++ b/crates/agreement/src/core/snapshot.rs
@@ -7,8 +7,8 @@
 
 use super::Core;
 use super::api::{ProposalResult, Role};
-use super::log_view::LogView;
-use super::progress::{Stage, Transfer};
+use super::memory_log::MemoryLog;
+use super::progress::{ProgressState, SnapshotTransfer};
 
 /// Chunks of a snapshot that have arrived from the current leader.
 #[derive(Debug)]
@@ -42,23 +42,23 @@
 
     /// Starts to send the snapshot to the peer with index `i`.
     pub(super) fn start_snapshot(&mut self, i: usize) {
-        if matches!(self.lead.peers[i].stage, Stage::Snapshot(_)) {
+        if matches!(self.leader_state.peers[i].state, ProgressState::Snapshot(_)) {
             return;
         }
         let Some(snapshot) = self.snapshot.clone() else {
             self.out.snapshot_wanted = true;
             return;
         };
-        let transfer = Transfer { snapshot, offset: 0, sent_at: self.now };
-        self.lead.peers[i].stage = Stage::Snapshot(transfer);
+        let transfer = SnapshotTransfer { snapshot, offset: 0, sent_at: self.now };
+        self.leader_state.peers[i].state = ProgressState::Snapshot(transfer);
         self.send_chunk(i);
     }
 
     fn send_chunk(&mut self, i: usize) {
         let (now, term) = (self.now, self.hard_state.term);
-        let p = &mut self.lead.peers[i];
+        let p = &mut self.leader_state.peers[i];
         let to = p.id;
-        let Stage::Snapshot(t) = &mut p.stage else { return };
+        let ProgressState::Snapshot(t) = &mut p.state else { return };
         t.sent_at = now;
         let start = t.offset as usize;
         let end = t.snapshot.data.len().min(start.saturating_add(self.cfg.snapshot_chunk_bytes));
@@ -75,8 +75,8 @@
 
     /// Sends chunks again that were not answered within the shortest election timeout.
     pub(super) fn resend_snapshot_chunks(&mut self) {
-        for i in 0..self.lead.peers.len() {
-            if let Stage::Snapshot(t) = &self.lead.peers[i].stage
+        for i in 0..self.leader_state.peers.len() {
+            if let ProgressState::Snapshot(t) = &self.leader_state.peers[i].state
                 && self.now >= t.sent_at + self.cfg.election_timeout_min
             {
                 self.send_chunk(i);
@@ -93,10 +93,10 @@
         if self.role != Role::Leader {
             return;
         }
-        let Ok(i) = self.lead.peers.binary_search_by_key(&from, |p| p.id) else { return };
-        let p = &mut self.lead.peers[i];
+        let Ok(i) = self.leader_state.peers.binary_search_by_key(&from, |p| p.id) else { return };
+        let p = &mut self.leader_state.peers[i];
         p.heard_at = self.now;
-        if let Stage::Snapshot(t) = &mut p.stage
+        if let ProgressState::Snapshot(t) = &mut p.state
             && t.snapshot.last == last
             && t.offset != received
             && received < t.snapshot.data.len() as u64
@@ -113,7 +113,7 @@
         offset: u64,
         done: bool,
     ) {
-        if !self.hear_leader(from) {
+        if !self.accept_leader_message(from) {
             return;
         }
         let term = self.hard_state.term;
@@ -144,13 +144,13 @@
     /// Replaces the whole log by a snapshot.
     fn install(&mut self, snapshot: Snapshot) {
         let commit = self.commit;
-        self.log = LogView::new(snapshot.last, snapshot.membership.clone());
+        self.log = MemoryLog::new(snapshot.last, snapshot.membership.clone());
         self.durability.snapshot_installed(snapshot.clone(), commit);
         let Self { proposals, out, .. } = self;
-        proposals.retain(|&(position, ticket)| {
+        proposals.retain(|&(position, request_id)| {
             let covered = position.index <= snapshot.last.index;
             if covered {
-                out.proposals.push((ticket, ProposalResult::Unknown));
+                out.proposals.push((request_id, ProposalResult::Unknown));
             }
             !covered
         });
--- a/crates/agreement/src/driver.rs
+++ b/crates/agreement/src/driver.rs
@@ -14,11 +14,11 @@
 
 use bytes::Bytes;
 
-pub use handle::{GroupHandle, GroupStatus, GroupView, ProposeError, ReadError};
+pub use handle::{GroupHandle, GroupStatus, Leadership, ProposeError, ReadError};
 pub use node::{Node, NodeBuilder};
 
 use crate::{
-    GroupId, LogPosition, Membership, PeerMessage, Persist, ReplicaId, Snapshot, Storage,
+    GroupId, LogPosition, Membership, PeerMessage, PersistRequest, ReplicaId, Snapshot, Storage,
     StoreError,
 };
 
@@ -75,9 +75,9 @@
     /// time, because a leader that wakes up must not count on its lease.
     pub clock: Arc<dyn Clock>,
     /// Time between two ticks of the cores.
-    pub tick: Duration,
+    pub tick_interval: Duration,
     /// Time between two heartbeats of a leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Shortest election timeout.
     pub election_timeout_min: Duration,
     /// Longest election timeout.
@@ -95,7 +95,7 @@
     /// Bytes of the open proposals of a group; a single one may be larger, and then has to be alone.
     pub max_proposal_bytes: usize,
     /// Messages and requests that wait for the node's task; more messages are dropped.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Seed of the election timeouts; random by default.
     pub seed: u64,
 }
@@ -104,8 +104,8 @@
     fn default() -> Self {
         Self {
             clock: Arc::<RuntimeClock>::default(),
-            tick: Duration::from_millis(10),
-            heartbeat: Duration::from_millis(50),
+            tick_interval: Duration::from_millis(10),
+            heartbeat_interval: Duration::from_millis(50),
             election_timeout_min: Duration::from_millis(300),
             election_timeout_max: Duration::from_millis(600),
             drift_margin: Duration::from_millis(50),
@@ -114,7 +114,7 @@
             trailing_entries: 1024,
             max_proposals: 4096,
             max_proposal_bytes: 64 << 20,
-            queue: 4096,
+            queue_capacity: 4096,
             seed: rand::random(),
         }
     }
@@ -184,7 +184,7 @@
             membership: Membership { voters, learners: Vec::new() },
             data: Bytes::new(),
         };
-        (id, Persist { snapshot: Some(snapshot), ..Persist::default() })
+        (id, PersistRequest { snapshot: Some(snapshot), ..PersistRequest::default() })
     };
     Ok(storage.persist(groups.into_iter().map(first).collect()).await?)
 }
--- a/crates/agreement/src/driver/group.rs
+++ b/crates/agreement/src/driver/group.rs
@@ -7,26 +7,27 @@
 use bytes::Bytes;
 use tokio::sync::watch;
 
-use super::handle::{Proposer, Query, Reply, Request};
-use super::{GroupStatus, GroupView, NodeConfig, NodeError, ProposeError, ReadError};
+use super::handle::{Query, Reply, Request, Responder};
+use super::{GroupStatus, Leadership, NodeConfig, NodeError, ProposeError, ReadError};
 use super::{StateMachine, Transport};
 use crate::{
-    Core, CoreConfig, Entry, GroupId, Input, LogPosition, Membership, Message, Output, Payload,
-    PeerMessage, Persist, ProposalResult, ReadResult, ReplicaId, Restored, Role, Snapshot, Stored,
+    Core, CoreConfig, Entry, GroupId, InitialState, Input, LogPosition, Membership, Message,
+    Output, Payload, PeerMessage, PersistRequest, ProposalResult, ReadResult, ReplicaId, Role,
+    Snapshot, StoredGroup,
 };
 
 /// Work for the storage that steps of the cores produced.
 #[derive(Default)]
-pub(crate) struct Work {
-    pub(crate) persists: Vec<(GroupId, Persist)>,
+pub(crate) struct StorageWork {
+    pub(crate) persists: Vec<(GroupId, PersistRequest)>,
     pub(crate) snapshots: Vec<(GroupId, Snapshot)>,
 }
 
 /// A proposal in the leader's log.
 struct Appended {
     position: LogPosition,
-    ticket: u64,
-    proposer: Proposer,
+    request_id: u64,
+    responder: Responder,
 }
 
 /// What was applied since the last snapshot, which tells when the next one is due.
@@ -47,20 +48,20 @@
     machine: Box<dyn StateMachine>,
     transport: Arc<dyn Transport>,
     cfg: Arc<NodeConfig>,
-    view: watch::Sender<GroupView>,
+    leadership: watch::Sender<Leadership>,
     applied: LogPosition,
     /// Membership at `applied`.
     membership: Membership,
-    next_ticket: u64,
+    next_request_id: u64,
     /// Proposals in order of their index.
     appended: VecDeque<Appended>,
     /// Proposal of the step under way.
-    proposing: Option<(u64, Proposer)>,
+    proposing: Option<(u64, Responder)>,
     reads: Vec<(u64, Query)>,
     transfer: Option<(ReplicaId, Duration, Reply<(), ProposeError>)>,
     /// When this replica stopped leading while proposals were open.
     stepped_down_at: Option<Duration>,
-    since: SinceSnapshot,
+    since_snapshot: SinceSnapshot,
     /// Position of the last snapshot that storage holds.
     saved: LogPosition,
 }
@@ -70,38 +71,38 @@
         id: GroupId,
         replica: ReplicaId,
         mut machine: Box<dyn StateMachine>,
-        stored: Stored,
+        stored: StoredGroup,
         transport: Arc<dyn Transport>,
         cfg: Arc<NodeConfig>,
-    ) -> Result<(Self, watch::Receiver<GroupView>), NodeError> {
-        let Stored { hard_state, snapshot, entries } = stored;
-        let mut restored = Restored { hard_state, entries, ..Restored::default() };
-        let mut since = SinceSnapshot::default();
+    ) -> Result<(Self, watch::Receiver<Leadership>), NodeError> {
+        let StoredGroup { hard_state, snapshot, entries } = stored;
+        let mut restored = InitialState { hard_state, entries, ..InitialState::default() };
+        let mut since_snapshot = SinceSnapshot::default();
         if let Some(s) = snapshot {
             restore(id, machine.as_mut(), &s)?;
-            since.last_bytes = s.data.len() as u64;
+            since_snapshot.last_bytes = s.data.len() as u64;
             restored.snapshot = s.last;
             restored.membership = s.membership;
         }
         let (applied, membership) = (restored.snapshot, restored.membership.clone());
         let core = Core::new(core_config(id, replica, &cfg), restored);
-        let (view, rx) = watch::channel(view(&core, Duration::ZERO));
+        let (leadership, rx) = watch::channel(leadership(&core, Duration::ZERO));
         let group = Self {
             id,
             core,
             machine,
             transport,
             cfg,
-            view,
+            leadership,
             applied,
             membership,
-            next_ticket: 1,
+            next_request_id: 1,
             appended: VecDeque::new(),
             proposing: None,
             reads: Vec::new(),
             transfer: None,
             stepped_down_at: None,
-            since,
+            since_snapshot,
             saved: applied,
         };
         Ok((group, rx))
@@ -125,23 +126,23 @@
     }
 
     /// Handles a tick.
-    pub(crate) fn tick(&mut self, now: Duration, work: &mut Work) -> Result<(), NodeError> {
+    pub(crate) fn tick(&mut self, now: Duration, work: &mut StorageWork) -> Result<(), NodeError> {
         self.step(now, Input::Tick, work)?;
-        self.give_up(now);
-        let view = view(&self.core, now);
-        self.view.send_if_modified(|old| std::mem::replace(old, view) != view);
+        self.expire_requests(now);
+        let leadership = leadership(&self.core, now);
+        self.leadership.send_if_modified(|old| std::mem::replace(old, leadership) != leadership);
         Ok(())
     }
 
     /// Answers what can't be expected to be settled any more.
-    fn give_up(&mut self, now: Duration) {
+    fn expire_requests(&mut self, now: Duration) {
         // A successor is normally elected within two election timeouts. Until then most proposals
         // are settled by what it commits.
-        let patience = 2 * self.cfg.election_timeout_max;
-        if self.stepped_down_at.is_some_and(|at| now >= at + patience) {
+        let timeout = 2 * self.cfg.election_timeout_max;
+        if self.stepped_down_at.is_some_and(|at| now >= at + timeout) {
             self.stepped_down_at = None;
             for a in self.appended.drain(..) {
-                a.proposer.answer(Err(ProposeError::Unknown));
+                a.responder.send(Err(ProposeError::Unknown));
             }
         }
         if self.transfer.as_ref().is_some_and(|(_, deadline, _)| now >= *deadline)
@@ -156,7 +157,7 @@
         now: Duration,
         from: ReplicaId,
         message: Message,
-        work: &mut Work,
+        work: &mut StorageWork,
     ) -> Result<(), NodeError> {
         self.step(now, Input::Message { from, message }, work)
     }
@@ -164,34 +165,34 @@
     pub(crate) fn synced(
         &mut self,
         now: Duration,
-        ticket: u64,
-        work: &mut Work,
+        sequence: u64,
+        work: &mut StorageWork,
     ) -> Result<(), NodeError> {
-        self.step(now, Input::Synced { ticket }, work)
+        self.step(now, Input::Synced { sequence }, work)
     }
 
     pub(crate) fn request(
         &mut self,
         now: Duration,
         request: Request,
-        work: &mut Work,
+        work: &mut StorageWork,
     ) -> Result<(), NodeError> {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let request_id = self.next_request_id;
+        self.next_request_id += 1;
         match request {
-            Request::Propose(data, mut proposer) => {
-                proposer.taken = true;
-                self.proposing = Some((ticket, proposer));
-                self.step(now, Input::Propose { data, ticket }, work)
+            Request::Propose(data, mut responder) => {
+                responder.submitted = true;
+                self.proposing = Some((request_id, responder));
+                self.step(now, Input::Propose { data, request_id }, work)
             }
-            Request::Change(change, mut proposer) => {
-                proposer.taken = true;
-                self.proposing = Some((ticket, proposer));
-                self.step(now, Input::ChangeVoters { change, ticket }, work)
+            Request::Change(change, mut responder) => {
+                responder.submitted = true;
+                self.proposing = Some((request_id, responder));
+                self.step(now, Input::ChangeMembership { change, request_id }, work)
             }
             Request::Read(query) => {
-                self.reads.push((ticket, query));
-                self.step(now, Input::Read { ticket }, work)
+                self.reads.push((request_id, query));
+                self.step(now, Input::Read { request_id }, work)
             }
             Request::Status(reply) => {
                 let lease = self.core.lease_valid(now);
@@ -208,7 +209,7 @@
         now: Duration,
         to: ReplicaId,
         reply: Reply<(), ProposeError>,
-        work: &mut Work,
+        work: &mut StorageWork,
     ) -> Result<(), NodeError> {
         let role = self.core.status().role;
         if role.leader == Some(to) {
@@ -223,7 +224,11 @@
     }
 
     /// Transfers leadership to the voter whose log is most complete.
-    pub(crate) fn give_away(&mut self, now: Duration, work: &mut Work) -> Result<(), NodeError> {
+    pub(crate) fn transfer_to_most_complete(
+        &mut self,
+        now: Duration,
+        work: &mut StorageWork,
+    ) -> Result<(), NodeError> {
         let status = self.core.status();
         let voters = &status.membership.voters;
         let best = status.peers.iter().filter(|(id, _)| voters.contains(id)).max_by_key(|p| p.1);
@@ -235,10 +240,10 @@
 
     /// Transfers leadership while this replica's disk does not respond, to a voter whose disk does:
     /// one that has synced what this replica has not.
-    pub(crate) fn give_to_synced(
+    pub(crate) fn transfer_off_stalled_disk(
         &mut self,
         now: Duration,
-        work: &mut Work,
+        work: &mut StorageWork,
     ) -> Result<(), NodeError> {
         let status = self.core.status();
         if status.role.role != Role::Leader || status.transfer.is_some() {
@@ -261,16 +266,21 @@
         &mut self,
         now: Duration,
         snapshot: Snapshot,
-        work: &mut Work,
+        work: &mut StorageWork,
     ) -> Result<(), NodeError> {
-        self.since.saving = false;
+        self.since_snapshot.saving = false;
         if snapshot.last.index > self.saved.index {
             self.saved = snapshot.last;
         }
         self.step(now, Input::Compact { snapshot }, work)
     }
 
-    fn step(&mut self, now: Duration, input: Input, work: &mut Work) -> Result<(), NodeError> {
+    fn step(
+        &mut self,
+        now: Duration,
+        input: Input,
+        work: &mut StorageWork,
+    ) -> Result<(), NodeError> {
         let out = self.core.step(now, input);
         let Output { messages, persist, install, apply, proposals, reads, role, snapshot_wanted } =
             out;
@@ -288,14 +298,14 @@
         for entry in &apply {
             self.apply(entry);
         }
-        for (ticket, result) in proposals {
-            self.proposal_result(ticket, result);
+        for (request_id, result) in proposals {
+            self.proposal_result(request_id, result);
         }
-        for (ticket, result) in reads {
-            self.read_result(ticket, result);
+        for (request_id, result) in reads {
+            self.read_result(request_id, result);
         }
         if let Some(role) = role {
-            let led = self.view.borrow().role == Role::Leader;
+            let led = self.leadership.borrow().role == Role::Leader;
             if led && role.role != Role::Leader {
                 self.stepped_down_at = Some(now);
             } else if role.role == Role::Leader {
@@ -304,7 +314,7 @@
             if let Some((_, _, reply)) = self.transfer.take_if(|t| role.leader == Some(t.0)) {
                 let _ = reply.send(Ok(()));
             }
-            self.view.send_replace(view(&self.core, now));
+            self.leadership.send_replace(leadership(&self.core, now));
         }
         self.take_snapshot_if_due(now, snapshot_wanted, work)
     }
@@ -313,9 +323,9 @@
         restore(self.id, self.machine.as_mut(), snapshot)?;
         self.applied = snapshot.last;
         self.membership = snapshot.membership.clone();
-        let saving = self.since.saving;
+        let saving = self.since_snapshot.saving;
         let last_bytes = snapshot.data.len() as u64;
-        self.since = SinceSnapshot { saving, last_bytes, ..SinceSnapshot::default() };
+        self.since_snapshot = SinceSnapshot { saving, last_bytes, ..SinceSnapshot::default() };
         Ok(())
     }
 
@@ -324,7 +334,7 @@
         let result = match &entry.payload {
             Payload::Empty => Bytes::new(),
             Payload::Command(data) => {
-                self.since.bytes += data.len() as u64;
+                self.since_snapshot.bytes += data.len() as u64;
                 self.machine.apply(index, data)
             }
             Payload::Membership(membership) => {
@@ -332,13 +342,13 @@
                 Bytes::new()
             }
         };
-        self.since.entries += 1;
+        self.since_snapshot.entries += 1;
         self.applied = entry.position;
         // A proposal at this index with another term is reported by the core.
         if let Some(i) = self.find_appended(|a| a.position == entry.position)
             && let Some(a) = self.appended.remove(i)
         {
-            a.proposer.answer(Ok(result));
+            a.responder.send(Ok(result));
         }
     }
 
@@ -347,22 +357,22 @@
         self.appended.iter().position(f)
     }
 
-    fn proposal_result(&mut self, ticket: u64, result: ProposalResult) {
-        let proposer = match self.proposing.take_if(|(t, _)| *t == ticket) {
-            Some((_, proposer)) => proposer,
+    fn proposal_result(&mut self, request_id: u64, result: ProposalResult) {
+        let responder = match self.proposing.take_if(|(t, _)| *t == request_id) {
+            Some((_, responder)) => responder,
             None => {
-                let Some(i) = self.find_appended(|a| a.ticket == ticket) else {
+                let Some(i) = self.find_appended(|a| a.request_id == request_id) else {
                     return;
                 };
                 let Some(a) = self.appended.remove(i) else {
                     return;
                 };
-                a.proposer
+                a.responder
             }
         };
         let error = match result {
             ProposalResult::Appended(position) => {
-                self.appended.push_back(Appended { position, ticket, proposer });
+                self.appended.push_back(Appended { position, request_id, responder });
                 return;
             }
             ProposalResult::NotLeader { leader } => ProposeError::NotLeader { leader },
@@ -373,11 +383,11 @@
             }
             ProposalResult::Unknown => ProposeError::Unknown,
         };
-        proposer.answer(Err(error));
+        responder.send(Err(error));
     }
 
-    fn read_result(&mut self, ticket: u64, result: ReadResult) {
-        let Some(i) = self.reads.iter().position(|(t, _)| *t == ticket) else {
+    fn read_result(&mut self, request_id: u64, result: ReadResult) {
+        let Some(i) = self.reads.iter().position(|(t, _)| *t == request_id) else {
             return;
         };
         let (_, query) = self.reads.swap_remove(i);
@@ -395,9 +405,9 @@
         &mut self,
         now: Duration,
         wanted: bool,
-        work: &mut Work,
+        work: &mut StorageWork,
     ) -> Result<(), NodeError> {
-        let s = &self.since;
+        let s = &self.since_snapshot;
         let due = (s.entries >= self.cfg.snapshot_entries || s.bytes >= self.cfg.snapshot_bytes)
             && s.bytes >= s.last_bytes;
         if s.saving || !(due || wanted) {
@@ -405,7 +415,8 @@
         }
         let data = self.machine.snapshot();
         let last_bytes = data.len() as u64;
-        self.since = SinceSnapshot { last_bytes, saving: true, ..SinceSnapshot::default() };
+        self.since_snapshot =
+            SinceSnapshot { last_bytes, saving: true, ..SinceSnapshot::default() };
         let snapshot = Snapshot { last: self.applied, membership: self.membership.clone(), data };
         if self.applied == self.saved {
             return self.snapshot_saved(now, snapshot, work);
@@ -436,16 +447,16 @@
     restored.map_err(|source| NodeError::Restore { group, source: Arc::new(source) })
 }
 
-fn view(core: &Core, now: Duration) -> GroupView {
+fn leadership(core: &Core, now: Duration) -> Leadership {
     let role = core.status().role;
     let lease = core.lease_valid(now);
-    GroupView { leader: role.leader, term: role.term, role: role.role, lease }
+    Leadership { leader: role.leader, term: role.term, role: role.role, lease }
 }
 
 fn core_config(id: GroupId, replica: ReplicaId, cfg: &NodeConfig) -> CoreConfig {
     let seed = cfg.seed ^ replica.0.rotate_left(32) ^ u64::from(id.0);
     CoreConfig {
-        heartbeat_interval: cfg.heartbeat,
+        heartbeat_interval: cfg.heartbeat_interval,
         election_timeout_min: cfg.election_timeout_min,
         election_timeout_max: cfg.election_timeout_max,
         drift_margin: cfg.drift_margin,
--- a/crates/agreement/src/driver/handle.rs
+++ b/crates/agreement/src/driver/handle.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot, watch};
 
 use super::StateMachine;
-use crate::{GroupId, Refusal, ReplicaId, Role, Status, VoterChange};
+use crate::{GroupId, MembershipChange, MembershipChangeError, ReplicaId, Role, Status};
 
 /// Why a proposal has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -23,7 +23,7 @@
     Overloaded,
     /// The change of voters is not possible now.
     #[error(transparent)]
-    Refused(#[from] Refusal),
+    Refused(#[from] MembershipChangeError),
     /// The command may be executed, now or later, or not.
     #[error("the outcome is not known")]
     Unknown,
@@ -51,7 +51,7 @@
 
 /// What a replica knows about the leadership of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GroupView {
+pub struct Leadership {
     /// Leader of the term, if known.
     pub leader: Option<ReplicaId>,
     /// Current term.
@@ -81,34 +81,34 @@
 ///
 /// When it is dropped without an answer, the outcome is unknown if the node's task had taken it.
 /// This covers a panic of a state machine too.
-pub(crate) struct Proposer {
+pub(crate) struct Responder {
     reply: Option<Reply<Bytes, ProposeError>>,
     /// Whether the node's task has passed the proposal to the core.
-    pub(crate) taken: bool,
+    pub(crate) submitted: bool,
     /// Count against the open proposals until they are dropped.
     _permits: [OwnedSemaphorePermit; 2],
 }
 
-impl Proposer {
-    pub(crate) fn answer(mut self, result: Result<Bytes, ProposeError>) {
+impl Responder {
+    pub(crate) fn send(mut self, result: Result<Bytes, ProposeError>) {
         if let Some(reply) = self.reply.take() {
             let _ = reply.send(result);
         }
     }
 }
 
-impl Drop for Proposer {
+impl Drop for Responder {
     fn drop(&mut self) {
         if let Some(reply) = self.reply.take() {
-            let e = if self.taken { ProposeError::Unknown } else { ProposeError::Stopped };
+            let e = if self.submitted { ProposeError::Unknown } else { ProposeError::Stopped };
             let _ = reply.send(Err(e));
         }
     }
 }
 
 pub(crate) enum Request {
-    Propose(Bytes, Proposer),
-    Change(VoterChange, Proposer),
+    Propose(Bytes, Responder),
+    Change(MembershipChange, Responder),
     Read(Query),
     Status(oneshot::Sender<GroupStatus>),
     Transfer(ReplicaId, Reply<(), ProposeError>),
@@ -116,31 +116,31 @@
 
 /// Bounds the open proposals of a group.
 #[derive(Debug)]
-pub(crate) struct Limits {
+pub(crate) struct ProposalLimits {
     count: Arc<Semaphore>,
-    /// In units of `LIMIT_UNIT_BYTES`, since a semaphore counts 32 bits at a time.
+    /// In units of `PERMIT_BYTES`, since a semaphore counts 32 bits at a time.
     bytes: Arc<Semaphore>,
-    max_units: u32,
+    max_byte_permits: u32,
 }
 
-const LIMIT_UNIT_BYTES: usize = 1024;
+const PERMIT_BYTES: usize = 1024;
 
-impl Limits {
+impl ProposalLimits {
     pub(crate) fn new(max_proposals: usize, max_bytes: usize) -> Self {
-        let max_units = u32::try_from(max_bytes / LIMIT_UNIT_BYTES).unwrap_or(u32::MAX).max(1);
+        let max_byte_permits = u32::try_from(max_bytes / PERMIT_BYTES).unwrap_or(u32::MAX).max(1);
         Self {
             count: Arc::new(Semaphore::new(max_proposals)),
-            bytes: Arc::new(Semaphore::new(max_units as usize)),
-            max_units,
+            bytes: Arc::new(Semaphore::new(max_byte_permits as usize)),
+            max_byte_permits,
         }
     }
 
     fn acquire(&self, bytes: usize) -> Result<[OwnedSemaphorePermit; 2], ProposeError> {
         let overloaded = |_| ProposeError::Overloaded;
-        let units = u32::try_from(bytes.div_ceil(LIMIT_UNIT_BYTES)).unwrap_or(u32::MAX);
-        let units = units.min(self.max_units);
+        let permits = u32::try_from(bytes.div_ceil(PERMIT_BYTES)).unwrap_or(u32::MAX);
+        let permits = permits.min(self.max_byte_permits);
         let count = Arc::clone(&self.count).try_acquire_owned().map_err(overloaded)?;
-        let bytes = Arc::clone(&self.bytes).try_acquire_many_owned(units).map_err(overloaded)?;
+        let bytes = Arc::clone(&self.bytes).try_acquire_many_owned(permits).map_err(overloaded)?;
         Ok([count, bytes])
     }
 }
@@ -150,8 +150,8 @@
 pub struct GroupHandle {
     pub(crate) group: GroupId,
     pub(crate) tx: mpsc::Sender<(GroupId, Request)>,
-    pub(crate) limits: Arc<Limits>,
-    pub(crate) view: watch::Receiver<GroupView>,
+    pub(crate) limits: Arc<ProposalLimits>,
+    pub(crate) leadership: watch::Receiver<Leadership>,
 }
 
 impl GroupHandle {
@@ -166,7 +166,7 @@
     ///
     /// All errors but `Unknown` say that the command is never executed.
     pub async fn propose(&self, data: Bytes) -> Result<Bytes, ProposeError> {
-        self.submit(data.len(), |proposer| Request::Propose(data, proposer)).await
+        self.submit(data.len(), |responder| Request::Propose(data, responder)).await
     }
 
     /// Adds a replica that receives the log but does not vote.
@@ -175,7 +175,7 @@
     ///
     /// Like `propose`; also when the change is refused.
     pub async fn add_learner(&self, id: ReplicaId) -> Result<(), ProposeError> {
-        self.change(VoterChange::AddLearner(id)).await
+        self.change(MembershipChange::AddLearner(id)).await
     }
 
     /// Makes a learner that has caught up a voter.
@@ -183,8 +183,8 @@
     /// # Errors
     ///
     /// Like `propose`; also when the change is refused.
-    pub async fn promote(&self, id: ReplicaId) -> Result<(), ProposeError> {
-        self.change(VoterChange::PromoteLearner(id)).await
+    pub async fn promote_learner(&self, id: ReplicaId) -> Result<(), ProposeError> {
+        self.change(MembershipChange::PromoteLearner(id)).await
     }
 
     /// Removes a voter or learner other than the leader.
@@ -192,22 +192,23 @@
     /// # Errors
     ///
     /// Like `propose`; also when the change is refused.
-    pub async fn remove_voter(&self, id: ReplicaId) -> Result<(), ProposeError> {
-        self.change(VoterChange::RemoveVoter(id)).await
+    pub async fn remove_member(&self, id: ReplicaId) -> Result<(), ProposeError> {
+        self.change(MembershipChange::RemoveVoter(id)).await
     }
 
-    async fn change(&self, change: VoterChange) -> Result<(), ProposeError> {
-        self.submit(0, |proposer| Request::Change(change, proposer)).await.map(|_| ())
+    async fn change(&self, change: MembershipChange) -> Result<(), ProposeError> {
+        self.submit(0, |responder| Request::Change(change, responder)).await.map(|_| ())
     }
 
     async fn submit(
         &self,
         bytes: usize,
-        request: impl FnOnce(Proposer) -> Request,
+        request: impl FnOnce(Responder) -> Request,
     ) -> Result<Bytes, ProposeError> {
         let permits = self.limits.acquire(bytes)?;
         let (reply, result) = oneshot::channel();
-        let request = request(Proposer { reply: Some(reply), taken: false, _permits: permits });
+        let request =
+            request(Responder { reply: Some(reply), submitted: false, _permits: permits });
         self.tx.send((self.group, request)).await.map_err(|_| ProposeError::Stopped)?;
         result.await.unwrap_or(Err(ProposeError::Unknown))
     }
@@ -266,8 +267,8 @@
     /// what must not be done without the lease needs a `read_barrier`.
     ///
     /// The node's task waits while a value is borrowed from the channel, so copy it at once.
-    pub fn watch(&self) -> watch::Receiver<GroupView> {
-        self.view.clone()
+    pub fn watch(&self) -> watch::Receiver<Leadership> {
+        self.leadership.clone()
     }
 
     /// Transfers leadership to another voter; returns once that voter leads.
--- a/crates/agreement/src/driver/node.rs
+++ b/crates/agreement/src/driver/node.rs
@@ -5,11 +5,11 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use super::group::Group;
-use super::handle::{GroupHandle, Limits};
-use super::task::{State, Stop, Task};
+use super::handle::{GroupHandle, ProposalLimits};
+use super::task::{NodeTask, StopRequest, TaskState};
 use super::{NodeConfig, NodeError, StateMachine, Transport};
 use crate::{
-    FolderId, GroupId, IdentityError, PeerIdentities, PeerMessage, ReplicaId, Storage, Stored,
+    FolderId, GroupId, IdentityError, PeerIdentities, PeerMessage, ReplicaId, Storage, StoredGroup,
 };
 
 /// Collects what a node needs.
@@ -56,23 +56,23 @@
     pub async fn start(self) -> Result<Node, NodeError> {
         let mut stored = self.storage.load().await?;
         let cfg = Arc::new(self.cfg);
-        let (request_tx, requests) = mpsc::channel(cfg.queue);
-        let (message_tx, messages) = mpsc::channel(cfg.queue);
+        let (request_tx, requests) = mpsc::channel(cfg.queue_capacity);
+        let (message_tx, messages) = mpsc::channel(cfg.queue_capacity);
         let (stop_tx, stop) = mpsc::channel(1);
         let (failed, failure) = watch::channel(None);
         let (mut groups, mut handles) = (Vec::new(), Vec::new());
         for (id, machine) in self.groups {
             let found = stored.binary_search_by_key(&id, |(g, _)| *g);
-            let stored = found.map_or_else(|_| Stored::default(), |i| stored.remove(i).1);
+            let stored = found.map_or_else(|_| StoredGroup::default(), |i| stored.remove(i).1);
             let transport = Arc::clone(&self.transport);
-            let (group, view) =
+            let (group, leadership) =
                 Group::new(id, self.replica, machine, stored, transport, Arc::clone(&cfg))?;
             groups.push(group);
-            let limits = Arc::new(Limits::new(cfg.max_proposals, cfg.max_proposal_bytes));
-            handles.push(GroupHandle { group: id, tx: request_tx.clone(), limits, view });
+            let limits = Arc::new(ProposalLimits::new(cfg.max_proposals, cfg.max_proposal_bytes));
+            handles.push(GroupHandle { group: id, tx: request_tx.clone(), limits, leadership });
         }
-        let (storage, state) = (self.storage, State::default());
-        let task = Task { groups, storage, cfg, messages, requests, stop, failed, state };
+        let (storage, state) = (self.storage, TaskState::default());
+        let task = NodeTask { groups, storage, cfg, messages, requests, stop, failed, state };
         tokio::spawn(task.run());
         Ok(Node {
             replica: self.replica,
@@ -91,7 +91,7 @@
     /// Sorted by group.
     handles: Vec<GroupHandle>,
     inbox: Arc<Inbox>,
-    stop: mpsc::Sender<Stop>,
+    stop: mpsc::Sender<StopRequest>,
     failure: watch::Receiver<Option<NodeError>>,
 }
 
@@ -138,7 +138,7 @@
     /// the node has failed.
     pub async fn shutdown(&self) {
         let (reply, stopped) = oneshot::channel();
-        if self.stop.send(Stop::Shutdown(reply)).await.is_ok() {
+        if self.stop.send(StopRequest::Shutdown(reply)).await.is_ok() {
             let _ = stopped.await;
         }
     }
@@ -146,7 +146,7 @@
     /// Stops without transferring leadership, then closes the store.
     pub async fn abort(&self) {
         let (reply, stopped) = oneshot::channel();
-        if self.stop.send(Stop::Abort(reply)).await.is_ok() {
+        if self.stop.send(StopRequest::Abort(reply)).await.is_ok() {
             let _ = stopped.await;
         }
     }
@@ -171,12 +171,12 @@
         match self.peers.get(from) {
             Some(known) if known == folder => {
                 if self.tx.try_send((from, message)).is_err() {
-                    dropped("queue_full");
+                    count_dropped("queue_full");
                 }
             }
             Some(_) => self.refuse(from, folder),
             None => {
-                dropped("first_contact");
+                count_dropped("first_contact");
                 self.record(from, folder);
             }
         }
@@ -201,7 +201,7 @@
     }
 
     fn refuse(&self, from: ReplicaId, folder: FolderId) {
-        dropped("foreign_folder");
+        count_dropped("foreign_folder");
         let mut refused = lock(&self.refused);
         if !refused.contains(&(from, folder)) {
             refused.push((from, folder));
@@ -210,7 +210,7 @@
     }
 }
 
-fn dropped(reason: &'static str) {
+fn count_dropped(reason: &'static str) {
     metrics::counter!("poplarspan_agreement_dropped_messages_total", "reason" => reason)
         .increment(1);
 }
--- a/crates/agreement/src/driver/task.rs
+++ b/crates/agreement/src/driver/task.rs
@@ -10,16 +10,16 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use super::group::{Group, Work};
+use super::group::{Group, StorageWork};
 use super::handle::Request;
 use super::{NodeConfig, NodeError};
 use crate::{GroupId, PeerMessage, ReplicaId, Snapshot, Storage, StoreError};
 
 /// Messages or requests that are handled before their state is handed to storage.
-const MAX_STEPS: usize = 256;
+const MAX_INPUTS_PER_BATCH: usize = 256;
 
 /// Ends the task.
-pub(crate) enum Stop {
+pub(crate) enum StopRequest {
     /// Transfers leadership first.
     Shutdown(oneshot::Sender<()>),
     /// At once.
@@ -29,21 +29,21 @@
 type Synced = Result<Vec<(GroupId, u64)>, StoreError>;
 type Saved = Result<(GroupId, Snapshot), StoreError>;
 
-pub(crate) struct Task {
+pub(crate) struct NodeTask {
     /// Sorted.
     pub(crate) groups: Vec<Group>,
     pub(crate) storage: Box<dyn Storage>,
     pub(crate) cfg: Arc<NodeConfig>,
     pub(crate) messages: mpsc::Receiver<(ReplicaId, PeerMessage)>,
     pub(crate) requests: mpsc::Receiver<(GroupId, Request)>,
-    pub(crate) stop: mpsc::Receiver<Stop>,
+    pub(crate) stop: mpsc::Receiver<StopRequest>,
     pub(crate) failed: watch::Sender<Option<NodeError>>,
-    pub(crate) state: State,
+    pub(crate) state: TaskState,
 }
 
 /// What the task is waiting for.
-pub(crate) struct State {
-    work: Work,
+pub(crate) struct TaskState {
+    work: StorageWork,
     /// The batch that storage makes durable. The next one collects meanwhile.
     syncing: Option<BoxFuture<'static, Synced>>,
     /// When that batch was handed to storage.
@@ -53,10 +53,10 @@
     stopping: Option<(Instant, oneshot::Sender<()>)>,
 }
 
-impl Default for State {
+impl Default for TaskState {
     fn default() -> Self {
         Self {
-            work: Work::default(),
+            work: StorageWork::default(),
             syncing: None,
             syncing_since: Instant::now(),
             saving: FuturesUnordered::new(),
@@ -65,7 +65,7 @@
     }
 }
 
-impl Task {
+impl NodeTask {
     pub(crate) async fn run(mut self) {
         let stopped = match self.serve().await {
             Ok(reply) => reply,
@@ -89,27 +89,27 @@
 
     /// Runs until the node is stopped; returns whom to tell.
     async fn serve(&mut self) -> Result<Option<oneshot::Sender<()>>, NodeError> {
-        let mut ticks = interval(self.cfg.tick);
+        let mut ticks = interval(self.cfg.tick_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let (mut messages, mut requests) = (Vec::new(), Vec::new());
         loop {
             self.start_storage_work();
-            if self.may_stop() {
+            if self.can_stop() {
                 return Ok(self.state.stopping.take().map(|(_, reply)| reply));
             }
             tokio::select! {
                 synced = next_synced(&mut self.state.syncing) => self.synced(synced?)?,
                 Some(saved) = self.state.saving.next() => self.saved(saved?)?,
                 _ = ticks.tick() => self.tick()?,
-                _ = self.messages.recv_many(&mut messages, MAX_STEPS) => {
+                _ = self.messages.recv_many(&mut messages, MAX_INPUTS_PER_BATCH) => {
                     self.handle_messages(&mut messages)?;
                 }
-                _ = self.requests.recv_many(&mut requests, MAX_STEPS) => {
+                _ = self.requests.recv_many(&mut requests, MAX_INPUTS_PER_BATCH) => {
                     self.handle_requests(&mut requests)?;
                 }
                 stop = self.stop.recv() => match stop {
-                    Some(Stop::Shutdown(reply)) => self.begin_stop(reply)?,
-                    Some(Stop::Abort(reply)) => return Ok(Some(reply)),
+                    Some(StopRequest::Shutdown(reply)) => self.begin_shutdown(reply)?,
+                    Some(StopRequest::Abort(reply)) => return Ok(Some(reply)),
                     None => return Ok(None),
                 },
             }
@@ -128,10 +128,10 @@
         let state = &mut self.state;
         if state.syncing.is_none() && !state.work.persists.is_empty() {
             let batch = std::mem::take(&mut state.work.persists);
-            let tickets = batch.iter().map(|(id, p)| (*id, p.ticket)).collect();
+            let sequences = batch.iter().map(|(id, p)| (*id, p.sequence)).collect();
             let persisted = self.storage.persist(batch);
             state.syncing_since = Instant::now();
-            state.syncing = Some(Box::pin(async move { persisted.await.map(|()| tickets) }));
+            state.syncing = Some(Box::pin(async move { persisted.await.map(|()| sequences) }));
         }
         for (id, snapshot) in state.work.snapshots.drain(..) {
             let saved = self.storage.save_snapshot(id, snapshot.clone());
@@ -139,11 +139,11 @@
         }
     }
 
-    fn synced(&mut self, tickets: Vec<(GroupId, u64)>) -> Result<(), NodeError> {
-        for (id, ticket) in tickets {
+    fn synced(&mut self, sequences: Vec<(GroupId, u64)>) -> Result<(), NodeError> {
+        for (id, sequence) in sequences {
             if let Some(i) = self.find(id) {
                 let now = self.now();
-                self.groups[i].synced(now, ticket, &mut self.state.work)?;
+                self.groups[i].synced(now, sequence, &mut self.state.work)?;
             }
         }
         Ok(())
@@ -158,20 +158,20 @@
     }
 
     /// Whether the disk has not made a batch durable for as long as an election takes.
-    fn is_stalled(&self) -> bool {
+    fn is_disk_stalled(&self) -> bool {
         self.state.syncing.is_some()
             && self.state.syncing_since.elapsed() >= self.cfg.election_timeout_min
     }
 
     fn tick(&mut self) -> Result<(), NodeError> {
-        let is_stalled = self.is_stalled();
+        let is_disk_stalled = self.is_disk_stalled();
         for i in 0..self.groups.len() {
             let now = self.now();
             self.groups[i].tick(now, &mut self.state.work)?;
             if self.state.stopping.is_some() {
-                self.groups[i].give_away(now, &mut self.state.work)?;
-            } else if is_stalled {
-                self.groups[i].give_to_synced(now, &mut self.state.work)?;
+                self.groups[i].transfer_to_most_complete(now, &mut self.state.work)?;
+            } else if is_disk_stalled {
+                self.groups[i].transfer_off_stalled_disk(now, &mut self.state.work)?;
             }
         }
         Ok(())
@@ -202,14 +202,14 @@
         Ok(())
     }
 
-    fn begin_stop(&mut self, reply: oneshot::Sender<()>) -> Result<(), NodeError> {
+    fn begin_shutdown(&mut self, reply: oneshot::Sender<()>) -> Result<(), NodeError> {
         let deadline = Instant::now() + 2 * self.cfg.election_timeout_max;
         self.state.stopping = Some((deadline, reply));
         self.tick()
     }
 
     /// Reports whether the node was shut down and leads no group that another voter could lead.
-    fn may_stop(&mut self) -> bool {
+    fn can_stop(&mut self) -> bool {
         let Some((deadline, _)) = self.state.stopping else {
             return false;
         };
--- a/crates/agreement/src/identity.rs
+++ b/crates/agreement/src/identity.rs
@@ -12,7 +12,7 @@
 use prost::Message;
 
 use crate::convert::{identity_from_proto, identity_to_proto};
-use crate::storage::{checked, disk::sync_folder};
+use crate::storage::{checksummed, disk::sync_folder};
 use crate::{FolderId, ReplicaId};
 
 const IDENTITY_FILE: &str = "identity";
@@ -174,13 +174,13 @@
             Ok(i) if known[i].1 == folder => Ok(()),
             Ok(_) => Err(IdentityError::ForeignFolder(peer)),
             Err(i) => {
-                let mut longer = known.clone();
-                longer.insert(i, (peer, folder));
+                let mut updated = known.clone();
+                updated.insert(i, (peer, folder));
                 if let Some(path) = &self.path {
-                    let peers = longer.iter().map(|(r, f)| identity_to_proto(*r, *f)).collect();
+                    let peers = updated.iter().map(|(r, f)| identity_to_proto(*r, *f)).collect();
                     write_synced(path, PEERS_FILE, &pb::Peers { peers })?;
                 }
-                *known = longer;
+                *known = updated;
                 Ok(())
             }
         }
@@ -196,7 +196,8 @@
     let path = folder.join(name);
     let temporary = folder.join(format!("{name}.tmp"));
     let mut f = File::create(&temporary).map_err(io_error("create", &temporary))?;
-    f.write_all(&checked::head(message, &[])).map_err(io_error("write", &temporary))?;
+    f.write_all(&checksummed::encode_header(message, &[]))
+        .map_err(io_error("write", &temporary))?;
     f.sync_all().map_err(io_error("sync", &temporary))?;
     fs::rename(&temporary, &path).map_err(io_error("replace", &path))?;
     sync_folder(folder).map_err(io_error("sync", folder))
@@ -204,7 +205,7 @@
 
 fn read<M: Message + Default>(path: &Path) -> Result<M, IdentityError> {
     let buf = fs::read(path).map_err(io_error("read", path))?;
-    let (message, data) = checked::parse(buf)
+    let (message, data) = checksummed::decode(buf)
         .map_err(|reason| IdentityError::Corrupt { path: path.to_owned(), reason })?;
     if !data.is_empty() {
         return Err(IdentityError::Corrupt { path: path.to_owned(), reason: "trailing data" });
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -94,22 +94,22 @@
 mod types;
 
 pub use crate::core::{
-    Core, CoreConfig, Input, Output, ProposalResult, ReadResult, Refusal, Restored, Role,
-    RoleChange, Status, VoterChange,
+    Core, CoreConfig, InitialState, Input, MembershipChange, MembershipChangeError, Output,
+    ProposalResult, ReadResult, Role, RoleChange, Status,
 };
 pub use convert::{ConvertError, PeerMessage};
 pub use driver::{
-    Clock, GroupHandle, GroupStatus, GroupView, InitError, Node, NodeBuilder, NodeConfig,
+    Clock, GroupHandle, GroupStatus, InitError, Leadership, Node, NodeBuilder, NodeConfig,
     NodeError, ProposeError, ReadError, RuntimeClock, StateMachine, Transport, init_groups,
     init_voters,
 };
 pub use identity::{DataDir, IdentityError, PeerIdentities};
 pub use message::{AppendResult, Message};
 pub use storage::{
-    FileStore, MemoryDisk, MemoryStore, Storage, StoreError, StoreOptions, StoreStats, Stored,
+    FileStore, MemoryDisk, MemoryStore, Storage, StoreError, StoreOptions, StoreStats, StoredGroup,
     is_disk_full,
 };
 pub use types::{
-    Entry, FolderId, GroupId, HardState, LogPosition, Membership, Payload, Persist, ReplicaId,
-    Snapshot,
+    Entry, FolderId, GroupId, HardState, LogPosition, Membership, Payload, PersistRequest,
+    ReplicaId, Snapshot,
 };
--- a/crates/agreement/src/storage.rs
+++ b/crates/agreement/src/storage.rs
@@ -6,7 +6,7 @@
 //! fails for good: what the disk holds is then unknown until the log has been read again, so every
 //! later call returns the same error and the process has to stop.
 
-pub(crate) mod checked;
+pub(crate) mod checksummed;
 pub(crate) mod disk;
 mod file;
 mod frame;
@@ -25,14 +25,14 @@
 pub use file::{FileStore, StoreOptions};
 pub use memory::{MemoryDisk, MemoryStore};
 
-use crate::{Entry, GroupId, HardState, Persist, Snapshot};
+use crate::{Entry, GroupId, HardState, PersistRequest, Snapshot};
 
 /// Pause before a write that the disk has refused is tried again.
-const REFUSED_PAUSE: Duration = Duration::from_millis(50);
+const DISK_FULL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What a store holds of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stored {
+pub struct StoredGroup {
     /// Term and vote.
     pub hard_state: HardState,
     /// The latest snapshot.
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Fails when a snapshot cannot be read or its checksum is wrong, or when the store has failed.
-    fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, Stored)>, StoreError>>;
+    fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, StoredGroup)>, StoreError>>;
 
     /// Makes a batch durable as one unit: after a crash either all of it is there or none. Entries
     /// that the stored snapshot covers are left out.
@@ -72,11 +72,13 @@
     /// # Errors
     ///
     /// Fails when a write or a sync fails. The store has then failed for good.
-    fn persist(&self, batch: Vec<(GroupId, Persist)>)
-    -> BoxFuture<'static, Result<(), StoreError>>;
+    fn persist(
+        &self,
+        batch: Vec<(GroupId, PersistRequest)>,
+    ) -> BoxFuture<'static, Result<(), StoreError>>;
 
     /// Makes a snapshot of the group's own state machine durable, then drops the log that it covers.
-    /// Unlike a snapshot in a `Persist`, it does not delay later batches while it is written.
+    /// Unlike a snapshot in a `PersistRequest`, it does not delay later batches while it is written.
     ///
     /// # Errors
     ///
@@ -155,7 +157,7 @@
 
 impl StoreError {
     /// Whether the disk took no more bytes. The store waits until it does again.
-    pub fn is_refusal(&self) -> bool {
+    pub fn is_disk_full(&self) -> bool {
         matches!(self, Self::Io { source, .. } if disk::is_disk_full(source))
     }
 
--- a/crates/agreement/src/storage/disk.rs
+++ b/crates/agreement/src/storage/disk.rs
@@ -135,22 +135,22 @@
 
 /// A file with zeros ahead of its end, so that a sync rarely has to write new metadata.
 struct LogFile {
-    f: File,
+    file: File,
     end: u64,
     allocated: u64,
     preallocate_bytes: usize,
 }
 
 impl LogFile {
-    fn new(f: File, end: u64, preallocate_bytes: usize) -> Self {
-        Self { f, end, allocated: end, preallocate_bytes }
+    fn new(file: File, end: u64, preallocate_bytes: usize) -> Self {
+        Self { file, end, allocated: end, preallocate_bytes }
     }
 
     /// Makes zeros durable beyond `end`.
     fn allocate(&mut self, end: u64) -> io::Result<()> {
         let zeros = vec![0; self.preallocate_bytes];
-        self.f.write_all_at(&zeros, end)?;
-        self.f.sync_data()?;
+        self.file.write_all_at(&zeros, end)?;
+        self.file.sync_data()?;
         self.allocated = end + zeros.len() as u64;
         Ok(())
     }
@@ -167,13 +167,13 @@
         {
             return Err(e);
         }
-        self.f.write_all_at(buf, self.end)?;
+        self.file.write_all_at(buf, self.end)?;
         self.end = end;
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.f.sync_data()
+        self.file.sync_data()
     }
 
     fn rewind(&mut self, end: u64) {
--- a/crates/agreement/src/storage/file.rs
+++ b/crates/agreement/src/storage/file.rs
@@ -13,9 +13,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::disk::{FolderDisk, sync_folder};
-use super::wal::{Batch, Counters, Op, SnapshotWrite, Wal};
-use super::{REFUSED_PAUSE, Storage, StoreError, StoreStats, Stored};
-use crate::{GroupId, Persist, Snapshot};
+use super::wal::{Batch, Counters, SnapshotWriter, Wal, WriteOp};
+use super::{DISK_FULL_RETRY_DELAY, Storage, StoreError, StoreStats, StoredGroup};
+use crate::{GroupId, PersistRequest, Snapshot};
 
 /// Requests that wait for the thread before callers have to wait.
 const QUEUE_REQUESTS: usize = 1024;
@@ -41,8 +41,8 @@
 type Reply<T> = oneshot::Sender<Result<T, StoreError>>;
 
 enum Request {
-    Load(Reply<Vec<(GroupId, Stored)>>),
-    Persist(Vec<(GroupId, Persist)>, Reply<()>),
+    Load(Reply<Vec<(GroupId, StoredGroup)>>),
+    Persist(Vec<(GroupId, PersistRequest)>, Reply<()>),
     SaveSnapshot(GroupId, Snapshot, Reply<()>),
     Close(Reply<()>),
 }
@@ -87,8 +87,9 @@
         let counters = wal.counters();
         let (tx, rx) = mpsc::channel(QUEUE_REQUESTS);
         let closing = Arc::new(AtomicBool::new(false));
-        let (snapshots, refused) = (VecDeque::new(), Refused::default());
-        let worker = Worker { wal, rx, closing: closing.clone(), failed: None, snapshots, refused };
+        let (snapshots, disk_full) = (VecDeque::new(), DiskFullReport::default());
+        let worker =
+            Worker { wal, rx, closing: closing.clone(), failed: None, snapshots, disk_full };
         thread::Builder::new()
             .name("store".to_owned())
             .spawn(move || worker.run())
@@ -110,13 +111,13 @@
 }
 
 impl Storage for FileStore {
-    fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, Stored)>, StoreError>> {
+    fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, StoredGroup)>, StoreError>> {
         self.call(Request::Load)
     }
 
     fn persist(
         &self,
-        batch: Vec<(GroupId, Persist)>,
+        batch: Vec<(GroupId, PersistRequest)>,
     ) -> BoxFuture<'static, Result<(), StoreError>> {
         self.call(|reply| Request::Persist(batch, reply))
     }
@@ -141,8 +142,8 @@
 
 /// A snapshot of a group's own state machine on its way to the disk.
 struct PendingSnapshot {
-    write: SnapshotWrite,
-    op: Op,
+    writer: SnapshotWriter,
+    op: WriteOp,
     reply: Reply<()>,
 }
 
@@ -152,15 +153,15 @@
     closing: Arc<AtomicBool>,
     failed: Option<StoreError>,
     snapshots: VecDeque<PendingSnapshot>,
-    refused: Refused,
+    disk_full: DiskFullReport,
 }
 
 /// Whether the disk takes no more bytes, as told to operators.
 #[derive(Default)]
-struct Refused(bool);
+struct DiskFullReport(bool);
 
-impl Refused {
-    fn begin(&mut self, e: &StoreError) {
+impl DiskFullReport {
+    fn raise(&mut self, e: &StoreError) {
         metrics::counter!("poplarspan_store_refused_writes_total").increment(1);
         metrics::gauge!("poplarspan_store_disk_refuses").set(1.0);
         if !std::mem::replace(&mut self.0, true) {
@@ -169,7 +170,7 @@
         }
     }
 
-    fn end(&mut self) {
+    fn clear(&mut self) {
         if std::mem::take(&mut self.0) {
             metrics::gauge!("poplarspan_store_disk_refuses").set(0.0);
             log::info!("the disk takes bytes again");
@@ -188,7 +189,7 @@
                         let _ = reply.send(self.check().and_then(|()| self.wal.load()));
                     }
                     Request::Persist(batch, reply) => {
-                        ops.push(Op::Persist(batch));
+                        ops.push(WriteOp::Persist(batch));
                         replies.push(reply);
                     }
                     Request::SaveSnapshot(group, snapshot, reply) => {
@@ -202,7 +203,7 @@
                     }
                 }
             }
-            self.step_snapshot(&mut ops, &mut replies);
+            self.write_snapshot_chunk(&mut ops, &mut replies);
             self.commit(ops, replies);
         }
     }
@@ -228,28 +229,28 @@
 
     fn queue_snapshot(&mut self, group: GroupId, snapshot: Snapshot, reply: Reply<()>) {
         let (last, membership) = (snapshot.last, snapshot.membership.clone());
-        let op = Op::Snapshot { group, last, membership };
-        let write = SnapshotWrite::new(group, snapshot);
-        self.snapshots.push_back(PendingSnapshot { write, op, reply });
+        let op = WriteOp::Snapshot { group, last, membership };
+        let writer = SnapshotWriter::new(group, snapshot);
+        self.snapshots.push_back(PendingSnapshot { writer, op, reply });
     }
 
     /// Writes one chunk of the first snapshot; adds it to the batch when it is complete.
-    fn step_snapshot(&mut self, ops: &mut Vec<Op>, replies: &mut Vec<Reply<()>>) {
+    fn write_snapshot_chunk(&mut self, ops: &mut Vec<WriteOp>, replies: &mut Vec<Reply<()>>) {
         let Some(mut pending) = self.snapshots.pop_front() else {
             return;
         };
-        let step = self.check().and_then(|()| pending.write.step(&mut self.wal));
-        match step {
+        let result = self.check().and_then(|()| pending.writer.write_chunk(&mut self.wal));
+        match result {
             Ok(false) => self.snapshots.push_front(pending),
             Ok(true) => {
                 ops.push(pending.op);
                 replies.push(pending.reply);
             }
-            Err(e) if e.is_refusal() && !self.closing.load(Ordering::Relaxed) => {
+            Err(e) if e.is_disk_full() && !self.closing.load(Ordering::Relaxed) => {
                 // The log goes on meanwhile, as far as it has room.
-                self.refused.begin(&e);
+                self.disk_full.raise(&e);
                 self.snapshots.push_back(pending);
-                thread::sleep(REFUSED_PAUSE);
+                thread::sleep(DISK_FULL_RETRY_DELAY);
             }
             Err(e) => {
                 self.fail(&e);
@@ -258,11 +259,11 @@
         }
     }
 
-    fn commit(&mut self, ops: Vec<Op>, replies: Vec<Reply<()>>) {
+    fn commit(&mut self, ops: Vec<WriteOp>, replies: Vec<Reply<()>>) {
         if replies.is_empty() {
             return;
         }
-        let result = self.check().and_then(|()| self.wait_for_room(ops));
+        let result = self.check().and_then(|()| self.commit_when_space(ops));
         if let Err(e) = &result {
             self.fail(e);
         }
@@ -272,17 +273,17 @@
     }
 
     /// Commits a batch, and waits while the disk takes no more bytes.
-    fn wait_for_room(&mut self, ops: Vec<Op>) -> Result<(), StoreError> {
+    fn commit_when_space(&mut self, ops: Vec<WriteOp>) -> Result<(), StoreError> {
         let mut batch = Batch::new(ops);
         loop {
             match self.wal.commit(&mut batch) {
-                Err(e) if e.is_refusal() && !self.closing.load(Ordering::Relaxed) => {
-                    self.refused.begin(&e);
-                    thread::sleep(REFUSED_PAUSE);
+                Err(e) if e.is_disk_full() && !self.closing.load(Ordering::Relaxed) => {
+                    self.disk_full.raise(&e);
+                    thread::sleep(DISK_FULL_RETRY_DELAY);
                 }
                 Ok(()) => {
                     if self.snapshots.is_empty() {
-                        self.refused.end();
+                        self.disk_full.clear();
                     }
                     return Ok(());
                 }
--- a/crates/agreement/src/storage/frame.rs
+++ b/crates/agreement/src/storage/frame.rs
@@ -9,7 +9,7 @@
 use poplarspan_proto::agreement as pb;
 use prost::Message;
 
-use super::checked::array;
+use super::checksummed::to_array;
 
 const MAGIC: [u8; 8] = *b"PSPNWAL1";
 /// Magic, number, number of the first frame, salt, checksum.
@@ -41,18 +41,18 @@
 
     pub(crate) fn decode(file: &[u8]) -> Option<Self> {
         let buf = file.get(..SEGMENT_HEADER_LEN)?;
-        let sound = buf[..8] == MAGIC
-            && u32::from_be_bytes(array(&buf[32..36])) == crc32c::crc32c(&buf[..32]);
-        sound.then(|| Self {
-            number: u64::from_be_bytes(array(&buf[8..16])),
-            first_frame: u64::from_be_bytes(array(&buf[16..24])),
-            salt: u64::from_be_bytes(array(&buf[24..32])),
+        let is_valid = buf[..8] == MAGIC
+            && u32::from_be_bytes(to_array(&buf[32..36])) == crc32c::crc32c(&buf[..32]);
+        is_valid.then(|| Self {
+            number: u64::from_be_bytes(to_array(&buf[8..16])),
+            first_frame: u64::from_be_bytes(to_array(&buf[16..24])),
+            salt: u64::from_be_bytes(to_array(&buf[24..32])),
         })
     }
 
     /// First bytes of each frame of the segment.
-    fn mark(&self) -> [u8; 4] {
-        array(&self.salt.to_be_bytes()[..4])
+    fn marker(&self) -> [u8; 4] {
+        to_array(&self.salt.to_be_bytes()[..4])
     }
 
     fn checksum(&self, header: &[u8], body: &[u8]) -> u32 {
@@ -63,7 +63,7 @@
     /// Appends the frame `number` with `batch` to `buf`.
     pub(crate) fn encode_frame(&self, number: u64, batch: &pb::Batch, buf: &mut Vec<u8>) {
         let start = buf.len();
-        buf.extend_from_slice(&self.mark());
+        buf.extend_from_slice(&self.marker());
         buf.extend_from_slice(&[0; FRAME_HEADER_LEN - 4]);
         batch.encode(buf).expect("a vector grows as needed");
         let body = start + FRAME_HEADER_LEN;
@@ -77,20 +77,20 @@
     /// Returns the number and the body of the frame at the start of `buf` if it is sound.
     pub(crate) fn frame_at<'a>(&self, buf: &'a [u8]) -> Option<(u64, &'a [u8])> {
         let header = buf.get(..FRAME_HEADER_LEN)?;
-        if header[..4] != self.mark() {
+        if header[..4] != self.marker() {
             return None;
         }
-        let len = u32::from_be_bytes(array(&header[4..8])) as usize;
+        let len = u32::from_be_bytes(to_array(&header[4..8])) as usize;
         let body = buf.get(FRAME_HEADER_LEN..FRAME_HEADER_LEN.checked_add(len)?)?;
-        let crc = u32::from_be_bytes(array(&header[16..20]));
+        let crc = u32::from_be_bytes(to_array(&header[16..20]));
         (crc == self.checksum(&header[..16], body))
-            .then(|| (u64::from_be_bytes(array(&header[8..16])), body))
+            .then(|| (u64::from_be_bytes(to_array(&header[8..16])), body))
     }
 
     /// Reports whether a sound frame begins anywhere in `buf`.
-    pub(crate) fn any_frame(&self, buf: &[u8]) -> bool {
-        let mark = self.mark();
-        (0..buf.len()).any(|i| buf[i..].starts_with(&mark) && self.frame_at(&buf[i..]).is_some())
+    pub(crate) fn contains_frame(&self, buf: &[u8]) -> bool {
+        let marker = self.marker();
+        (0..buf.len()).any(|i| buf[i..].starts_with(&marker) && self.frame_at(&buf[i..]).is_some())
     }
 }
 
--- a/crates/agreement/src/storage/group.rs
+++ b/crates/agreement/src/storage/group.rs
@@ -12,7 +12,7 @@
 
 /// One entry and the segment that holds its latest copy.
 #[derive(Clone, Debug)]
-pub(crate) struct Logged {
+pub(crate) struct SegmentEntry {
     pub(crate) entry: Entry,
     pub(crate) segment: u64,
 }
@@ -23,21 +23,21 @@
     pub(crate) hard_state: HardState,
     pub(crate) snapshot: Option<(LogPosition, Membership)>,
     /// Position before the first entry.
-    pub(crate) before: LogPosition,
-    pub(crate) log: VecDeque<Logged>,
+    pub(crate) base: LogPosition,
+    pub(crate) log: VecDeque<SegmentEntry>,
     /// Bytes of all entries of `log`.
     pub(crate) bytes: usize,
 }
 
 impl Group {
     pub(crate) fn last_index(&self) -> u64 {
-        self.log.back().map_or(self.before.index, |l| l.entry.position.index)
+        self.log.back().map_or(self.base.index, |l| l.entry.position.index)
     }
 
     /// Term of the entry at `index`, if the log has it.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.before.index {
-            return Some(self.before.term);
+        if index == self.base.index {
+            return Some(self.base.term);
         }
         let first = self.log.front()?.entry.position.index;
         let i = usize::try_from(index.checked_sub(first)?).ok()?;
@@ -52,7 +52,7 @@
         let Some(first) = entries.first().map(|e| e.position.index) else {
             return Ok(());
         };
-        if first <= self.before.index {
+        if first <= self.base.index {
             return Err("entry before the start of the log");
         }
         while self.log.back().is_some_and(|l| l.entry.position.index >= first) {
@@ -66,29 +66,29 @@
                 return Err("entries of a record are not consecutive");
             }
             self.bytes += entry_bytes(&entry);
-            self.log.push_back(Logged { entry, segment });
+            self.log.push_back(SegmentEntry { entry, segment });
         }
         Ok(())
     }
 
     /// Drops the log up to `before`, or all of it.
-    pub(crate) fn start_after(&mut self, before: LogPosition, clear: bool) {
+    pub(crate) fn start_after(&mut self, base: LogPosition, clear: bool) {
         if clear {
             self.clear();
         }
-        while self.log.front().is_some_and(|l| l.entry.position.index <= before.index) {
+        while self.log.front().is_some_and(|l| l.entry.position.index <= base.index) {
             if let Some(l) = self.log.pop_front() {
                 self.bytes -= entry_bytes(&l.entry);
             }
         }
-        self.before = before;
+        self.base = base;
     }
 
     /// Reports whether entries are missing between the snapshot and the first entry.
     pub(crate) fn has_gap(&self) -> bool {
-        let first = self.log.front().map_or(self.before.index + 1, |l| l.entry.position.index);
+        let first = self.log.front().map_or(self.base.index + 1, |l| l.entry.position.index);
         let snapshot = self.snapshot.as_ref().map_or(0, |(last, _)| last.index);
-        first != self.before.index + 1 || self.before.index != snapshot
+        first != self.base.index + 1 || self.base.index != snapshot
     }
 
     /// Segment of the first entry.
@@ -110,11 +110,11 @@
                 self.snapshot = Some((last, membership));
             }
             Kind::LogStart(start) => {
-                let before: LogPosition = start.before.ok_or("start without position")?.into();
-                if before.index >= u64::MAX - 1 {
+                let base: LogPosition = start.before.ok_or("start without position")?.into();
+                if base.index >= u64::MAX - 1 {
                     return Err("start of the log out of range");
                 }
-                self.start_after(before, start.clear);
+                self.start_after(base, start.clear);
             }
         }
         Ok(())
@@ -124,7 +124,7 @@
     pub(crate) fn checkpoint(&self, group: GroupId) -> Vec<pb::Record> {
         let mut kinds = vec![Kind::HardState(self.hard_state.into())];
         kinds.extend(self.snapshot.as_ref().map(|(last, m)| snapshot_kind(*last, m)));
-        kinds.push(log_start_kind(self.before, false));
+        kinds.push(log_start_kind(self.base, false));
         kinds.into_iter().map(|kind| record(group, kind)).collect()
     }
 
@@ -157,8 +157,8 @@
     })
 }
 
-pub(crate) fn log_start_kind(before: LogPosition, clear: bool) -> Kind {
-    Kind::LogStart(pb::LogStart { before: Some(before.into()), clear })
+pub(crate) fn log_start_kind(base: LogPosition, clear: bool) -> Kind {
+    Kind::LogStart(pb::LogStart { before: Some(base.into()), clear })
 }
 
 fn entry_bytes(entry: &Entry) -> usize {
--- a/crates/agreement/src/storage/memory.rs
+++ b/crates/agreement/src/storage/memory.rs
@@ -8,9 +8,9 @@
 use tokio::sync::watch;
 
 use super::disk::{Disk, DiskFile};
-use super::wal::{Batch, Counters, Op, SnapshotWrite, Wal};
-use super::{REFUSED_PAUSE, Storage, StoreError, StoreOptions, StoreStats, Stored};
-use crate::{GroupId, Persist, Snapshot};
+use super::wal::{Batch, Counters, SnapshotWriter, Wal, WriteOp};
+use super::{DISK_FULL_RETRY_DELAY, Storage, StoreError, StoreOptions, StoreStats, StoredGroup};
+use crate::{GroupId, PersistRequest, Snapshot};
 
 #[derive(Clone, Debug, Default)]
 struct MemoryFile {
@@ -35,12 +35,12 @@
 #[derive(Clone, Debug)]
 pub struct MemoryDisk {
     files: Arc<Mutex<Files>>,
-    held: watch::Sender<bool>,
+    stalled: watch::Sender<bool>,
 }
 
 impl Default for MemoryDisk {
     fn default() -> Self {
-        Self { files: Arc::default(), held: watch::Sender::new(false) }
+        Self { files: Arc::default(), stalled: watch::Sender::new(false) }
     }
 }
 
@@ -66,7 +66,7 @@
     }
 
     /// Ends the use of this disk by all open stores and loses everything.
-    pub fn lose(&self) {
+    pub fn erase(&self) {
         let mut files = self.lock();
         *files = Files { crashes: files.crashes + 1, ..Files::default() };
     }
@@ -82,8 +82,8 @@
     }
 
     /// While `held`, writes wait before they begin, as on a disk that doesn't respond.
-    pub fn hold(&self, held: bool) {
-        self.held.send_replace(held);
+    pub fn set_stalled(&self, stalled: bool) {
+        self.stalled.send_replace(stalled);
     }
 
     fn lock(&self) -> MutexGuard<'_, Files> {
@@ -124,7 +124,7 @@
         }
     }
 
-    fn check_room(&self) -> io::Result<()> {
+    fn check_space(&self) -> io::Result<()> {
         if self.is_full { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
     }
 
@@ -153,7 +153,7 @@
 
     fn create(&mut self, name: &str) -> io::Result<Box<dyn DiskFile>> {
         let mut files = self.lock()?;
-        files.check_room()?;
+        files.check_space()?;
         files.files.push(MemoryFile::default());
         let file = files.files.len() - 1;
         files.link(name, file);
@@ -203,9 +203,9 @@
     fn append(&mut self, buf: &[u8]) -> io::Result<()> {
         let mut files = self.disk.lock()?;
         // As on a real disk, the first bytes may still be taken.
-        let taken = if files.is_full { &buf[..buf.len() / 2] } else { buf };
-        files.files[self.file].data.extend_from_slice(taken);
-        files.check_room()
+        let accepted = if files.is_full { &buf[..buf.len() / 2] } else { buf };
+        files.files[self.file].data.extend_from_slice(accepted);
+        files.check_space()
     }
 
     fn sync(&mut self) -> io::Result<()> {
@@ -226,7 +226,7 @@
     /// Held by a request until it is carried out.
     state: Arc<tokio::sync::Mutex<State>>,
     counters: Arc<Counters>,
-    held: watch::Sender<bool>,
+    stalled: watch::Sender<bool>,
 }
 
 struct State {
@@ -253,7 +253,7 @@
         let wal = Wal::open(Box::new(disk.handle()), options.segment_bytes)?;
         let counters = wal.counters();
         let state = Arc::new(tokio::sync::Mutex::new(State { wal, failed: None }));
-        Ok(Self { state, counters, held: disk.held.clone() })
+        Ok(Self { state, counters, stalled: disk.stalled.clone() })
     }
 
     fn run<T: Send + 'static>(
@@ -261,16 +261,16 @@
         mut work: impl FnMut(&mut Wal) -> Result<T, StoreError> + Send + 'static,
     ) -> BoxFuture<'static, Result<T, StoreError>> {
         let state = Arc::clone(&self.state);
-        let mut held = self.held.subscribe();
+        let mut stalled = self.stalled.subscribe();
         Box::pin(async move {
-            let _ = held.wait_for(|held| !held).await;
+            let _ = stalled.wait_for(|stalled| !stalled).await;
             let mut state = state.lock().await;
             if let Some(e) = &state.failed {
                 return Err(e.clone());
             }
             loop {
                 match work(&mut state.wal) {
-                    Err(e) if e.is_refusal() => tokio::time::sleep(REFUSED_PAUSE).await,
+                    Err(e) if e.is_disk_full() => tokio::time::sleep(DISK_FULL_RETRY_DELAY).await,
                     result => {
                         state.failed = result.as_ref().err().cloned();
                         return result;
@@ -282,15 +282,15 @@
 }
 
 impl Storage for MemoryStore {
-    fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, Stored)>, StoreError>> {
+    fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, StoredGroup)>, StoreError>> {
         self.run(|wal| wal.load())
     }
 
     fn persist(
         &self,
-        batch: Vec<(GroupId, Persist)>,
+        batch: Vec<(GroupId, PersistRequest)>,
     ) -> BoxFuture<'static, Result<(), StoreError>> {
-        let mut batch = Batch::new(vec![Op::Persist(batch)]);
+        let mut batch = Batch::new(vec![WriteOp::Persist(batch)]);
         self.run(move |wal| wal.commit(&mut batch))
     }
 
@@ -300,11 +300,11 @@
         snapshot: Snapshot,
     ) -> BoxFuture<'static, Result<(), StoreError>> {
         let (last, membership) = (snapshot.last, snapshot.membership.clone());
-        let mut batch = Batch::new(vec![Op::Snapshot { group, last, membership }]);
+        let mut batch = Batch::new(vec![WriteOp::Snapshot { group, last, membership }]);
         let mut is_written = false;
         self.run(move |wal| {
             if !is_written {
-                SnapshotWrite::new(group, snapshot.clone()).finish(wal)?;
+                SnapshotWriter::new(group, snapshot.clone()).finish(wal)?;
                 is_written = true;
             }
             wal.commit(&mut batch)
--- a/crates/agreement/src/storage/replay.rs
+++ b/crates/agreement/src/storage/replay.rs
@@ -8,18 +8,18 @@
 use super::group::Groups;
 
 /// What the segments hold.
-pub(crate) struct Replayed {
+pub(crate) struct ReplayResult {
     pub(crate) groups: Groups,
     /// Number and length of each segment, oldest first.
     pub(crate) segments: Vec<(u64, u64)>,
     /// The last segment.
     pub(crate) header: SegmentHeader,
-    pub(crate) f: Box<dyn DiskFile>,
+    pub(crate) file: Box<dyn DiskFile>,
     pub(crate) next_frame: u64,
 }
 
 /// Position of the end of a segment's sound frames.
-struct Extent {
+struct SegmentExtent {
     header: SegmentHeader,
     next_frame: u64,
     /// Where the last sound frame begins, or 0 while there are fewer than two.
@@ -28,15 +28,15 @@
 }
 
 /// Reads all segments; cuts a torn tail; makes durable what was read.
-pub(crate) fn replay(disk: &mut dyn Disk) -> Result<Replayed, StoreError> {
+pub(crate) fn replay(disk: &mut dyn Disk) -> Result<ReplayResult, StoreError> {
     let mut numbers = segment_numbers(disk)?;
-    drop_unfinished_segment(disk, &mut numbers)?;
+    remove_unfinished_segment(disk, &mut numbers)?;
     let Some(&last) = numbers.last() else {
         return Err(StoreError::Missing { path: disk.path("") });
     };
     let mut groups = Groups::default();
     let mut segments = Vec::with_capacity(numbers.len());
-    let mut previous: Option<Extent> = None;
+    let mut previous: Option<SegmentExtent> = None;
     for &number in &numbers {
         let name = segment_name(number);
         let buf = read(disk, &name)?;
@@ -44,7 +44,7 @@
         // Zeros are written ahead of the log. Frames that became zeros are missed by the header of
         // the next segment; at the end of the log they can't be told from a torn write.
         if buf[extent.end..].iter().any(|b| *b != 0) {
-            check_torn(disk, &buf, &extent, number == last)?;
+            check_torn_write(disk, &buf, &extent, number == last)?;
             log::warn!(path = disk.path(&name), offset = extent.end, bytes = buf.len() - extent.end;
                 "cutting a torn write at the end of the log");
         }
@@ -53,14 +53,20 @@
     }
     let name = segment_name(last);
     let extent = previous.ok_or_else(|| StoreError::Missing { path: disk.path("") })?;
-    let f = disk
+    let file = disk
         .reopen(&name, extent.last_frame_at as u64, extent.end as u64)
-        .and_then(|f| disk.sync_dir().map(|()| f))
+        .and_then(|file| disk.sync_dir().map(|()| file))
         .map_err(|e| StoreError::io("sync", disk.path(&name), e))?;
     if groups.0.iter().any(|(_, g)| g.has_gap()) {
         return Err(StoreError::corrupt(disk.path(&name), extent.end, "entries are missing"));
     }
-    Ok(Replayed { groups, segments, header: extent.header, f, next_frame: extent.next_frame })
+    Ok(ReplayResult {
+        groups,
+        segments,
+        header: extent.header,
+        file,
+        next_frame: extent.next_frame,
+    })
 }
 
 /// Numbers of the segments in the folder, sorted.
@@ -76,7 +82,10 @@
 }
 
 /// Removes a last segment whose header was never synced. Frames are written only after that.
-fn drop_unfinished_segment(disk: &mut dyn Disk, numbers: &mut Vec<u64>) -> Result<(), StoreError> {
+fn remove_unfinished_segment(
+    disk: &mut dyn Disk,
+    numbers: &mut Vec<u64>,
+) -> Result<(), StoreError> {
     let [.., _, last] = numbers[..] else {
         return Ok(());
     };
@@ -100,9 +109,9 @@
     disk: &dyn Disk,
     buf: &[u8],
     number: u64,
-    previous: Option<&Extent>,
+    previous: Option<&SegmentExtent>,
     groups: &mut Groups,
-) -> Result<Extent, StoreError> {
+) -> Result<SegmentExtent, StoreError> {
     let corrupt = |at, reason| StoreError::corrupt(disk.path(&segment_name(number)), at, reason);
     let header = SegmentHeader::decode(buf).ok_or_else(|| corrupt(0, "invalid segment header"))?;
     if header.number != number {
@@ -111,7 +120,7 @@
     if previous.is_some_and(|p| p.next_frame != header.first_frame) {
         return Err(corrupt(0, "frames before the segment are missing"));
     }
-    let mut extent = Extent {
+    let mut extent = SegmentExtent {
         header,
         next_frame: header.first_frame,
         last_frame_at: 0,
@@ -132,15 +141,15 @@
 }
 
 /// Accepts the bytes after the last sound frame as a torn write, or reports corruption.
-fn check_torn(
+fn check_torn_write(
     disk: &dyn Disk,
     buf: &[u8],
-    extent: &Extent,
+    extent: &SegmentExtent,
     is_last: bool,
 ) -> Result<(), StoreError> {
     let reason = if !is_last {
         "invalid frame in a segment that is not the last"
-    } else if extent.header.any_frame(&buf[extent.end + 1..]) {
+    } else if extent.header.contains_frame(&buf[extent.end + 1..]) {
         "invalid frame before a sound one"
     } else {
         return Ok(());
--- a/crates/agreement/src/storage/wal.rs
+++ b/crates/agreement/src/storage/wal.rs
@@ -10,9 +10,9 @@
 use super::disk::{Disk, DiskFile};
 use super::frame::{SEGMENT_HEADER_LEN, SegmentHeader, segment_name};
 use super::group::{Groups, log_start_kind, record, snapshot_kind};
-use super::replay::{Replayed, replay, segment_numbers};
-use super::{StoreError, StoreStats, Stored, checked};
-use crate::{Entry, GroupId, LogPosition, Membership, Persist, Snapshot};
+use super::replay::{ReplayResult, replay, segment_numbers};
+use super::{StoreError, StoreStats, StoredGroup, checksummed};
+use crate::{Entry, GroupId, LogPosition, Membership, PersistRequest, Snapshot};
 use pb::record::Kind;
 
 /// The log is written anew when it is this many times larger than what is live in it.
@@ -46,9 +46,9 @@
 }
 
 /// One request to make something durable.
-pub(crate) enum Op {
-    Persist(Vec<(GroupId, Persist)>),
-    /// A snapshot whose file has been written by `SnapshotWrite`.
+pub(crate) enum WriteOp {
+    Persist(Vec<(GroupId, PersistRequest)>),
+    /// A snapshot whose file has been written by `SnapshotWriter`.
     Snapshot {
         group: GroupId,
         last: LogPosition,
@@ -58,7 +58,7 @@
 
 /// Requests that one sync makes durable.
 pub(crate) struct Batch {
-    ops: Vec<Op>,
+    ops: Vec<WriteOp>,
     /// Snapshots of `ops` whose files have been written.
     written_snapshots: usize,
     /// The records of the batch, once they are part of the groups in memory.
@@ -67,7 +67,7 @@
 }
 
 impl Batch {
-    pub(crate) fn new(ops: Vec<Op>) -> Self {
+    pub(crate) fn new(ops: Vec<WriteOp>) -> Self {
         Self { ops, written_snapshots: 0, frame: None, replaces_snapshot: false }
     }
 }
@@ -79,7 +79,7 @@
     segments: VecDeque<(u64, u64)>,
     segment_bytes: u64,
     header: SegmentHeader,
-    f: Box<dyn DiskFile>,
+    file: Box<dyn DiskFile>,
     next_frame: u64,
     counters: Arc<Counters>,
 }
@@ -94,12 +94,12 @@
     }
 
     pub(crate) fn open(mut disk: Box<dyn Disk>, segment_bytes: u64) -> Result<Self, StoreError> {
-        let Replayed { groups, segments, header, f, next_frame } = replay(disk.as_mut())?;
+        let ReplayResult { groups, segments, header, file, next_frame } = replay(disk.as_mut())?;
         let counters = Arc::new(Counters::default());
         counters.segments.store(segments.len() as u64, Ordering::Relaxed);
         let segments = segments.into();
         let mut wal =
-            Self { disk, groups, segments, segment_bytes, header, f, next_frame, counters };
+            Self { disk, groups, segments, segment_bytes, header, file, next_frame, counters };
         wal.remove_old_snapshots(true)?;
         Ok(wal)
     }
@@ -108,14 +108,14 @@
         Arc::clone(&self.counters)
     }
 
-    pub(crate) fn load(&self) -> Result<Vec<(GroupId, Stored)>, StoreError> {
+    pub(crate) fn load(&self) -> Result<Vec<(GroupId, StoredGroup)>, StoreError> {
         let load = |(id, g): &(GroupId, super::group::Group)| {
             let snapshot = match &g.snapshot {
                 Some((last, membership)) => Some(self.read_snapshot(*id, *last, membership)?),
                 None => None,
             };
             let entries = g.log.iter().map(|l| l.entry.clone()).collect();
-            Ok((*id, Stored { hard_state: g.hard_state, snapshot, entries }))
+            Ok((*id, StoredGroup { hard_state: g.hard_state, snapshot, entries }))
         };
         self.groups.0.iter().map(load).collect()
     }
@@ -129,7 +129,7 @@
         let path = self.disk.path(&snapshot_name(group, last));
         let file = self.disk.read(&snapshot_name(group, last));
         let file = file.map_err(|e| StoreError::io("read", path.as_str(), e))?;
-        let (meta, data) = checked::parse::<pb::SnapshotMeta>(file)
+        let (meta, data) = checksummed::decode::<pb::SnapshotMeta>(file)
             .map_err(|reason| StoreError::corrupt(path.as_str(), 0, reason))?;
         if meta.last != Some(last.into()) || meta.membership != Some(membership.into()) {
             return Err(StoreError::corrupt(path, 0, "snapshot is not the one the log names"));
@@ -137,7 +137,7 @@
         Ok(Snapshot { last, membership: membership.clone(), data })
     }
 
-    /// Makes a batch durable with one sync. After an error for which [`StoreError::is_refusal`] holds,
+    /// Makes a batch durable with one sync. After an error for which [`StoreError::is_disk_full`] holds,
     /// the same batch may be tried again; nothing else may be committed before it.
     pub(crate) fn commit(&mut self, batch: &mut Batch) -> Result<(), StoreError> {
         if batch.frame.is_none() {
@@ -148,12 +148,12 @@
             }
             for op in batch.ops.drain(..) {
                 match op {
-                    Op::Persist(persists) => {
+                    WriteOp::Persist(persists) => {
                         for (group, persist) in persists {
                             self.stage_persist(group, persist, &mut records)?;
                         }
                     }
-                    Op::Snapshot { group, last, membership } => {
+                    WriteOp::Snapshot { group, last, membership } => {
                         self.stage_snapshot(group, last, membership, &mut records)?;
                     }
                 }
@@ -186,12 +186,12 @@
     /// Writes the files of the snapshots that a batch installs.
     fn write_snapshots(&mut self, batch: &mut Batch) -> Result<(), StoreError> {
         let persists = batch.ops.iter().filter_map(|op| match op {
-            Op::Persist(persists) => Some(persists),
-            Op::Snapshot { .. } => None,
+            WriteOp::Persist(persists) => Some(persists),
+            WriteOp::Snapshot { .. } => None,
         });
         let installed = persists.flatten().filter_map(|(id, p)| Some((*id, p.snapshot.as_ref()?)));
         for (group, snapshot) in installed.skip(batch.written_snapshots) {
-            SnapshotWrite::new(group, snapshot.clone()).finish(self)?;
+            SnapshotWriter::new(group, snapshot.clone()).finish(self)?;
             batch.written_snapshots += 1;
         }
         Ok(())
@@ -200,11 +200,11 @@
     fn write_frame(&mut self, frame: &[u8]) -> Result<(), StoreError> {
         let name = segment_name(self.header.number);
         let end = self.segments.back().map_or(0, |(_, len)| *len);
-        let written = self.f.append(frame).map_err(|e| ("write", e));
-        let synced = written.and_then(|()| self.f.sync().map_err(|e| ("sync", e)));
+        let written = self.file.append(frame).map_err(|e| ("write", e));
+        let synced = written.and_then(|()| self.file.sync().map_err(|e| ("sync", e)));
         if let Err((op, e)) = synced {
             // The same bytes are written again in place of what may have been written of them.
-            self.f.rewind(end);
+            self.file.rewind(end);
             return Err(StoreError::io(op, self.disk.path(&name), e));
         }
         self.next_frame += 1;
@@ -221,7 +221,7 @@
     fn stage_persist(
         &mut self,
         id: GroupId,
-        persist: Persist,
+        persist: PersistRequest,
         records: &mut Vec<pb::Record>,
     ) -> Result<(), StoreError> {
         if let Some(state) = persist.hard_state {
@@ -243,7 +243,7 @@
         let segment = self.header.number;
         let group = self.groups.entry(id);
         // What a snapshot covers is committed and does not change any more.
-        entries.retain(|e| e.position.index > group.before.index);
+        entries.retain(|e| e.position.index > group.base.index);
         let Some(first) = entries.first().map(|e| e.position.index) else {
             return Ok(());
         };
@@ -266,7 +266,7 @@
         records: &mut Vec<pb::Record>,
     ) -> Result<(), StoreError> {
         let group = self.groups.entry(id);
-        if last.index < group.before.index {
+        if last.index < group.base.index {
             return Ok(());
         }
         if last.index >= u64::MAX - 1 {
@@ -285,9 +285,9 @@
     /// groups without entries and, when little of the log is live, the live entries too.
     fn rotate(&mut self) -> Result<Vec<pb::Record>, StoreError> {
         let number = self.header.number + 1;
-        let (header, f) = create_segment(self.disk.as_mut(), number, self.next_frame)?;
+        let (header, file) = create_segment(self.disk.as_mut(), number, self.next_frame)?;
         self.header = header;
-        self.f = f;
+        self.file = file;
         self.segments.push_back((number, SEGMENT_HEADER_LEN as u64));
         self.counters.segments.store(self.segments.len() as u64, Ordering::Relaxed);
         let mut records = Vec::new();
@@ -332,7 +332,7 @@
 
     /// Removes snapshot files that the log doesn't name. An unfinished one is in the way only after
     /// a restart.
-    fn remove_old_snapshots(&mut self, unfinished: bool) -> Result<(), StoreError> {
+    fn remove_old_snapshots(&mut self, include_unfinished: bool) -> Result<(), StoreError> {
         let names = self.disk.list().map_err(|e| StoreError::io("list", self.disk.path(""), e))?;
         let mut live = Vec::new();
         for (id, group) in &self.groups.0 {
@@ -341,7 +341,7 @@
         let old = |name: &&String| {
             name.starts_with(SNAPSHOT_PREFIX)
                 && !live.contains(name)
-                && (unfinished || !name.ends_with(TEMPORARY_SUFFIX))
+                && (include_unfinished || !name.ends_with(TEMPORARY_SUFFIX))
         };
         for name in names.iter().filter(old) {
             self.disk
@@ -367,11 +367,11 @@
 ) -> Result<(SegmentHeader, Box<dyn DiskFile>), StoreError> {
     let name = segment_name(number);
     let header = SegmentHeader { number, first_frame, salt: rand::random() };
-    let created = disk.create_log(&name).and_then(|mut f| {
-        f.append(&header.encode())?;
-        f.sync()?;
+    let created = disk.create_log(&name).and_then(|mut file| {
+        file.append(&header.encode())?;
+        file.sync()?;
         disk.sync_dir()?;
-        Ok(f)
+        Ok(file)
     });
     Ok((header, created.map_err(|e| StoreError::io("create", disk.path(&name), e))?))
 }
@@ -381,58 +381,58 @@
 }
 
 /// A snapshot's file while it is written in chunks, between which the log can be written.
-pub(crate) struct SnapshotWrite {
+pub(crate) struct SnapshotWriter {
     name: String,
     head: Vec<u8>,
     data: Bytes,
     /// Bytes of `data` that are durable.
     written: usize,
-    f: Option<Box<dyn DiskFile>>,
+    file: Option<Box<dyn DiskFile>>,
 }
 
-impl SnapshotWrite {
+impl SnapshotWriter {
     pub(crate) fn new(group: GroupId, snapshot: Snapshot) -> Self {
         let meta = pb::SnapshotMeta {
             last: Some(snapshot.last.into()),
             membership: Some((&snapshot.membership).into()),
         };
-        let head = checked::head(&meta, &snapshot.data);
+        let head = checksummed::encode_header(&meta, &snapshot.data);
         let name = snapshot_name(group, snapshot.last);
-        Self { name, head, data: snapshot.data, written: 0, f: None }
+        Self { name, head, data: snapshot.data, written: 0, file: None }
     }
 
     /// Writes the next chunk; returns whether the snapshot is complete and durable. After an error it
     /// starts over.
-    pub(crate) fn step(&mut self, wal: &mut Wal) -> Result<bool, StoreError> {
+    pub(crate) fn write_chunk(&mut self, wal: &mut Wal) -> Result<bool, StoreError> {
         let temporary = format!("{}{TEMPORARY_SUFFIX}", self.name);
-        match self.try_step(wal, &temporary) {
+        match self.try_write_chunk(wal, &temporary) {
             Ok((done, written)) => {
                 wal.counters.snapshot_bytes.fetch_add(written, Ordering::Relaxed);
                 metrics::counter!("poplarspan_store_snapshot_bytes_total").increment(written);
                 Ok(done)
             }
             Err(e) => {
-                (self.written, self.f) = (0, None);
+                (self.written, self.file) = (0, None);
                 Err(StoreError::io("write", wal.disk.path(&temporary), e))
             }
         }
     }
 
-    fn try_step(&mut self, wal: &mut Wal, temporary: &str) -> std::io::Result<(bool, u64)> {
+    fn try_write_chunk(&mut self, wal: &mut Wal, temporary: &str) -> std::io::Result<(bool, u64)> {
         let mut bytes = 0;
-        let f = match &mut self.f {
-            Some(f) => f,
+        let file = match &mut self.file {
+            Some(file) => file,
             None => {
-                let f = self.f.insert(wal.disk.create(temporary)?);
-                f.append(&self.head)?;
+                let file = self.file.insert(wal.disk.create(temporary)?);
+                file.append(&self.head)?;
                 bytes += self.head.len();
-                f
+                file
             }
         };
         let end = self.data.len().min(self.written + SNAPSHOT_CHUNK_BYTES);
         let chunk = &self.data[self.written..end];
-        f.append(chunk)?;
-        f.sync()?;
+        file.append(chunk)?;
+        file.sync()?;
         bytes += chunk.len();
         self.written = end;
         let done = end == self.data.len();
@@ -445,7 +445,7 @@
 
     /// Writes the rest.
     pub(crate) fn finish(mut self, wal: &mut Wal) -> Result<(), StoreError> {
-        while !self.step(wal)? {}
+        while !self.write_chunk(wal)? {}
         Ok(())
     }
 }
--- a/crates/agreement/src/types.rs
+++ b/crates/agreement/src/types.rs
@@ -72,11 +72,11 @@
     pub data: Bytes,
 }
 
-/// What storage must make durable, in this order, before it reports the ticket as synced.
+/// What storage must make durable, in this order, before it reports the request as synced.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Persist {
+pub struct PersistRequest {
     /// Identifies this request in the report that it was synced. Rises by one each time.
-    pub ticket: u64,
+    pub sequence: u64,
     /// New term and vote.
     pub hard_state: Option<HardState>,
     /// Replaces the state machine's state and the whole log up to its position.
--- a/crates/agreement/tests/common/cluster.rs
+++ b/crates/agreement/tests/common/cluster.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use poplarspan_agreement::{
-    DataDir, FileStore, FolderId, GroupHandle, GroupId, GroupView, Node, NodeConfig, PeerMessage,
+    DataDir, FileStore, FolderId, GroupHandle, GroupId, Leadership, Node, NodeConfig, PeerMessage,
     ProposeError, ReplicaId, Role, StateMachine, Storage, StoreOptions, Transport, init_voters,
 };
 use tempfile::TempDir;
@@ -62,17 +62,17 @@
     }
 
     pub fn transport(&self, from: ReplicaId, folder: FolderId) -> Arc<dyn Transport> {
-        Arc::new(Port { network: self.clone(), from, folder })
+        Arc::new(LocalTransport { network: self.clone(), from, folder })
     }
 }
 
-struct Port {
+struct LocalTransport {
     network: Network,
     from: ReplicaId,
     folder: FolderId,
 }
 
-impl Transport for Port {
+impl Transport for LocalTransport {
     fn send(&self, to: ReplicaId, message: PeerMessage) {
         let links = self.network.0.lock().expect("no panic");
         if links.isolated.contains(&to) || links.isolated.contains(&self.from) {
@@ -163,7 +163,7 @@
     pub async fn leader(&self) -> ReplicaId {
         loop {
             for (id, node) in &self.nodes {
-                let view: GroupView = *node.group(GROUP).expect("group").watch().borrow();
+                let view: Leadership = *node.group(GROUP).expect("group").watch().borrow();
                 if view.role == Role::Leader && view.lease {
                     return *id;
                 }
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use futures::executor::block_on;
 use poplarspan_agreement::{
-    Entry, FileStore, GroupId, HardState, LogPosition, Membership, Payload, Persist, ReplicaId,
-    Snapshot, Storage, StoreError, StoreOptions, Stored,
+    Entry, FileStore, GroupId, HardState, LogPosition, Membership, Payload, PersistRequest,
+    ReplicaId, Snapshot, Storage, StoreError, StoreOptions, StoredGroup,
 };
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
@@ -19,8 +19,8 @@
     Entry { position: LogPosition { index, term }, payload }
 }
 
-pub fn entries(first: u64, term: u64, data: &[u8]) -> Persist {
-    Persist { entries: vec![entry(first, term, data)], ..Persist::default() }
+pub fn entries(first: u64, term: u64, data: &[u8]) -> PersistRequest {
+    PersistRequest { entries: vec![entry(first, term, data)], ..PersistRequest::default() }
 }
 
 pub fn snapshot(index: u64, term: u64, data: &[u8]) -> Snapshot {
@@ -32,7 +32,7 @@
     }
 }
 
-pub fn persist(store: &dyn Storage, group: u32, persist: Persist) -> Result<(), StoreError> {
+pub fn persist(store: &dyn Storage, group: u32, persist: PersistRequest) -> Result<(), StoreError> {
     block_on(store.persist(vec![(GroupId(group), persist)]))
 }
 
@@ -47,13 +47,13 @@
 }
 
 /// Removes the groups of which nothing is stored.
-pub fn not_empty(mut groups: Vec<(GroupId, Stored)>) -> Vec<(GroupId, Stored)> {
-    groups.retain(|(_, stored)| *stored != Stored::default());
+pub fn not_empty(mut groups: Vec<(GroupId, StoredGroup)>) -> Vec<(GroupId, StoredGroup)> {
+    groups.retain(|(_, stored)| *stored != StoredGroup::default());
     groups
 }
 
 /// Opens the store of a folder, returns what it holds and closes it.
-pub fn contents(folder: &Path) -> Result<Vec<(GroupId, Stored)>, StoreError> {
+pub fn contents(folder: &Path) -> Result<Vec<(GroupId, StoredGroup)>, StoreError> {
     let store = open(folder, 1 << 20)?;
     let loaded = block_on(store.load());
     block_on(store.close())?;
@@ -70,12 +70,12 @@
 
 /// What a store should hold, kept in the simplest way.
 #[derive(Clone, Debug, Default)]
-pub struct Model(pub Vec<(GroupId, Stored)>);
+pub struct Model(pub Vec<(GroupId, StoredGroup)>);
 
 impl Model {
-    pub fn group(&mut self, id: GroupId) -> &mut Stored {
+    pub fn group(&mut self, id: GroupId) -> &mut StoredGroup {
         let i = self.0.binary_search_by_key(&id, |(g, _)| *g).unwrap_or_else(|i| {
-            self.0.insert(i, (id, Stored::default()));
+            self.0.insert(i, (id, StoredGroup::default()));
             i
         });
         &mut self.0[i].1
@@ -87,7 +87,7 @@
         g.entries.last().map_or(snapshot, |e| e.position)
     }
 
-    pub fn apply(&mut self, id: GroupId, persist: &Persist) {
+    pub fn apply(&mut self, id: GroupId, persist: &PersistRequest) {
         let g = self.group(id);
         if let Some(state) = persist.hard_state {
             g.hard_state = state;
@@ -104,7 +104,7 @@
     }
 }
 
-pub fn hard_state(term: u64, vote: Option<u64>) -> Persist {
+pub fn hard_state(term: u64, vote: Option<u64>) -> PersistRequest {
     let state = HardState { term, vote: vote.map(ReplicaId) };
-    Persist { hard_state: Some(state), ..Persist::default() }
+    PersistRequest { hard_state: Some(state), ..PersistRequest::default() }
 }
--- a/crates/agreement/tests/core_rules.rs
+++ b/crates/agreement/tests/core_rules.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use poplarspan_agreement::{
-    AppendResult, Core, CoreConfig, Entry, HardState, Input, LogPosition, Membership, Message,
-    Output, Payload, ProposalResult, ReadResult, Refusal, ReplicaId, Restored, Role, Snapshot,
-    VoterChange,
+    AppendResult, Core, CoreConfig, Entry, HardState, InitialState, Input, LogPosition, Membership,
+    MembershipChange, MembershipChangeError, Message, Output, Payload, ProposalResult, ReadResult,
+    ReplicaId, Role, Snapshot,
 };
 
 const A: ReplicaId = ReplicaId(2);
@@ -17,23 +17,23 @@
     Duration::from_millis(millis)
 }
 
-fn at(index: u64, term: u64) -> LogPosition {
+fn position(index: u64, term: u64) -> LogPosition {
     LogPosition { index, term }
 }
 
 fn entry(index: u64, term: u64) -> Entry {
-    Entry { position: at(index, term), payload: Payload::Command(Bytes::from_static(b"x")) }
+    Entry { position: position(index, term), payload: Payload::Command(Bytes::from_static(b"x")) }
 }
 
 /// Replica 1 of a group of `voters`, with entries of the given terms from index 1 on.
 fn replica(voters: u64, term: u64, entry_terms: &[u64]) -> Core {
     let ids = (1..=voters).map(ReplicaId).collect();
     let entries = entry_terms.iter().zip(1..).map(|(&term, index)| entry(index, term));
-    let restored = Restored {
+    let restored = InitialState {
         hard_state: HardState { term, vote: None },
         membership: Membership { voters: ids, learners: Vec::new() },
         entries: entries.collect(),
-        ..Restored::default()
+        ..InitialState::default()
     };
     Core::new(CoreConfig::new(ReplicaId(1), 7), restored)
 }
@@ -54,12 +54,12 @@
     for from in [A, B] {
         receive(core, 1000, from, Message::PreVoteAnswer { term, granted: true });
     }
-    (1..=2).for_each(|ticket| drop(core.step(ms(1000), Input::Synced { ticket })));
+    (1..=2).for_each(|sequence| drop(core.step(ms(1000), Input::Synced { sequence })));
     for from in [A, B] {
         receive(core, 1000, from, Message::VoteAnswer { term, granted: true });
     }
     assert_eq!(core.status().role.role, Role::Leader);
-    (2..=3).for_each(|ticket| drop(core.step(ms(1000), Input::Synced { ticket })));
+    (2..=3).for_each(|sequence| drop(core.step(ms(1000), Input::Synced { sequence })));
     term
 }
 
@@ -91,21 +91,21 @@
     let mut core = replica(3, 1, &[1]);
     let term = lead(&mut core);
     let change = |core: &mut Core, id| {
-        let change = VoterChange::AddLearner(ReplicaId(id));
-        core.step(ms(1001), Input::ChangeVoters { change, ticket: id }).proposals[0].1
+        let change = MembershipChange::AddLearner(ReplicaId(id));
+        core.step(ms(1001), Input::ChangeMembership { change, request_id: id }).proposals[0].1
     };
-    let refused = ProposalResult::Refused(Refusal::TermNotCommitted);
+    let refused = ProposalResult::Refused(MembershipChangeError::TermNotCommitted);
     assert_eq!(change(&mut core, 4), refused);
     matched(&mut core, 1001, A, term, 2);
-    assert_eq!(change(&mut core, 4), ProposalResult::Appended(at(3, term)));
-    assert_eq!(change(&mut core, 5), ProposalResult::Refused(Refusal::Pending));
+    assert_eq!(change(&mut core, 4), ProposalResult::Appended(position(3, term)));
+    assert_eq!(change(&mut core, 5), ProposalResult::Refused(MembershipChangeError::Pending));
 }
 
 /// A commit index beyond what an append has checked would commit old entries of the follower.
 #[test]
-fn unchecked_entries_stay() {
+fn unchecked_entries_stay_uncommitted() {
     let mut core = replica(3, 1, &[1, 1, 1]);
-    receive(&mut core, 0, A, append(2, at(1, 1), Vec::new(), 3));
+    receive(&mut core, 0, A, append(2, position(1, 1), Vec::new(), 3));
     assert_eq!(core.status().commit, 1);
 }
 
@@ -113,13 +113,13 @@
 #[test]
 fn replaced_entries_unacknowledged() {
     let mut core = replica(3, 1, &[]);
-    receive(&mut core, 0, A, append(1, at(0, 0), vec![entry(1, 1), entry(2, 1)], 0));
-    receive(&mut core, 0, A, append(1, at(2, 1), vec![entry(3, 1)], 0));
-    receive(&mut core, 0, B, append(2, at(1, 1), vec![entry(2, 2)], 0));
-    let first = core.step(ms(0), Input::Synced { ticket: 1 });
+    receive(&mut core, 0, A, append(1, position(0, 0), vec![entry(1, 1), entry(2, 1)], 0));
+    receive(&mut core, 0, A, append(1, position(2, 1), vec![entry(3, 1)], 0));
+    receive(&mut core, 0, B, append(2, position(1, 1), vec![entry(2, 2)], 0));
+    let first = core.step(ms(0), Input::Synced { sequence: 1 });
     assert_eq!(answers(&first), [] as [&Message; 0]);
     assert_eq!(core.status().stable, 1);
-    let second = core.step(ms(0), Input::Synced { ticket: 2 });
+    let second = core.step(ms(0), Input::Synced { sequence: 2 });
     let result = AppendResult::Matched(2);
     assert_eq!(answers(&second), [&Message::AppendAnswer { term: 2, result }]);
 }
@@ -129,22 +129,22 @@
 fn votes_synced_first() {
     let mut core = replica(3, 1, &[]);
     core.step(ms(0), Input::Tick);
-    let request = Message::Vote { term: 2, last: at(1, 1), transfer: false };
+    let request = Message::Vote { term: 2, last: position(1, 1), transfer: false };
     let out = receive(&mut core, 301, A, request);
     assert_eq!((answers(&out).len(), out.persist.is_some()), (0, true));
-    let out = core.step(ms(301), Input::Synced { ticket: 1 });
+    let out = core.step(ms(301), Input::Synced { sequence: 1 });
     assert_eq!(out.messages, [(A, Message::VoteAnswer { term: 2, granted: true })]);
     core.step(ms(1000), Input::Tick);
     let out = receive(&mut core, 1000, A, Message::PreVoteAnswer { term: 3, granted: true });
     assert_eq!((answers(&out).len(), out.persist.is_some()), (0, true));
-    let out = core.step(ms(1000), Input::Synced { ticket: 2 });
+    let out = core.step(ms(1000), Input::Synced { sequence: 2 });
     assert_eq!((answers(&out).len(), core.status().role.role), (2, Role::Candidate));
 }
 
 /// A vote against a lease lets another leader commit while the old one serves reads.
 #[test]
 fn votes_respect_leases() {
-    let request = Message::Vote { term: 9, last: at(9, 9), transfer: false };
+    let request = Message::Vote { term: 9, last: position(9, 9), transfer: false };
     let granted = |out: &Output| !out.messages.is_empty() || out.persist.is_some();
     let mut core = replica(3, 1, &[1]);
     core.step(ms(0), Input::Tick);
@@ -152,7 +152,7 @@
     assert!(!granted(&receive(&mut core, 290, B, request.clone())));
     receive(&mut core, 291, A, Message::Heartbeat { term: 1, round: 1, commit: 0 });
     assert!(!granted(&receive(&mut core, 590, B, request.clone())));
-    let pre_vote = Message::PreVote { term: 9, last: at(9, 9) };
+    let pre_vote = Message::PreVote { term: 9, last: position(9, 9) };
     let refusal = Message::PreVoteAnswer { term: 1, granted: false };
     assert_eq!(answers(&receive(&mut core, 590, B, pre_vote)), [&refusal]);
     assert!(granted(&receive(&mut core, 592, B, request)));
@@ -160,11 +160,12 @@
 
 /// A command whose entry was only removed from this log may still be committed by a third replica.
 #[test]
-fn removed_proposals_undecided() {
+fn truncated_proposals_stay_undecided() {
     let mut core = replica(3, 1, &[]);
     let term = lead(&mut core);
-    core.step(ms(1001), Input::Propose { data: Bytes::new(), ticket: 5 });
-    let out = receive(&mut core, 1002, B, append(term + 1, at(1, term), vec![entry(2, 9)], 1));
+    core.step(ms(1001), Input::Propose { data: Bytes::new(), request_id: 5 });
+    let out =
+        receive(&mut core, 1002, B, append(term + 1, position(1, term), vec![entry(2, 9)], 1));
     assert_eq!(out.proposals, []);
     let heartbeat = Message::Heartbeat { term: term + 1, round: 1, commit: 2 };
     let out = receive(&mut core, 1003, B, heartbeat);
@@ -181,7 +182,7 @@
     receive(&mut core, 1200, A, Message::HeartbeatAnswer { term, round: 1 });
     assert!(core.lease_valid(ms(1249)));
     assert!(!core.lease_valid(ms(1250)));
-    let ready = core.step(ms(1249), Input::Read { ticket: 1 });
+    let ready = core.step(ms(1249), Input::Read { request_id: 1 });
     assert_eq!(ready.reads, [(1, ReadResult::Ready { index: 1 })]);
     let out = core.step(ms(1249), Input::TransferLeadership { to: A });
     assert_eq!(out.messages, [(A, Message::TimeoutNow { term })]);
@@ -192,11 +193,11 @@
 
 /// A cut-off leader steps down by itself and refuses its waiting reads.
 #[test]
-fn quorum_lost() {
+fn leader_steps_down_without_quorum() {
     let mut core = replica(3, 1, &[]);
     let term = lead(&mut core);
     matched(&mut core, 1100, A, term, 1);
-    core.step(ms(1390), Input::Read { ticket: 1 });
+    core.step(ms(1390), Input::Read { request_id: 1 });
     assert_eq!(core.step(ms(1399), Input::Tick).role, None);
     let out = core.step(ms(1400), Input::Tick);
     assert_eq!(out.role.map(|r| r.role), Some(Role::Follower));
@@ -205,8 +206,8 @@
 
 /// A replica outside of the membership must not disturb the group with elections.
 #[test]
-fn outsiders_stay_quiet() {
-    let mut core = Core::new(CoreConfig::new(ReplicaId(9), 1), Restored::default());
+fn non_members_do_not_campaign() {
+    let mut core = Core::new(CoreConfig::new(ReplicaId(9), 1), InitialState::default());
     for now in (0..10_000).step_by(100) {
         assert_eq!(core.step(ms(now), Input::Tick), Output::default());
     }
@@ -215,12 +216,12 @@
 /// A removed replica may be the only one with the entry that removes it; the others cannot win an
 /// election against its log.
 #[test]
-fn removal_is_spread() {
+fn removed_replica_replicates_its_removal() {
     let mut core = replica(2, 1, &[1]);
     let membership = Membership { voters: vec![A], learners: Vec::new() };
-    let removal = Entry { position: at(2, 1), payload: Payload::Membership(membership) };
-    receive(&mut core, 0, A, append(1, at(1, 1), vec![removal], 1));
-    core.step(ms(0), Input::Synced { ticket: 1 });
+    let removal = Entry { position: position(2, 1), payload: Payload::Membership(membership) };
+    receive(&mut core, 0, A, append(1, position(1, 1), vec![removal], 1));
+    core.step(ms(0), Input::Synced { sequence: 1 });
     let term = lead(&mut core);
     assert_eq!(matched(&mut core, 1001, A, term, 3).apply.len(), 2);
     core.step(ms(1010), Input::Tick);
@@ -236,11 +237,11 @@
     let mut core = replica(3, 1, &[]);
     let term = lead(&mut core);
     matched(&mut core, 1000, A, term, 1);
-    let change = VoterChange::RemoveVoter(B);
-    core.step(ms(1000), Input::ChangeVoters { change, ticket: 1 });
+    let change = MembershipChange::RemoveVoter(B);
+    core.step(ms(1000), Input::ChangeMembership { change, request_id: 1 });
     matched(&mut core, 1001, B, term, 2);
     matched(&mut core, 1001, A, term, 2);
-    core.step(ms(1001), Input::Synced { ticket: 3 });
+    core.step(ms(1001), Input::Synced { sequence: 3 });
     let out = core.step(ms(1050), Input::Tick);
     assert!(out.messages.contains(&(B, Message::Heartbeat { term, round: 2, commit: 2 })));
     receive(&mut core, 1060, B, Message::HeartbeatAnswer { term, round: 2 });
@@ -253,15 +254,15 @@
     let mut core = replica(1, 0, &[]);
     core.step(ms(0), Input::Tick);
     core.step(ms(1000), Input::Tick);
-    let out = core.step(ms(1000), Input::Synced { ticket: 1 });
-    assert_eq!(out.persist.map(|p| (p.ticket, p.entries.len())), Some((2, 1)));
-    for ticket in 0..10 {
-        let out = core.step(ms(1000), Input::Propose { data: Bytes::new(), ticket });
+    let out = core.step(ms(1000), Input::Synced { sequence: 1 });
+    assert_eq!(out.persist.map(|p| (p.sequence, p.entries.len())), Some((2, 1)));
+    for request_id in 0..10 {
+        let out = core.step(ms(1000), Input::Propose { data: Bytes::new(), request_id });
         assert_eq!((out.persist, out.apply), (None, Vec::new()));
     }
-    let out = core.step(ms(1000), Input::Synced { ticket: 2 });
+    let out = core.step(ms(1000), Input::Synced { sequence: 2 });
     assert_eq!(out.persist.map(|p| p.entries.len()), Some(10));
-    assert_eq!(core.step(ms(1000), Input::Synced { ticket: 3 }).apply.len(), 10);
+    assert_eq!(core.step(ms(1000), Input::Synced { sequence: 3 }).apply.len(), 10);
 }
 
 /// Appends to a peer that does not answer stay within the configured count and size.
@@ -272,8 +273,8 @@
     matched(&mut core, 1000, A, term, 1);
     let data = Bytes::from(vec![0; 100 * 1024]);
     let mut sent = Vec::new();
-    for ticket in 0..40 {
-        let propose = Input::Propose { data: data.clone(), ticket };
+    for request_id in 0..40 {
+        let propose = Input::Propose { data: data.clone(), request_id };
         sent.extend(core.step(ms(1000), propose).messages);
     }
     assert_eq!(sent.iter().filter(|m| m.0 == A).count(), 16);
@@ -292,33 +293,33 @@
 fn backs_off_by_terms() {
     let mut core = replica(3, 9, &[vec![1; 50], vec![5; 50]].concat());
     let term = lead(&mut core);
-    let hint = at(100, 3);
+    let hint = position(100, 3);
     let result = AppendResult::Mismatch { rejected: 100, hint };
     let out = receive(&mut core, 1000, A, Message::AppendAnswer { term, result });
     let Some(Message::Append { previous, .. }) = answers(&out).first() else { panic!("{out:?}") };
-    assert_eq!(*previous, at(50, 1));
+    assert_eq!(*previous, position(50, 1));
 }
 
 /// After a restart a leader has no snapshot in memory and must ask for one.
 #[test]
 fn snapshot_wanted() {
-    let restored = Restored {
-        snapshot: at(10, 1),
+    let restored = InitialState {
+        snapshot: position(10, 1),
         membership: Membership { voters: vec![ReplicaId(1), A, B], learners: Vec::new() },
         hard_state: HardState { term: 1, vote: None },
         entries: Vec::new(),
     };
     let mut core = Core::new(CoreConfig::new(ReplicaId(1), 7), restored);
     let term = lead(&mut core);
-    let result = AppendResult::Mismatch { rejected: 10, hint: at(2, 1) };
+    let result = AppendResult::Mismatch { rejected: 10, hint: position(2, 1) };
     let out = receive(&mut core, 1000, A, Message::AppendAnswer { term, result });
     assert!(out.snapshot_wanted);
     let snapshot =
-        Snapshot { last: at(10, 0), membership: Membership::default(), data: Bytes::new() };
+        Snapshot { last: position(10, 0), membership: Membership::default(), data: Bytes::new() };
     let out = core.step(ms(1000), Input::Compact { snapshot });
     let chunk = answers(&out).into_iter().find_map(|m| match m {
         Message::SnapshotChunk { last, done, .. } => Some((*last, *done)),
         _ => None,
     });
-    assert_eq!(chunk, Some((at(10, 1), true)));
+    assert_eq!(chunk, Some((position(10, 1), true)));
 }
--- a/crates/agreement/tests/driver_cluster.rs
+++ b/crates/agreement/tests/driver_cluster.rs
@@ -93,8 +93,8 @@
     cluster.start_node(new).await;
     let leader = || async { cluster.group(cluster.leader().await) };
     until_accepted(|| async { leader().await.add_learner(new).await }).await;
-    until_accepted(|| async { leader().await.promote(new).await }).await;
-    until_accepted(|| async { leader().await.remove_voter(old).await }).await;
+    until_accepted(|| async { leader().await.promote_learner(new).await }).await;
+    until_accepted(|| async { leader().await.remove_member(old).await }).await;
     cluster.propose_all(&commands[200..]).await;
     let journal = cluster.journal_of(&commands).await;
     let status = leader().await.status().await.expect("running");
--- a/crates/agreement/tests/driver_faults.rs
+++ b/crates/agreement/tests/driver_faults.rs
@@ -62,7 +62,7 @@
 #[tokio::test(start_paused = true)]
 async fn nothing_is_acknowledged_before_it_is_synced() {
     let (disk, node, group) = start_single(&NodeConfig::default()).await;
-    disk.hold(true);
+    disk.set_stalled(true);
     let proposal = tokio::spawn({
         let group = group.clone();
         async move { group.propose(Bytes::from("a")).await }
@@ -70,7 +70,7 @@
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     assert!(!proposal.is_finished());
     assert_eq!(group.query(|j: &Journal| j.0.len()).await, Ok(0));
-    disk.hold(false);
+    disk.set_stalled(false);
     assert_eq!(proposal.await.expect("no panic"), Ok(Bytes::from("1")));
     node.shutdown().await;
 }
@@ -79,7 +79,7 @@
 async fn proposals_beyond_the_limit_are_refused() {
     let cfg = NodeConfig { max_proposals: 2, ..NodeConfig::default() };
     let (disk, _node, group) = start_single(&cfg).await;
-    disk.hold(true);
+    disk.set_stalled(true);
     let open = |data: &'static str| {
         let group = group.clone();
         tokio::spawn(async move { group.propose(Bytes::from(data)).await })
@@ -87,7 +87,7 @@
     let first = [open("a"), open("b")];
     tokio::time::sleep(std::time::Duration::from_millis(1)).await;
     assert_eq!(group.propose(Bytes::from("c")).await, Err(ProposeError::Overloaded));
-    disk.hold(false);
+    disk.set_stalled(false);
     for proposal in first {
         proposal.await.expect("no panic").expect("committed");
     }
@@ -100,21 +100,21 @@
     let (disk, _node, group) = start_single(&cfg).await;
     let large = Bytes::from(vec![b'a'; 50 << 10]);
     assert_eq!(group.propose(large.clone()).await, Ok(Bytes::from("1")));
-    disk.hold(true);
+    disk.set_stalled(true);
     let open = tokio::spawn({
         let (group, large) = (group.clone(), large.clone());
         async move { group.propose(large).await }
     });
     tokio::time::sleep(std::time::Duration::from_millis(1)).await;
     assert_eq!(group.propose(Bytes::from("b")).await, Err(ProposeError::Overloaded));
-    disk.hold(false);
+    disk.set_stalled(false);
     assert_eq!(open.await.expect("no panic"), Ok(Bytes::from("2")));
     assert_eq!(group.propose(Bytes::from("b")).await, Ok(Bytes::from("3")));
 }
 
 #[tokio::test(start_paused = true)]
 async fn follower_names_the_leader() {
-    let three = Three::start().await;
+    let three = ThreeReplicas::start().await;
     let leader = Some(three.leader);
     let groups: Vec<_> = three.nodes.iter().map(|n| n.group(GROUP).expect("group")).collect();
     for group in &groups {
@@ -128,14 +128,14 @@
     assert_eq!(follower.add_learner(ReplicaId(9)).await, Err(not_leader));
 }
 
-/// Three connected replicas with a leader.
-struct Three {
+/// ThreeReplicas connected replicas with a leader.
+struct ThreeReplicas {
     network: Network,
     nodes: Vec<Arc<Node>>,
     leader: ReplicaId,
 }
 
-impl Three {
+impl ThreeReplicas {
     async fn start() -> Self {
         let voters = [1, 2, 3].map(ReplicaId);
         let (network, mut nodes) = (Network::default(), Vec::new());
@@ -171,7 +171,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn isolated_leader_gives_up_and_settles_its_proposals() {
-    let three = Three::start().await;
+    let three = ThreeReplicas::start().await;
     let old = three.group(three.leader);
     three.network.isolate(three.leader, true);
     assert_eq!(old.propose(Bytes::from("lost")).await, Err(ProposeError::Unknown));
@@ -187,7 +187,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn overwritten_proposal_is_known_not_to_run() {
-    let three = Three::start().await;
+    let three = ThreeReplicas::start().await;
     let old = three.group(three.leader);
     three.network.isolate(three.leader, true);
     let lost = tokio::spawn(async move { old.propose(Bytes::from("lost")).await });
@@ -197,9 +197,9 @@
     assert_eq!(result, Err(ProposeError::NotLeader { leader: Some(new) }));
 }
 
-struct Other;
+struct FaultyStateMachine;
 
-impl StateMachine for Other {
+impl StateMachine for FaultyStateMachine {
     fn apply(&mut self, _: u64, _: &[u8]) -> Bytes {
         panic!("the state machine is at fault")
     }
@@ -218,7 +218,7 @@
     let disk = new_disk(&[ID]).await;
     let transport = Network::default().transport(ID, FolderId(1));
     let builder = Node::builder(ID, Box::new(store(&disk)), transport);
-    let node = builder.group(GROUP, Box::new(Other)).start().await.expect("started");
+    let node = builder.group(GROUP, Box::new(FaultyStateMachine)).start().await.expect("started");
     let group = node.group(GROUP).expect("group");
     group.watch().wait_for(|v| v.lease).await.expect("leads");
     assert_eq!(group.query(|_: &Journal| ()).await, Err(ReadError::WrongType));
@@ -235,12 +235,12 @@
         group.propose(Bytes::from("a")).await.expect("committed");
     }
     while group.status().await.expect("running").core.snapshot.index == 0 {
-        tokio::time::sleep(cfg.tick).await;
+        tokio::time::sleep(cfg.tick_interval).await;
     }
     node.shutdown().await;
     let transport = Network::default().transport(ID, FolderId(1));
     let builder = Node::builder(ID, Box::new(store(&disk)), transport);
-    let result = builder.group(GROUP, Box::new(Other)).start().await;
+    let result = builder.group(GROUP, Box::new(FaultyStateMachine)).start().await;
     assert!(matches!(result.map(|_| ()), Err(NodeError::Restore { group: GROUP, .. })));
 }
 
--- a/crates/agreement/tests/file_limit.rs
+++ b/crates/agreement/tests/file_limit.rs
@@ -12,8 +12,8 @@
 };
 use poplarspan_agreement::Storage;
 
-const WAIT: Duration = Duration::from_millis(400);
-const PATIENCE: Duration = Duration::from_secs(20);
+const NO_ANSWER_WAIT: Duration = Duration::from_millis(400);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 const FIRST_ENTRIES: u64 = 4;
 
 /// The only test of its process, since the limit holds for all of it.
@@ -40,10 +40,10 @@
             let index = FIRST_ENTRIES + 1;
             tx.send(persist(&store, 1, entries(index, 1, &[8; 100]))).expect("the test waits");
         });
-        let early = rx.recv_timeout(WAIT);
+        let early = rx.recv_timeout(NO_ANSWER_WAIT);
         setrlimit(Resource::RLIMIT_FSIZE, soft, hard).expect("raised");
         assert!(early.is_err(), "answered without room: {early:?}");
-        rx.recv_timeout(PATIENCE).expect("an answer").expect("persisted");
+        rx.recv_timeout(ANSWER_TIMEOUT).expect("an answer").expect("persisted");
     });
     persist(&store, 1, entries(FIRST_ENTRIES + 2, 1, &[9; 100])).expect("persisted");
     block_on(store.close()).expect("closed");
--- a/crates/agreement/tests/full_disk.rs
+++ b/crates/agreement/tests/full_disk.rs
@@ -15,9 +15,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Much longer than any timeout of a replica.
-const LONG: Duration = Duration::from_secs(20);
+const LONG_WAIT: Duration = Duration::from_secs(20);
 /// Time in which another replica leads: the disk is found silent, and the lead is handed over.
-const MOVED: Duration = Duration::from_secs(1);
+const MAX_TRANSFER_TIME: Duration = Duration::from_secs(1);
 
 struct Replica {
     disk: MemoryDisk,
@@ -89,19 +89,19 @@
 #[tokio::test(start_paused = true)]
 async fn waits_for_room() {
     let replicas = start_all(1).await;
-    let only = &replicas[0];
-    only.group.propose(bytes("before")).await.expect("committed");
-    only.disk.set_full(true);
-    let proposal = only.group.propose(bytes("meanwhile"));
+    let replica = &replicas[0];
+    replica.group.propose(bytes("before")).await.expect("committed");
+    replica.disk.set_full(true);
+    let proposal = replica.group.propose(bytes("meanwhile"));
     tokio::pin!(proposal);
-    assert!(timeout(LONG, &mut proposal).await.is_err(), "acknowledged without a sync");
-    assert!(!only.has_failed());
-    only.disk.set_full(false);
-    timeout(MOVED, proposal).await.expect("in time").expect("committed");
-    only.group.propose(bytes("after")).await.expect("committed");
-
-    only.disk.crash(0);
-    let again = Replica::start(1, only.disk.clone(), &Network::default()).await;
+    assert!(timeout(LONG_WAIT, &mut proposal).await.is_err(), "acknowledged without a sync");
+    assert!(!replica.has_failed());
+    replica.disk.set_full(false);
+    timeout(MAX_TRANSFER_TIME, proposal).await.expect("in time").expect("committed");
+    replica.group.propose(bytes("after")).await.expect("committed");
+
+    replica.disk.crash(0);
+    let again = Replica::start(1, replica.disk.clone(), &Network::default()).await;
     let again = [again];
     leader(&again, None).await;
     assert_eq!(again[0].journal().await, ["before", "meanwhile", "after"].map(bytes));
@@ -111,31 +111,32 @@
 #[tokio::test(start_paused = true)]
 async fn crash_while_full() {
     let replicas = start_all(1).await;
-    let only = &replicas[0];
-    only.group.propose(bytes("before")).await.expect("committed");
-    only.disk.set_full(true);
-    assert!(timeout(LONG, only.group.propose(bytes("lost"))).await.is_err());
-    only.disk.crash(usize::MAX);
-    only.disk.set_full(false);
-    let again = [Replica::start(1, only.disk.clone(), &Network::default()).await];
+    let replica = &replicas[0];
+    replica.group.propose(bytes("before")).await.expect("committed");
+    replica.disk.set_full(true);
+    assert!(timeout(LONG_WAIT, replica.group.propose(bytes("lost"))).await.is_err());
+    replica.disk.crash(usize::MAX);
+    replica.disk.set_full(false);
+    let again = [Replica::start(1, replica.disk.clone(), &Network::default()).await];
     leader(&again, None).await;
     assert_eq!(again[0].journal().await, ["before"].map(bytes));
 }
 
-async fn check_moves(stop: impl Fn(&MemoryDisk, bool)) {
+async fn check_leadership_moves(set_fault: impl Fn(&MemoryDisk, bool)) {
     let replicas = start_all(3).await;
     let old = leader(&replicas, None).await;
     replicas[old].group.propose(bytes("before")).await.expect("committed");
-    stop(&replicas[old].disk, true);
+    set_fault(&replicas[old].disk, true);
     // Finds the disk silent.
     let first = replicas[old].group.propose(bytes("first"));
-    let new = timeout(MOVED, async { tokio::join!(first, leader(&replicas, Some(old))).1 });
+    let new =
+        timeout(MAX_TRANSFER_TIME, async { tokio::join!(first, leader(&replicas, Some(old))).1 });
     let new = new.await.expect("the lead moves in time");
     replicas[new].group.propose(bytes("second")).await.expect("committed");
-    sleep(LONG).await;
+    sleep(LONG_WAIT).await;
     assert!(!replicas[old].has_failed());
-    stop(&replicas[old].disk, false);
-    sleep(LONG).await;
+    set_fault(&replicas[old].disk, false);
+    sleep(LONG_WAIT).await;
     // It is a sound voter again: the group bears the loss of another one.
     let other = (0..3).find(|at| *at != old && *at != new).expect("a third replica");
     replicas[other].node.abort().await;
@@ -147,10 +148,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn full_leader() {
-    check_moves(MemoryDisk::set_full).await;
+    check_leadership_moves(MemoryDisk::set_full).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn hanging_leader() {
-    check_moves(MemoryDisk::hold).await;
+    check_leadership_moves(MemoryDisk::set_stalled).await;
 }
--- a/crates/agreement/tests/harness/disk.rs
+++ b/crates/agreement/tests/harness/disk.rs
@@ -1,7 +1,7 @@
 //! A disk that keeps what was synced and any prefix of what was not.
 
 use poplarspan_agreement::{
-    Entry, HardState, LogPosition, Membership, Persist, ReplicaId, Restored, Snapshot,
+    Entry, HardState, InitialState, LogPosition, Membership, PersistRequest, ReplicaId, Snapshot,
 };
 
 pub struct Disk {
@@ -22,12 +22,12 @@
     }
 
     /// Number of parts that are written one after the other.
-    pub fn parts(p: &Persist) -> usize {
+    pub fn parts(p: &PersistRequest) -> usize {
         usize::from(p.hard_state.is_some()) + usize::from(p.snapshot.is_some()) + p.entries.len()
     }
 
     /// Writes the first `parts` parts.
-    pub fn write(&mut self, p: &Persist, mut parts: usize) {
+    pub fn write(&mut self, p: &PersistRequest, mut parts: usize) {
         let mut next = || {
             parts = parts.wrapping_sub(1);
             parts != usize::MAX && parts < usize::MAX / 2
@@ -80,12 +80,12 @@
         positions.find(before).or(Some(start).filter(before)).map(|p| p.term)
     }
 
-    pub fn restored(&self) -> Restored {
+    pub fn restored(&self) -> InitialState {
         let membership = match &self.snapshot {
             Some(s) => s.membership.clone(),
             None => self.first_membership.clone(),
         };
-        Restored {
+        InitialState {
             hard_state: self.hard_state,
             snapshot: self.start(),
             membership,
--- a/crates/agreement/tests/harness/faults.rs
+++ b/crates/agreement/tests/harness/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use poplarspan_agreement::{CoreConfig, Input, ReplicaId, VoterChange};
+use poplarspan_agreement::{CoreConfig, Input, MembershipChange, ReplicaId};
 use rand::Rng;
 use rand::distr::Distribution;
 use rand::distr::weighted::WeightedIndex;
@@ -16,18 +16,18 @@
     /// Delivers one message, an older one more likely.
     Deliver,
     /// Delivers what is on its way and completes all writes.
-    Settle,
-    Time,
+    DeliverAll,
+    AdvanceTime,
     Sync,
     Propose,
     Read,
     Crash,
     Start,
-    Cut,
+    CutOff,
     Heal,
     Freeze,
-    Jump,
-    Change,
+    JumpClock,
+    ChangeMembers,
     Transfer,
     Compact,
     /// Cuts a leader off until another one is elected.
@@ -37,8 +37,22 @@
 use Action::*;
 
 const ACTIONS: [Action; 16] = [
-    Deliver, Settle, Time, Sync, Propose, Read, Crash, Start, Cut, Heal, Freeze, Jump, Change,
-    Transfer, Compact, Depose,
+    Deliver,
+    DeliverAll,
+    AdvanceTime,
+    Sync,
+    Propose,
+    Read,
+    Crash,
+    Start,
+    CutOff,
+    Heal,
+    Freeze,
+    JumpClock,
+    ChangeMembers,
+    Transfer,
+    Compact,
+    Depose,
 ];
 
 /// Weights of the actions, in their order.
@@ -56,7 +70,7 @@
 pub const CHANGES: Mix = [400, 40, 140, 120, 60, 20, 8, 40, 24, 12, 0, 0, 60, 8, 24, 1];
 
 /// Draws a configuration with small limits, so that short runs reach them.
-fn adjust(seed: u64) -> impl Fn(&mut CoreConfig) {
+fn small_limits(seed: u64) -> impl Fn(&mut CoreConfig) {
     move |cfg| {
         cfg.max_append_bytes = [1, 64, 4096][(seed % 3) as usize];
         cfg.max_inflight_appends = 1 + (seed / 3 % 4) as usize;
@@ -73,20 +87,21 @@
 /// is spent on a working group.
 pub fn run(seed: u64, mix: Mix, steps: usize) {
     let voters = [3, 3, 5, 2, 4, 5, 3, 1][(seed % 8) as usize];
-    let mut c = Cluster::new(seed, voters, adjust(seed / 8));
-    c.jumps = (seed / 8).is_multiple_of(4);
+    let mut c = Cluster::new(seed, voters, small_limits(seed / 8));
+    c.clock_jumps = (seed / 8).is_multiple_of(4);
     c.run_quietly(ms(300));
     while c.leaders().is_empty() && c.now < ms(2000) {
         c.run_quietly(ms(50));
     }
-    (c.loss, c.duplicates) = (c.rng.random_range(0..60), c.rng.random_range(0..60));
+    (c.loss_permille, c.duplicate_permille) =
+        (c.rng.random_range(0..60), c.rng.random_range(0..60));
     if c.rng.random_ratio(1, 2) {
-        c.append_loss = c.rng.random_range(0..950);
+        c.append_loss_permille = c.rng.random_range(0..950);
     }
     let weights = WeightedIndex::new(mix).expect("weights are valid");
     for _ in 0..steps {
         let k = weights.sample(&mut c.rng);
-        act(&mut c, ACTIONS[k]);
+        apply_action(&mut c, ACTIONS[k]);
     }
     if seed.is_multiple_of(8) {
         c.heal();
@@ -94,7 +109,7 @@
     assert!(c.statuses().iter().all(|s| s.violations == 0), "invariant violated inside the core");
 }
 
-fn act(c: &mut Cluster, action: Action) {
+fn apply_action(c: &mut Cluster, action: Action) {
     let i = c.rng.random_range(0..MAX_REPLICAS);
     match action {
         Deliver if !c.net.is_empty() => {
@@ -103,14 +118,14 @@
             c.deliver(k);
         }
         Deliver => {}
-        Settle => {
-            c.settle();
-            c.settle();
+        DeliverAll => {
+            c.deliver_all();
+            c.deliver_all();
         }
-        Time => pass_time(c),
+        AdvanceTime => pass_time(c),
         Sync => {
             let waiting: Vec<_> =
-                (0..MAX_REPLICAS).filter(|&i| c.sims[i].pending.is_some()).collect();
+                (0..MAX_REPLICAS).filter(|&i| c.replicas[i].pending.is_some()).collect();
             if let Some(&i) = waiting.choose(&mut c.rng) {
                 c.sync(i);
             }
@@ -125,12 +140,14 @@
         }
         Crash => crash(c, i),
         Start => c.start(i),
-        Cut => cut(c),
+        CutOff => cut_off(c),
         Heal => c.cut.clear(),
-        Freeze => c.sims[i].frozen_until = c.now + ms(c.rng.random_range(50..800)),
-        Jump if c.jumps => c.sims[i].offset += ms(c.rng.random_range(10..1000)),
-        Jump => {}
-        Change => change(c),
+        Freeze => c.replicas[i].frozen_until = c.now + ms(c.rng.random_range(50..800)),
+        JumpClock if c.clock_jumps => {
+            c.replicas[i].clock_offset += ms(c.rng.random_range(10..1000))
+        }
+        JumpClock => {}
+        ChangeMembers => change_members(c),
         Transfer => {
             let to = ReplicaId(i as u64 + 1);
             if let Some(leader) = pick_leader(c) {
@@ -144,7 +161,7 @@
 
 /// Kills a replica, half of the time one with an unsynced write, which often restarts at once.
 fn crash(c: &mut Cluster, i: usize) {
-    let unsynced: Vec<_> = (0..MAX_REPLICAS).filter(|&i| c.sims[i].pending.is_some()).collect();
+    let unsynced: Vec<_> = (0..MAX_REPLICAS).filter(|&i| c.replicas[i].pending.is_some()).collect();
     match unsynced.choose(&mut c.rng) {
         Some(&i) if c.rng.random_ratio(1, 2) => {
             c.crash(i);
@@ -173,7 +190,7 @@
 }
 
 /// Cuts a replica off, often the leader, or splits the group; in one or both directions.
-fn cut(c: &mut Cluster) {
+fn cut_off(c: &mut Cluster) {
     let one = match pick_leader(c) {
         Some(leader) if c.rng.random_ratio(1, 2) => leader,
         _ => c.rng.random_range(0..MAX_REPLICAS),
@@ -202,15 +219,15 @@
 /// it is not ticked, and what was sent to it arrives only then, with reads in between.
 fn depose(c: &mut Cluster) {
     let Some(old) = pick_leader(c) else { return };
-    let id = c.sims[old].id;
-    c.cut = c.sims.iter().flat_map(|s| [(s.id, id), (id, s.id)]).collect();
+    let id = c.replicas[old].id;
+    c.cut = c.replicas.iter().flat_map(|s| [(s.id, id), (id, s.id)]).collect();
     let slow = c.rng.random_ratio(1, 2);
     for _ in 0..c.rng.random_range(30..100) {
         c.now += ms(10);
         for i in (0..MAX_REPLICAS).filter(|&i| !slow || i != old) {
             c.step(i, Input::Tick);
         }
-        settle_except(c, slow.then_some(id));
+        deliver_all_except(c, slow.then_some(id));
         if c.leaders().iter().any(|&i| i != old) {
             break;
         }
@@ -220,7 +237,7 @@
     }
     if let Some(new) = c.leaders().into_iter().find(|&i| slow && i != old) {
         c.propose(new);
-        (0..4).for_each(|_| settle_except(c, Some(id)));
+        (0..4).for_each(|_| deliver_all_except(c, Some(id)));
         c.read(old);
         while let Some(k) = c.net.iter().position(|m| m.1 == id) {
             c.deliver(k);
@@ -230,24 +247,24 @@
 }
 
 /// Settles, but for the messages to one replica.
-fn settle_except(c: &mut Cluster, id: Option<ReplicaId>) {
+fn deliver_all_except(c: &mut Cluster, id: Option<ReplicaId>) {
     let (late, net) = std::mem::take(&mut c.net).into_iter().partition(|m| Some(m.1) == id);
     c.net = net;
-    c.settle();
+    c.deliver_all();
     c.net.splice(0..0, Vec::into_iter(late));
 }
 
 /// Asks a leader for up to three changes at once.
-fn change(c: &mut Cluster) {
+fn change_members(c: &mut Cluster) {
     let Some(leader) = pick_leader(c) else { return };
     for _ in 0..c.rng.random_range(1..=3) {
         let id = ReplicaId(c.rng.random_range(1..=MAX_REPLICAS as u64));
         let change = match c.rng.random_range(0..3) {
-            0 => VoterChange::AddLearner(id),
-            1 => VoterChange::PromoteLearner(id),
-            _ => VoterChange::RemoveVoter(id),
+            0 => MembershipChange::AddLearner(id),
+            1 => MembershipChange::PromoteLearner(id),
+            _ => MembershipChange::RemoveVoter(id),
         };
-        let ticket = c.next_ticket();
-        c.step(leader, Input::ChangeVoters { change, ticket });
+        let request_id = c.next_request_id();
+        c.step(leader, Input::ChangeMembership { change, request_id });
     }
 }
