--- a/crates/agreement/tests/harness/mod.rs
+++ b/crates/agreement/tests/harness/mod.rs
@@ -10,8 +10,8 @@
 
 use bytes::Bytes;
 use poplarspan_agreement::{
-    Core, CoreConfig, Input, Message, Output, Persist, ProposalResult, ReadResult, ReplicaId, Role,
-    Snapshot,
+    Core, CoreConfig, Input, Message, Output, PersistRequest, ProposalResult, ReadResult,
+    ReplicaId, Role, Snapshot,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -31,29 +31,29 @@
 }
 
 /// One replica with its disk, clock and state machine.
-pub struct Sim {
+pub struct SimReplica {
     pub id: ReplicaId,
     /// `None` while the process is down.
     pub core: Option<Core>,
     pub cfg: CoreConfig,
     pub disk: Disk,
     /// Write that is not yet synced.
-    pub pending: Option<Persist>,
+    pub pending: Option<PersistRequest>,
     pub applied: u64,
     digest: u64,
-    offset: Duration,
+    clock_offset: Duration,
     /// Speed of the clock in thousandths.
-    rate: u32,
+    clock_rate_permille: u32,
     pub frozen_until: Duration,
     incarnation: u64,
-    /// Proposals in this replica's log, by index, term and ticket.
-    waiting: Vec<(u64, u64, u64)>,
+    /// Proposals in this replica's log, by index, term and request_id.
+    pending_proposals: Vec<(u64, u64, u64)>,
     /// Reads under way, with the index that they have to cover.
     reads: Vec<(u64, u64)>,
     snapshot_wanted: bool,
 }
 
-impl Sim {
+impl SimReplica {
     pub fn is_leader(&self) -> bool {
         self.core.as_ref().is_some_and(|c| c.status().role.role == Role::Leader)
     }
@@ -77,20 +77,20 @@
     pub seed: u64,
     pub rng: SmallRng,
     pub now: Duration,
-    pub sims: Vec<Sim>,
+    pub replicas: Vec<SimReplica>,
     /// Messages on their way: sender, receiver, message.
     pub net: Vec<(ReplicaId, ReplicaId, Message)>,
     /// Pairs of sender and receiver between which nothing is sent.
     pub cut: BTreeSet<(ReplicaId, ReplicaId)>,
     /// Messages lost and duplicated, in thousandths.
-    pub loss: u32,
-    pub duplicates: u32,
+    pub loss_permille: u32,
+    pub duplicate_permille: u32,
     /// Appends lost in addition, so that logs differ although leaders are elected.
-    pub append_loss: u32,
+    pub append_loss_permille: u32,
     /// Whether clocks may jump on their own, which leases do not bear.
-    pub jumps: bool,
+    pub clock_jumps: bool,
     pub oracle: Oracle,
-    tickets: u64,
+    last_request_id: u64,
 }
 
 impl Drop for Cluster {
@@ -106,11 +106,11 @@
     pub fn new(seed: u64, voters: usize, adjust: impl Fn(&mut CoreConfig)) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let ids: Vec<_> = (1..=MAX_REPLICAS as u64).map(ReplicaId).collect();
-        let sims = ids.iter().map(|&id| {
+        let replicas = ids.iter().map(|&id| {
             let mut cfg = CoreConfig::new(id, rng.random());
             adjust(&mut cfg);
             let members = if ids[..voters].contains(&id) { &ids[..voters] } else { &[] };
-            Sim {
+            SimReplica {
                 id,
                 core: None,
                 cfg,
@@ -118,28 +118,28 @@
                 pending: None,
                 applied: 0,
                 digest: 0,
-                offset: ms(rng.random_range(0..100_000)),
-                rate: rng.random_range(970..=1030),
+                clock_offset: ms(rng.random_range(0..100_000)),
+                clock_rate_permille: rng.random_range(970..=1030),
                 frozen_until: Duration::ZERO,
                 incarnation: 0,
-                waiting: Vec::new(),
+                pending_proposals: Vec::new(),
                 reads: Vec::new(),
                 snapshot_wanted: false,
             }
         });
         let mut cluster = Self {
             seed,
-            sims: sims.collect(),
+            replicas: replicas.collect(),
             rng,
             now: Duration::ZERO,
             net: Vec::new(),
             cut: BTreeSet::new(),
-            loss: 0,
-            duplicates: 0,
-            append_loss: 0,
-            jumps: false,
+            loss_permille: 0,
+            duplicate_permille: 0,
+            append_loss_permille: 0,
+            clock_jumps: false,
             oracle: Oracle::default(),
-            tickets: 0,
+            last_request_id: 0,
         };
         (0..MAX_REPLICAS).for_each(|i| cluster.start(i));
         cluster
@@ -147,7 +147,7 @@
 
     /// Starts the process of a replica that is down, from what its disk holds.
     pub fn start(&mut self, i: usize) {
-        let sim = &mut self.sims[i];
+        let sim = &mut self.replicas[i];
         if sim.core.is_some() {
             return;
         }
@@ -163,22 +163,22 @@
 
     /// Kills the process of a replica. Of the write that is not synced, a random prefix survives.
     pub fn crash(&mut self, i: usize) {
-        let sim = &mut self.sims[i];
+        let sim = &mut self.replicas[i];
         if let Some(p) = sim.pending.take() {
             let parts = self.rng.random_range(0..=Disk::parts(&p));
             sim.disk.write(&p, parts);
         }
         sim.core = None;
-        sim.waiting.clear();
+        sim.pending_proposals.clear();
         sim.reads.clear();
     }
 
     fn clock(&self, i: usize) -> Duration {
-        self.sims[i].offset + self.now * self.sims[i].rate / 1000
+        self.replicas[i].clock_offset + self.now * self.replicas[i].clock_rate_permille / 1000
     }
 
     pub fn runs(&self, i: usize) -> bool {
-        self.sims[i].core.is_some() && self.sims[i].frozen_until <= self.now
+        self.replicas[i].core.is_some() && self.replicas[i].frozen_until <= self.now
     }
 
     /// Steps a replica, unless it is down or frozen, and handles what it asks for.
@@ -187,17 +187,17 @@
         if !self.runs(i) {
             return;
         }
-        let Some(core) = &mut self.sims[i].core else { return };
+        let Some(core) = &mut self.replicas[i].core else { return };
         let out = core.step(now, input);
         self.handle(i, out);
     }
 
     fn handle(&mut self, i: usize, out: Output) {
-        let id = self.sims[i].id;
+        let id = self.replicas[i].id;
         for (to, message) in out.messages {
             self.send(id, to, message);
         }
-        let sim = &mut self.sims[i];
+        let sim = &mut self.replicas[i];
         if let Some(p) = out.persist {
             assert!(sim.pending.is_none(), "one write is in flight at a time");
             sim.pending = Some(p);
@@ -211,14 +211,14 @@
             sim.applied += 1;
             sim.digest = self.oracle.applied(&e, sim.digest);
             let position = (e.position.index, e.position.term);
-            if let Some(k) = sim.waiting.iter().position(|w| (w.0, w.1) == position) {
-                let ticket = sim.waiting.swap_remove(k).2;
-                self.oracle.acknowledged(&e, ticket);
+            if let Some(k) = sim.pending_proposals.iter().position(|w| (w.0, w.1) == position) {
+                let request_id = sim.pending_proposals.swap_remove(k).2;
+                self.oracle.acknowledged(&e, request_id);
             }
         }
         self.handle_proposals(i, out.proposals);
         self.handle_reads(i, out.reads);
-        let sim = &mut self.sims[i];
+        let sim = &mut self.replicas[i];
         sim.snapshot_wanted |= out.snapshot_wanted;
         if let (Some(role), Some(core)) = (out.role, &sim.core)
             && role.role == Role::Leader
@@ -228,26 +228,26 @@
     }
 
     fn handle_proposals(&mut self, i: usize, results: Vec<(u64, ProposalResult)>) {
-        let waiting = &mut self.sims[i].waiting;
-        for (ticket, result) in results {
+        let pending = &mut self.replicas[i].pending_proposals;
+        for (request_id, result) in results {
             match result {
-                ProposalResult::Appended(at) => waiting.push((at.index, at.term, ticket)),
-                ProposalResult::Unknown => waiting.retain(|w| w.2 != ticket),
+                ProposalResult::Appended(at) => pending.push((at.index, at.term, request_id)),
+                ProposalResult::Unknown => pending.retain(|w| w.2 != request_id),
                 ProposalResult::NotLeader { .. } | ProposalResult::Refused(_) => {
-                    self.oracle.not_applied(ticket);
+                    self.oracle.not_applied(request_id);
                 }
                 ProposalResult::Overwritten => {
-                    waiting.retain(|w| w.2 != ticket);
-                    self.oracle.not_applied(ticket);
+                    pending.retain(|w| w.2 != request_id);
+                    self.oracle.not_applied(request_id);
                 }
             }
         }
     }
 
     fn handle_reads(&mut self, i: usize, results: Vec<(u64, ReadResult)>) {
-        for (ticket, result) in results {
-            let reads = &mut self.sims[i].reads;
-            let k = reads.iter().position(|r| r.0 == ticket).expect("read is under way");
+        for (request_id, result) in results {
+            let reads = &mut self.replicas[i].reads;
+            let k = reads.iter().position(|r| r.0 == request_id).expect("read is under way");
             let (_, floor) = reads.swap_remove(k);
             if let ReadResult::Ready { index } = result {
                 assert!(index >= floor, "read at {index} misses what was acknowledged at {floor}");
@@ -258,8 +258,8 @@
 
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: Message) {
         let loss = match message {
-            Message::Append { .. } => self.loss.max(self.append_loss),
-            _ => self.loss,
+            Message::Append { .. } => self.loss_permille.max(self.append_loss_permille),
+            _ => self.loss_permille,
         };
         if self.cut.contains(&(from, to)) || self.rng.random_ratio(loss, 1000) {
             return;
@@ -267,7 +267,7 @@
         if self.net.len() > MAX_MESSAGES {
             self.net.remove(0);
         }
-        if self.rng.random_ratio(self.duplicates, 1000) {
+        if self.rng.random_ratio(self.duplicate_permille, 1000) {
             self.net.push((from, to, message.clone()));
         }
         self.net.push((from, to, message));
@@ -284,41 +284,41 @@
         if !self.runs(i) {
             return;
         }
-        if let Some(p) = self.sims[i].pending.take() {
-            self.sims[i].disk.write(&p, Disk::parts(&p));
-            self.oracle.synced(&self.sims[i].disk, &p);
-            self.step(i, Input::Synced { ticket: p.ticket });
+        if let Some(p) = self.replicas[i].pending.take() {
+            self.replicas[i].disk.write(&p, Disk::parts(&p));
+            self.oracle.synced(&self.replicas[i].disk, &p);
+            self.step(i, Input::Synced { sequence: p.sequence });
         }
     }
 
-    pub fn next_ticket(&mut self) -> u64 {
-        self.tickets += 1;
-        self.tickets
+    pub fn next_request_id(&mut self) -> u64 {
+        self.last_request_id += 1;
+        self.last_request_id
     }
 
     pub fn propose(&mut self, i: usize) -> u64 {
-        let ticket = self.next_ticket();
-        let data = Bytes::copy_from_slice(&ticket.to_be_bytes());
-        self.step(i, Input::Propose { data, ticket });
-        ticket
+        let request_id = self.next_request_id();
+        let data = Bytes::copy_from_slice(&request_id.to_be_bytes());
+        self.step(i, Input::Propose { data, request_id });
+        request_id
     }
 
     pub fn read(&mut self, i: usize) {
         if self.runs(i) {
-            let ticket = self.next_ticket();
-            self.sims[i].reads.push((ticket, self.oracle.read_floor));
-            self.step(i, Input::Read { ticket });
+            let request_id = self.next_request_id();
+            self.replicas[i].reads.push((request_id, self.oracle.read_floor));
+            self.step(i, Input::Read { request_id });
         }
     }
 
     pub fn compact(&mut self, i: usize) {
-        self.sims[i].snapshot_wanted = false;
-        let snapshot = self.sims[i].snapshot();
+        self.replicas[i].snapshot_wanted = false;
+        let snapshot = self.replicas[i].snapshot();
         self.step(i, Input::Compact { snapshot });
     }
 
     pub fn leaders(&self) -> Vec<usize> {
-        (0..MAX_REPLICAS).filter(|&i| self.sims[i].is_leader()).collect()
+        (0..MAX_REPLICAS).filter(|&i| self.replicas[i].is_leader()).collect()
     }
 
     /// Lets time pass without faults: all messages arrive and all writes are synced.
@@ -328,18 +328,18 @@
             self.now += ms(10);
             for i in 0..MAX_REPLICAS {
                 self.step(i, Input::Tick);
-                if self.sims[i].snapshot_wanted {
+                if self.replicas[i].snapshot_wanted {
                     self.compact(i);
                 }
             }
             for _ in 0..4 {
-                self.settle();
+                self.deliver_all();
             }
         }
     }
 
     /// Completes all writes and delivers the messages that are on their way.
-    pub fn settle(&mut self) {
+    pub fn deliver_all(&mut self) {
         (0..MAX_REPLICAS).for_each(|i| self.sync(i));
         for (from, to, message) in std::mem::take(&mut self.net) {
             self.step(to.0 as usize - 1, Input::Message { from, message });
@@ -349,9 +349,9 @@
     /// Ends all faults and checks that the group recovers.
     pub fn heal(&mut self) {
         self.cut.clear();
-        (self.loss, self.duplicates, self.append_loss) = (0, 0, 0);
+        (self.loss_permille, self.duplicate_permille, self.append_loss_permille) = (0, 0, 0);
         for i in 0..MAX_REPLICAS {
-            self.sims[i].frozen_until = Duration::ZERO;
+            self.replicas[i].frozen_until = Duration::ZERO;
             self.start(i);
         }
         let end = self.now + MAX_RECOVERY;
@@ -371,21 +371,25 @@
 
     /// Checks that nothing deposes a leader without faults, also no replica that was removed.
     fn check_stable(&mut self, leader: usize) {
-        let role = |c: &Self| c.sims[leader].core.as_ref().map(|core| core.status().role);
+        let role = |c: &Self| c.replicas[leader].core.as_ref().map(|core| core.status().role);
         let before = role(self);
         self.run_quietly(ms(1000));
         assert_eq!(role(self), before, "a leader is deposed without a fault");
     }
 
     fn all_caught_up(&self, leader: usize) -> bool {
-        let Some(status) = self.sims[leader].core.as_ref().map(Core::status) else { return false };
+        let Some(status) = self.replicas[leader].core.as_ref().map(Core::status) else {
+            return false;
+        };
         let members = status.membership.voters.iter().chain(&status.membership.learners);
         status.commit == status.last.index
             && self.oracle.len() == status.commit
-            && members.into_iter().all(|id| self.sims[id.0 as usize - 1].applied == status.commit)
+            && members
+                .into_iter()
+                .all(|id| self.replicas[id.0 as usize - 1].applied == status.commit)
     }
 
     pub fn statuses(&self) -> Vec<poplarspan_agreement::Status> {
-        self.sims.iter().filter_map(|s| s.core.as_ref().map(Core::status)).collect()
+        self.replicas.iter().filter_map(|s| s.core.as_ref().map(Core::status)).collect()
     }
 }
--- a/crates/agreement/tests/harness/oracle.rs
+++ b/crates/agreement/tests/harness/oracle.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use poplarspan_agreement::{Core, Entry, Payload, Persist, ReplicaId};
+use poplarspan_agreement::{Core, Entry, Payload, PersistRequest, ReplicaId};
 
 use super::disk::Disk;
 
@@ -14,10 +14,10 @@
     history: Vec<(Entry, u64)>,
     /// Payload and term of the predecessor of each entry that was synced, by index and term.
     synced: BTreeMap<(u64, u64), (Payload, u64)>,
-    /// Tickets of commands that were reported as not applied.
+    /// Request ids of commands that were reported as not applied.
     not_applied: BTreeSet<u64>,
-    /// Tickets of commands in the history.
-    tickets: BTreeSet<u64>,
+    /// Request ids of commands in the history.
+    applied_requests: BTreeSet<u64>,
     acked: Option<u64>,
     /// Index that reads issued from now on have to cover.
     pub read_floor: u64,
@@ -47,10 +47,16 @@
         assert_eq!(self.history.len(), i, "history has no gap");
         let mut value = e.position.term;
         if let Payload::Command(data) = &e.payload {
-            let ticket = u64::from_be_bytes(data[..].try_into().expect("ticket"));
-            assert!(!self.not_applied.contains(&ticket), "command {ticket} was reported as lost");
-            assert!(self.tickets.insert(ticket), "command {ticket} was applied twice");
-            value = value.wrapping_add(ticket << 32);
+            let request_id = u64::from_be_bytes(data[..].try_into().expect("request_id"));
+            assert!(
+                !self.not_applied.contains(&request_id),
+                "command {request_id} was reported as lost"
+            );
+            assert!(
+                self.applied_requests.insert(request_id),
+                "command {request_id} was applied twice"
+            );
+            value = value.wrapping_add(request_id << 32);
         }
         let after = (digest ^ value).wrapping_mul(0x0100_0000_01b3).wrapping_add(1);
         self.history.push((e.clone(), after));
@@ -62,21 +68,21 @@
         assert_eq!(after, Some(digest), "snapshot at {index} differs from the history");
     }
 
-    pub fn not_applied(&mut self, ticket: u64) {
-        assert!(!self.tickets.contains(&ticket), "command {ticket} was applied");
-        self.not_applied.insert(ticket);
+    pub fn not_applied(&mut self, request_id: u64) {
+        assert!(!self.applied_requests.contains(&request_id), "command {request_id} was applied");
+        self.not_applied.insert(request_id);
     }
 
-    pub fn acknowledged(&mut self, e: &Entry, ticket: u64) {
+    pub fn acknowledged(&mut self, e: &Entry, request_id: u64) {
         if let Payload::Command(data) = &e.payload {
-            assert_eq!(data[..], ticket.to_be_bytes(), "the entry is the proposed one");
+            assert_eq!(data[..], request_id.to_be_bytes(), "the entry is the proposed one");
         }
         self.acked = self.acked.max(Some(e.position.index));
         self.read_floor = self.read_floor.max(e.position.index);
     }
 
     /// Log matching: an index and a term identify an entry and its predecessor.
-    pub fn synced(&mut self, disk: &Disk, p: &Persist) {
+    pub fn synced(&mut self, disk: &Disk, p: &PersistRequest) {
         for e in &p.entries {
             let at = (e.position.index, e.position.term);
             let before = disk.term_before(e.position.index).expect("the log on disk has no gap");
--- a/crates/agreement/tests/storage_faults.rs
+++ b/crates/agreement/tests/storage_faults.rs
@@ -7,7 +7,7 @@
 use common::{Model, contents, entries, hard_state, open, persist, segments, snapshot};
 use futures::executor::block_on;
 use poplarspan_agreement::{
-    FileStore, GroupId, MemoryDisk, MemoryStore, Persist, Storage, StoreError, StoreOptions,
+    FileStore, GroupId, MemoryDisk, MemoryStore, PersistRequest, Storage, StoreError, StoreOptions,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -161,7 +161,8 @@
     let folder = tempfile::tempdir().expect("folder");
     FileStore::create(folder.path()).expect("created");
     let store = open(folder.path(), 1000).expect("opened");
-    let install = Persist { snapshot: Some(snapshot(5, 2, &[1; 100])), ..Persist::default() };
+    let install =
+        PersistRequest { snapshot: Some(snapshot(5, 2, &[1; 100])), ..PersistRequest::default() };
     persist(&store, 1, install).expect("persisted");
     block_on(store.close()).expect("closed");
     let names = fs::read_dir(folder.path()).expect("folder").map(|item| item.expect("name").path());
@@ -199,7 +200,7 @@
     let disk = MemoryDisk::new();
     MemoryStore::create(&disk).expect("created");
     let store = MemoryStore::open(&disk, StoreOptions::default()).expect("opened");
-    disk.lose();
+    disk.erase();
     assert!(persist(&store, 1, hard_state(1, None)).is_err());
     assert!(matches!(
         MemoryStore::open(&disk, StoreOptions::default()),
--- a/crates/agreement/tests/storage_reopen.rs
+++ b/crates/agreement/tests/storage_reopen.rs
@@ -8,7 +8,7 @@
 use futures::executor::block_on;
 use futures::future::join_all;
 use poplarspan_agreement::{
-    FileStore, GroupId, MemoryDisk, MemoryStore, Persist, Storage, StoreError, StoreOptions,
+    FileStore, GroupId, MemoryDisk, MemoryStore, PersistRequest, Storage, StoreError, StoreOptions,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -57,7 +57,7 @@
         Op::Append { back, data } => {
             let first = last.index.saturating_sub(*back).max(base) + 1;
             let list = data.iter().zip(first..).map(|(d, i)| entry(i, term, d)).collect();
-            Persist { entries: list, ..Persist::default() }
+            PersistRequest { entries: list, ..PersistRequest::default() }
         }
         Op::Save { back, data } => {
             let index = last.index.saturating_sub(*back);
@@ -66,12 +66,12 @@
             };
             let s = snapshot(index, e.position.term, data);
             block_on(store.save_snapshot(id, s.clone())).expect("saved");
-            model.apply(id, &Persist { snapshot: Some(s), ..Persist::default() });
+            model.apply(id, &PersistRequest { snapshot: Some(s), ..PersistRequest::default() });
             return;
         }
         Op::Install { ahead, data } => {
             let s = snapshot(last.index.saturating_add_signed(*ahead).max(base + 1), term, data);
-            Persist { snapshot: Some(s), ..Persist::default() }
+            PersistRequest { snapshot: Some(s), ..PersistRequest::default() }
         }
         Op::Reopen => return,
     };
@@ -195,14 +195,14 @@
     let large = snapshot(9, 1, &vec![7; 5 << 20]);
     let install = |index| {
         let s = snapshot(index, 1, &[1; 50]);
-        (GroupId(2), Persist { snapshot: Some(s), ..Persist::default() })
+        (GroupId(2), PersistRequest { snapshot: Some(s), ..PersistRequest::default() })
     };
     let mut futures = vec![store.save_snapshot(GroupId(1), large.clone())];
     futures.extend((1..=8).map(|index| store.persist(vec![install(index)])));
     for result in block_on(join_all(futures)) {
         result.expect("saved");
     }
-    model.apply(GroupId(1), &Persist { snapshot: Some(large), ..Persist::default() });
+    model.apply(GroupId(1), &PersistRequest { snapshot: Some(large), ..PersistRequest::default() });
     for index in 1..=8 {
         model.apply(GroupId(2), &install(index).1);
     }
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -22,9 +22,9 @@
 use anyhow::{Context, Result};
 use bytes::Bytes;
 use poplarspan_agreement::{
-    Clock, DataDir, FileStore, GroupHandle, GroupId, IdentityError, Node, NodeConfig, ProposeError,
-    Refusal, ReplicaId, Role, StateMachine, Storage, StoreError, StoreOptions, init_groups,
-    is_disk_full,
+    Clock, DataDir, FileStore, GroupHandle, GroupId, IdentityError, MembershipChangeError, Node,
+    NodeConfig, ProposeError, ReplicaId, Role, StateMachine, Storage, StoreError, StoreOptions,
+    init_groups, is_disk_full,
 };
 use poplarspan_node::{
     PeerClient,
@@ -58,8 +58,8 @@
 fn timing(clock: Arc<dyn Clock>) -> NodeConfig {
     NodeConfig {
         clock,
-        tick: Duration::from_millis(20),
-        heartbeat: Duration::from_millis(75),
+        tick_interval: Duration::from_millis(20),
+        heartbeat_interval: Duration::from_millis(75),
         election_timeout_min: Duration::from_millis(350),
         election_timeout_max: Duration::from_millis(600),
         drift_margin: Duration::from_millis(75),
@@ -174,7 +174,7 @@
 fn is_refusal(e: &anyhow::Error) -> bool {
     e.chain().any(|cause| {
         cause.downcast_ref().is_some_and(is_disk_full)
-            || cause.downcast_ref().is_some_and(StoreError::is_refusal)
+            || cause.downcast_ref().is_some_and(StoreError::is_disk_full)
     })
 }
 
@@ -393,8 +393,10 @@
                         group, step = name.as_str(), error = error.as_str();
                         "change of members refused"
                     );
-                    if let (Step::Promote(id), ProposeError::Refused(Refusal::NotCaughtUp)) =
-                        (step, &e)
+                    if let (
+                        Step::Promote(id),
+                        ProposeError::Refused(MembershipChangeError::NotCaughtUp),
+                    ) = (step, &e)
                     {
                         lagging.push((id, now + LAG_PAUSE));
                     }
@@ -419,7 +421,7 @@
             me: self.id,
             voters: core.membership.voters,
             learners: core.membership.learners,
-            silence: core.silence,
+            silence: core.last_contact,
             joining: joining.map(|(id, _)| *id).collect(),
             leaving: wishes.leaving,
             lagging: lagging.iter().map(|(id, _)| *id).collect(),
@@ -431,8 +433,8 @@
     async fn take(&self, step: Step) -> Result<(), ProposeError> {
         match step {
             Step::AddLearner(id) => self.handle.add_learner(id).await,
-            Step::Promote(id) => self.handle.promote(id).await,
-            Step::Remove(id) => self.handle.remove_voter(id).await,
+            Step::Promote(id) => self.handle.promote_learner(id).await,
+            Step::Remove(id) => self.handle.remove_member(id).await,
             Step::HandOver(id) => self.handle.transfer_leadership(id).await,
         }
     }
--- a/crates/server/src/control/node.rs
+++ b/crates/server/src/control/node.rs
@@ -60,8 +60,8 @@
         Box::pin(async move {
             let changed = match step {
                 VoterStep::AddLearner(id) => self.handle.add_learner(ReplicaId(id)).await,
-                VoterStep::Promote(id) => self.handle.promote(ReplicaId(id)).await,
-                VoterStep::Remove(id) => self.handle.remove_voter(ReplicaId(id)).await,
+                VoterStep::Promote(id) => self.handle.promote_learner(ReplicaId(id)).await,
+                VoterStep::Remove(id) => self.handle.remove_member(ReplicaId(id)).await,
             };
             changed.map_err(propose_error)
         })
