--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -33,8 +33,8 @@
             service_s: 2.0,
             leaving: false,
         });
-        prefixes.declare(id, 5_000);
-        fleet.report(id, &LoadReport { running: 3 + i % 11, queued: 0, taken: ms(1) });
+        prefixes.register(id, 5_000);
+        fleet.report(id, &LoadReport { running: 3 + i % 11, queued: 0, measured_at: ms(1) });
     }
     (fleet, prefixes)
 }
@@ -44,21 +44,21 @@
     let mut shared = PrefixChain::new("m", 512);
     shared.extend(&[1; 512 * 16]);
     for i in 0..600 {
-        prefixes.dispatched(EndpointId(i), shared.blocks(), ms(1));
+        prefixes.record_dispatch(EndpointId(i), shared.blocks(), ms(1));
     }
     let mut rng = StdRng::seed_from_u64(1);
     for blocks in [16, 200, 1600] {
         let mut chain = shared.clone();
         chain.extend(&vec![2; 512 * (blocks - 16)]);
-        prefixes.dispatched(EndpointId(77), chain.blocks(), ms(2));
+        prefixes.record_dispatch(EndpointId(77), chain.blocks(), ms(2));
         let mut chooser = CostChooser::new("z1".into(), CostConfig::default());
         let req = RouteRequest {
             group: "m",
             blocks: chain.blocks(),
             block_tokens: 128,
             prompt_tokens: 128 * blocks as u32,
-            last: Some(EndpointId(77)),
-            avoid: &[],
+            last_endpoint: Some(EndpointId(77)),
+            excluded: &[],
         };
         c.bench_function(&format!("route/600 endpoints/{blocks} blocks"), |b| {
             b.iter(|| chooser.choose(&fleet, &prefixes, black_box(&req), &mut rng));
@@ -69,7 +69,7 @@
 fn admission(c: &mut Criterion) {
     let limit = Limit::new(1e6, 1_000_000);
     let mut owner = OwnerBucket::new(limit, MIN_VALIDITY, 1e6, ms(0));
-    let mut share = Share::new("i".into(), limit, ShareConfig::default());
+    let mut share = InstanceBucket::new("i".into(), limit, InstanceBucketConfig::default());
     let (mut now, mut number) = (ms(0), 0);
     c.bench_function("admit/local", |b| {
         b.iter(|| {
--- a/crates/policy/examples/compare.rs
+++ b/crates/policy/examples/compare.rs
@@ -10,7 +10,7 @@
 const GREEDY: usize = 3;
 
 fn scenario(seed: u64, load: f64) -> Scenario {
-    Scenario { seed, load, duration_s: 200.0, greedy: None, zone_leaves: false }
+    Scenario { seed, load, duration_s: 200.0, greedy: None, zone_outage: false }
 }
 
 fn compare(deployment: &Deployment, seed: u64) {
@@ -25,8 +25,8 @@
         let base = sim::run(deployment, policy, &scenario(seed, 0.85));
         let greedy = Scenario { greedy: Some(GREEDY), ..scenario(seed, 0.85) };
         let greedy = sim::run(deployment, policy, &greedy);
-        let away = Scenario { zone_leaves: true, ..scenario(seed, 0.6) };
-        let away = sim::run(deployment, policy, &away);
+        let outage = Scenario { zone_outage: true, ..scenario(seed, 0.6) };
+        let outage = sim::run(deployment, policy, &outage);
         let at = |m: &Measures, q| format!("{:.1}", m.latency_s(q));
         println!(
             "{:18} p50 {:>6} p95 {:>6} p99 {:>6} {:>6.1}% {:>5.1}% {:>4}/{}  p95 program {} s, call {:.1} s, refused {}/{}, to zone {}",
@@ -38,11 +38,11 @@
             100.0 * greedy.worst_share(&base, GREEDY),
             base.refused_within_rate,
             base.calls_within_rate,
-            at(&away, 0.95),
-            away.call_p95_away_s,
-            away.refused_within_rate,
-            away.calls_within_rate,
-            away.to_zone_out,
+            at(&outage, 0.95),
+            outage.outage_call_p95_s,
+            outage.refused_within_rate,
+            outage.calls_within_rate,
+            outage.calls_to_disabled_zone,
         );
     }
 }
--- a/crates/policy/examples/fair_queue.rs
+++ b/crates/policy/examples/fair_queue.rs
@@ -3,7 +3,9 @@
 
 use std::time::Duration;
 
-use poplarspan_policy::fair::{Call, FairQueue, FixedLimit, InFlight, LasDeadline, QueueConfig};
+use poplarspan_policy::fair::{
+    Call, FairQueue, FixedLimit, InFlightLimit, LasDeadline, QueueConfig,
+};
 
 fn call(team: &str, weight: u32, program: &str) -> Call<String> {
     Call {
@@ -37,7 +39,7 @@
             running.push(entry.call);
         }
         for call in running {
-            limit.ended(call.cost);
+            limit.release(call.cost);
             // The answers were half as long as estimated.
             queue.settle(&call.team, call.program.as_ref(), call.cost, call.cost / 2, now);
             served.push(call.payload);
--- a/crates/policy/examples/rate_shares.rs
+++ b/crates/policy/examples/rate_shares.rs
@@ -5,8 +5,8 @@
 
 use poplarspan_policy::Name;
 use poplarspan_policy::rate::{
-    Admission, Answer, Limit, MAX_VALIDITY, MIN_VALIDITY, Owners, Share, ShareConfig, Verdict,
-    View, owner_of,
+    Admission, Answer, InstanceBucket, InstanceBucketConfig, Limit, MAX_VALIDITY, MIN_VALIDITY,
+    OwnedBuckets, Verdict, View, owner_of,
 };
 
 const STEP: Duration = Duration::from_millis(5);
@@ -22,9 +22,10 @@
     println!("{owner} owns the bucket of {team}");
 
     // The session is a number that no former process of the instance has used.
-    let mut owners = Owners::new(owner, 1, LEASE, MIN_VALIDITY);
-    owners.observe(&View { epoch: 1, instances: instances.clone() }, Duration::ZERO);
-    let new_share = |name: &Name| Share::new(name.clone(), limit, ShareConfig::default());
+    let mut owners = OwnedBuckets::new(owner, 1, LEASE, MIN_VALIDITY);
+    owners.observe_view(&View { epoch: 1, instances: instances.clone() }, Duration::ZERO);
+    let new_share =
+        |name: &Name| InstanceBucket::new(name.clone(), limit, InstanceBucketConfig::default());
     let mut shares: Vec<_> = instances.iter().map(new_share).collect();
 
     // A new owner grants nothing until all grants of a former one have expired; its bucket is then
--- a/crates/policy/examples/route_calls.rs
+++ b/crates/policy/examples/route_calls.rs
@@ -28,7 +28,7 @@
             service_s: 1.0,
             leaving: false,
         });
-        prefixes.declare(id, CACHE_BLOCKS);
+        prefixes.register(id, CACHE_BLOCKS);
     }
     fleet
 }
@@ -50,17 +50,23 @@
             let prompt_tokens = BLOCK_TOKENS * blocks.len() as u32;
             let group = "chat";
             let (block_tokens, avoid) = (BLOCK_TOKENS, &[]);
-            let req =
-                RouteRequest { group, blocks, block_tokens, prompt_tokens, last: *last, avoid };
+            let req = RouteRequest {
+                group,
+                blocks,
+                block_tokens,
+                prompt_tokens,
+                last_endpoint: *last,
+                excluded: avoid,
+            };
             let choice = chooser.choose(&fleet, &prefixes, &req, &mut rng)?;
             let mut depths = Default::default();
             prefixes.lookup(blocks, &mut depths);
             prefilled += prompt_tokens - BLOCK_TOKENS * depths.get(choice.endpoint);
             total += prompt_tokens;
-            prefixes.dispatched(choice.endpoint, blocks, now);
-            fleet.began(choice.endpoint, now);
+            prefixes.record_dispatch(choice.endpoint, blocks, now);
+            fleet.call_started(choice.endpoint, now);
             now += Duration::from_millis(300);
-            fleet.ended(choice.endpoint, Some(Duration::from_millis(300)), now);
+            fleet.call_ended(choice.endpoint, Some(Duration::from_millis(300)), now);
             *last = Some(choice.endpoint);
         }
     }
--- a/crates/policy/examples/sim/admission.rs
+++ b/crates/policy/examples/sim/admission.rs
@@ -14,15 +14,15 @@
     pub(super) fn arrive(&mut self, call: usize) {
         let team = self.team(call);
         let limit = &self.limits[team];
-        let (level, at) = &mut self.reference[team];
+        let (level, at) = &mut self.reference_buckets[team];
         let accrued = (self.now - *at) as f64 / 1e6 * limit.per_second();
         *level = (*level + accrued).min(f64::from(limit.burst()));
         *at = self.now;
-        let within = *level >= 1.0;
-        *level -= f64::from(u8::from(within));
-        self.calls[call].within = within;
+        let within_rate = *level >= 1.0;
+        *level -= f64::from(u8::from(within_rate));
+        self.calls[call].within_rate = within_rate;
         self.measures.calls += 1;
-        self.measures.calls_within_rate += u64::from(within);
+        self.measures.calls_within_rate += u64::from(within_rate);
         let (i, group) = (self.calls[call].instance, self.calls[call].group);
         let deadline = self.now + DEADLINE_US[group];
         match self.instances[i].shares[team].acquire(us(deadline), us(self.now)) {
@@ -32,7 +32,7 @@
             }
             Admission::Wait(ticket) => {
                 self.tickets.insert((i, team, ticket), call);
-                self.at(deadline, Event::Expire(i, team));
+                self.schedule(deadline, Event::Expire(i, team));
             }
         }
         self.schedule_poll(i, team);
@@ -44,7 +44,7 @@
         let at = (at.as_micros() as u64 + 1).max(self.now);
         if this.polls[team].is_none_or(|scheduled| at < scheduled) {
             this.polls[team] = Some(at);
-            self.at(at, Event::Poll(i, team));
+            self.schedule(at, Event::Poll(i, team));
         }
     }
 
@@ -56,14 +56,14 @@
         if let Some(ask) = self.instances[i].shares[team].poll(us(self.now)) {
             if self.policy == Policy::LocalLimits {
                 let id = GrantId { session: 1, number: self.sequence };
-                let grant = self.local[i][team].request(id, &ask, us(self.now));
+                let grant = self.local_buckets[i][team].request(id, &ask, us(self.now));
                 let decided = self.instances[i].shares[team].on_grant(ask.id, &grant, us(self.now));
                 self.decide(i, team, decided);
             } else {
                 let owner = self.instances[i].owners.owner(&self.teams[team]).expect("an owner");
                 let to: usize = owner[1..].parse().expect("a number");
                 let at = self.now + if to == i { 0 } else { self.delay(i, to) };
-                self.at(at, Event::Ask(to, i, team, ask));
+                self.schedule(at, Event::RequestTokens(to, i, team, ask));
             }
         }
         self.schedule_poll(i, team);
@@ -82,7 +82,7 @@
     }
 
     pub(super) fn refused(&mut self, call: usize, retry_after: u64) {
-        self.measures.refused_within_rate += u64::from(self.calls[call].within);
+        self.measures.refused_within_rate += u64::from(self.calls[call].within_rate);
         let (chain, group) = (self.calls[call].chain, self.calls[call].group);
         self.call(chain, group, retry_after.max(100_000));
     }
@@ -100,10 +100,10 @@
             payload: call,
         };
         self.instances[instance].push(group, team, queued, self.now);
-        self.pump(instance, group);
+        self.dispatch_queued(instance, group);
     }
 
-    pub(super) fn pump(&mut self, i: usize, group: usize) {
+    pub(super) fn dispatch_queued(&mut self, i: usize, group: usize) {
         for entry in self.instances[i].queues[group].expire(us(self.now)) {
             self.refused(entry.call.payload, 100_000);
         }
@@ -122,12 +122,13 @@
                 return;
             };
             let id = EndpointId(endpoint as u32);
-            this.fleet.began(id, us(self.now));
-            this.prefixes.dispatched(id, blocks, us(self.now));
+            this.fleet.call_started(id, us(self.now));
+            this.prefixes.record_dispatch(id, blocks, us(self.now));
             let third = (self.scenario.duration_s * 1e6 / 3.0) as u64;
-            let away = START_US + third + 2_000_000..START_US + 2 * third;
-            if self.scenario.zone_leaves && away.contains(&self.now) {
-                self.measures.to_zone_out += u64::from(self.endpoints[endpoint].zone == 0);
+            let outage = START_US + third + 2_000_000..START_US + 2 * third;
+            if self.scenario.zone_outage && outage.contains(&self.now) {
+                self.measures.calls_to_disabled_zone +=
+                    u64::from(self.endpoints[endpoint].zone == 0);
             }
             self.calls[call].endpoint = endpoint;
             self.calls[call].dispatched = self.now;
@@ -137,7 +138,7 @@
                 self.calls[call].priority = self.instances[i].priority(team, name, cost, self.now);
             }
             let at = self.now + self.delay(i, self.endpoints[endpoint].zone);
-            self.at(at, Event::AtEndpoint(call));
+            self.schedule(at, Event::AtEndpoint(call));
         }
     }
 }
--- a/crates/policy/examples/sim/instance.rs
+++ b/crates/policy/examples/sim/instance.rs
@@ -7,7 +7,7 @@
 use poplarspan_policy::route::*;
 
 use super::endpoint::Endpoint;
-use super::workload::{BLOCK_TOKENS, TEAM_PARTS};
+use super::workload::{BLOCK_TOKENS, TEAM_LOAD_FRACTIONS};
 use super::{Policy, us};
 
 /// Groups of endpoints.
@@ -30,8 +30,8 @@
     pub priorities: Priorities,
     /// How far the wall clock is ahead of that of the first instance.
     pub clock_ahead_us: u64,
-    pub shares: Vec<Share>,
-    pub owners: Owners,
+    pub shares: Vec<InstanceBucket>,
+    pub owners: OwnedBuckets,
     pub names: Vec<Name>,
     /// Time of the next poll of each share that is already scheduled.
     pub polls: Vec<Option<u64>>,
@@ -40,20 +40,21 @@
 impl Instance {
     pub fn new(
         policy: Policy,
-        at: usize,
+        index: usize,
         zone: usize,
         instances: &[Name],
         endpoints: &[Endpoint],
         teams: &[Limit],
     ) -> Self {
-        let me = &instances[at];
+        let name = &instances[index];
         let ours = matches!(policy, Policy::Ours | Policy::RoutingOnly);
         let chooser: Box<dyn Chooser> = match policy {
             Policy::RoundRobin => Box::new(RoundRobin::default()),
             _ if ours => {
                 // With priorities, the bound for teams beyond their part is in `next`.
-                let group_fill = if policy == Policy::Ours { PRIORITY_FILL } else { 1.0 };
-                let cfg = CostConfig { group_fill, ..CostConfig::default() };
+                let max_group_load_factor =
+                    if policy == Policy::Ours { PRIORITY_LOAD_FACTOR } else { 1.0 };
+                let cfg = CostConfig { max_group_load_factor, ..CostConfig::default() };
                 Box::new(CostChooser::new(format!("z{zone}").into(), cfg))
             }
             _ => Box::new(LeastConnections),
@@ -73,24 +74,28 @@
             fleet: Fleet::new(),
             prefixes: PrefixIndex::new(200_000),
             chooser,
-            ramps: Ramps::new(me.clone(), us(LEASE_US)),
+            ramps: Ramps::new(name.clone(), us(LEASE_US)),
             queues: [queue(), queue()],
             limits: [FixedLimit::new(in_flight), FixedLimit::new(u32::MAX)],
             priorities: Priorities::new(PriorityConfig::default()),
-            clock_ahead_us: at as u64 * CLOCK_SKEW_US,
+            clock_ahead_us: index as u64 * CLOCK_SKEW_US,
             shares: Vec::new(),
-            owners: Owners::new(me.clone(), at as u64 + 1, us(LEASE_US), MIN_VALIDITY),
+            owners: OwnedBuckets::new(name.clone(), index as u64 + 1, us(LEASE_US), MIN_VALIDITY),
             names: (0..endpoints.len()).map(|i| Name::from(format!("e{i:02}"))).collect(),
-            polls: vec![None; TEAM_PARTS.len()],
+            polls: vec![None; TEAM_LOAD_FRACTIONS.len()],
         };
         let view = View { epoch: 1, instances: instances.to_vec() };
-        this.owners.observe(&view, us(0));
+        this.owners.observe_view(&view, us(0));
         this.ramps.observe_view(&view, us(0));
         for (i, endpoint) in endpoints.iter().enumerate() {
             this.declare(i, endpoint);
         }
         for limit in teams {
-            this.shares.push(Share::new(me.clone(), *limit, ShareConfig::default()));
+            this.shares.push(InstanceBucket::new(
+                name.clone(),
+                *limit,
+                InstanceBucketConfig::default(),
+            ));
         }
         this
     }
@@ -107,7 +112,7 @@
             leaving: false,
         });
         assert_eq!(id.0 as usize, i);
-        self.prefixes.declare(id, endpoint.cache_blocks as u32);
+        self.prefixes.register(id, endpoint.cache_blocks as u32);
         self.ramps.upsert(RampSpec {
             endpoint: self.names[i].clone(),
             group,
@@ -133,7 +138,7 @@
         self.ramps.observe_run(&self.names[i], run, Some(us(uptime)), us(now));
         let cap = self.ramps.cap(&self.names[i], us(now));
         self.fleet.set_cap(id, cap.map(|c| c.own));
-        self.fleet.set_total(id, cap.map(|c| c.total));
+        self.fleet.set_capacity_limit(id, cap.map(|c| c.total));
     }
 
     pub fn push(&mut self, group: usize, team: usize, call: Call<usize>, now: u64) {
@@ -147,10 +152,12 @@
     /// Takes the next call. Teams within their part may wait at the engines, whose priorities put
     /// them first; the others wait here until there is room.
     pub fn next(&mut self, group: usize, now: u64) -> Option<Entry<usize>> {
-        let all = self.policy != Policy::Ours || group == 1 || self.fleet.fill(GROUPS[group]) < 1.0;
+        let all = self.policy != Policy::Ours
+            || group == 1
+            || self.fleet.load_factor(GROUPS[group]) < 1.0;
         let priorities = &self.priorities;
-        let may = |team: &Name| all || priorities.within_part(team);
-        self.queues[group].pop_where(&mut self.limits[group], us(now), may)
+        let eligible = |team: &Name| all || priorities.is_within_share(team);
+        self.queues[group].pop_where(&mut self.limits[group], us(now), eligible)
     }
 
     /// Priority of a call to an engine that is being dispatched; zero when the policy sends none.
@@ -173,12 +180,19 @@
         let last = last.map(|i| EndpointId(i as u32));
         let block_tokens = BLOCK_TOKENS;
         let group = GROUPS[group];
-        let req = RouteRequest { group, blocks, block_tokens, prompt_tokens, last, avoid: &[] };
+        let req = RouteRequest {
+            group,
+            blocks,
+            block_tokens,
+            prompt_tokens,
+            last_endpoint: last,
+            excluded: &[],
+        };
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &req, rng)?;
         Ok(choice.endpoint.0 as usize)
     }
 }
 
 fn weight_of(team: usize) -> u32 {
-    (100.0 * TEAM_PARTS[team]) as u32
+    (100.0 * TEAM_LOAD_FRACTIONS[team]) as u32
 }
--- a/crates/policy/examples/sim/mod.rs
+++ b/crates/policy/examples/sim/mod.rs
@@ -61,7 +61,7 @@
     /// This team sends five times its programs, and is limited to the rate of five times.
     pub greedy: Option<usize>,
     /// Zone 0 is out from a third to two thirds of the run, and returns with cold endpoints.
-    pub zone_leaves: bool,
+    pub zone_outage: bool,
 }
 
 /// Results of a run.
@@ -81,9 +81,9 @@
     pub refused_within_rate: u64,
     pub calls: u64,
     /// Calls dispatched to the zone that is out, later than 2 s after it was taken out.
-    pub to_zone_out: u64,
+    pub calls_to_disabled_zone: u64,
     /// 95th percentile of model call latency while the zone is away, in seconds.
-    pub call_p95_away_s: f64,
+    pub outage_call_p95_s: f64,
 }
 
 impl Measures {
--- a/crates/policy/examples/sim/workload.rs
+++ b/crates/policy/examples/sim/workload.rs
@@ -7,7 +7,7 @@
 pub const BLOCK_TOKENS: u32 = 128;
 
 /// Teams; the first ones are the large ones.
-pub const TEAM_PARTS: [f64; 8] = [0.3, 0.22, 0.16, 0.1, 0.08, 0.06, 0.05, 0.03];
+pub const TEAM_LOAD_FRACTIONS: [f64; 8] = [0.3, 0.22, 0.16, 0.1, 0.08, 0.06, 0.05, 0.03];
 
 /// One turn: a model call, then a tool call to a plain service.
 #[derive(Clone, Debug)]
@@ -28,12 +28,12 @@
 }
 
 /// Exponentially distributed number, at least `least`.
-pub fn exponential(rng: &mut StdRng, mean: f64, least: f64) -> f64 {
-    (-mean * (1.0 - rng.random::<f64>()).ln()).max(least)
+pub fn exponential(rng: &mut StdRng, mean: f64, min: f64) -> f64 {
+    (-mean * (1.0 - rng.random::<f64>()).ln()).max(min)
 }
 
-fn turns(rng: &mut StdRng, mean: f64, most: usize, depth: usize) -> Vec<Turn> {
-    let count = (exponential(rng, mean, 1.0) as usize).clamp(1, most);
+fn turns(rng: &mut StdRng, mean: f64, max_turns: usize, depth: usize) -> Vec<Turn> {
+    let count = (exponential(rng, mean, 1.0) as usize).clamp(1, max_turns);
     (0..count)
         .map(|_| {
             let children = if depth == 0 && rng.random_bool(0.04) {
@@ -52,13 +52,13 @@
 }
 
 /// Seconds that the turns occupy a slot of an endpoint when everything but new tokens is cached.
-pub fn work_s(turns: &[Turn], prefill_per_s: f64, token_s: f64) -> f64 {
+pub fn busy_seconds(turns: &[Turn], prefill_per_s: f64, token_s: f64) -> f64 {
     turns
         .iter()
         .map(|t| {
             let own =
                 f64::from(t.new_tokens) / prefill_per_s + f64::from(t.output_tokens) * token_s;
-            own + t.children.iter().map(|c| work_s(c, prefill_per_s, token_s)).sum::<f64>()
+            own + t.children.iter().map(|c| busy_seconds(c, prefill_per_s, token_s)).sum::<f64>()
         })
         .sum()
 }
@@ -76,14 +76,14 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let sample = 4000;
     let mean = (0..sample)
-        .map(|_| work_s(&turns(&mut rng, 9.0, 54, 0), prefill_per_s, token_s))
+        .map(|_| busy_seconds(&turns(&mut rng, 9.0, 54, 0), prefill_per_s, token_s))
         .sum::<f64>()
         / f64::from(sample);
     let mut programs = Vec::new();
-    for (team, part) in TEAM_PARTS.iter().enumerate() {
+    for (team, fraction) in TEAM_LOAD_FRACTIONS.iter().enumerate() {
         // Own generators, so that the programs of one team do not depend on those of another.
         let mut rng = StdRng::seed_from_u64(seed ^ (team as u64 + 1) << 32);
-        let per_s = slots_busy * part * factors[team] / mean;
+        let per_s = slots_busy * fraction * factors[team] / mean;
         let mut at = exponential(&mut rng, 1.0 / per_s, 0.0);
         while at < duration_s {
             let turns = turns(&mut rng, 9.0, 54, 0);
--- a/crates/policy/examples/sim/world.rs
+++ b/crates/policy/examples/sim/world.rs
@@ -11,13 +11,13 @@
 
 use super::endpoint::{Endpoint, Work};
 use super::instance::Instance;
-use super::workload::{self, BLOCK_TOKENS, Program, TEAM_PARTS, Turn};
+use super::workload::{self, BLOCK_TOKENS, Program, TEAM_LOAD_FRACTIONS, Turn};
 use super::{Deployment, Measures, Policy, Scenario, us};
 
 const INSTANCES: usize = 8;
 /// Programs start after this time, when rate owners have started.
 pub(super) const START_US: u64 = 10_000_000;
-const SLOTS: u32 = 16;
+const MODEL_SLOTS: u32 = 16;
 const SERVICE_SLOTS: u32 = 8;
 const PREFILL_PER_S: f64 = 20_000.0;
 const TOKEN_S: f64 = 0.015;
@@ -43,7 +43,7 @@
     pub(super) group: usize,
     pub(super) instance: usize,
     pub(super) arrived: u64,
-    pub(super) within: bool,
+    pub(super) within_rate: bool,
     pub(super) endpoint: usize,
     pub(super) dispatched: u64,
     pub(super) priority: i64,
@@ -54,7 +54,7 @@
     Arrive(usize),
     Poll(usize, usize),
     Expire(usize, usize),
-    Ask(usize, usize, usize, Ask),
+    RequestTokens(usize, usize, usize, TokenRequest),
     Grant(usize, usize, u64, Answer),
     AtEndpoint(usize),
     Done(usize),
@@ -81,19 +81,19 @@
     pub(super) events: BTreeMap<(u64, u64), Event>,
     pub(super) sequence: u64,
     pub(super) programs: Vec<Program>,
-    pub(super) open_measured: usize,
+    pub(super) unfinished_measured: usize,
     pub(super) chains: Vec<Chain>,
     pub(super) calls: Vec<Call>,
     pub(super) endpoints: Vec<Endpoint>,
     pub(super) cache_events: Vec<u64>,
     pub(super) instances: Vec<Instance>,
-    pub(super) local: Vec<Vec<OwnerBucket>>,
+    pub(super) local_buckets: Vec<Vec<OwnerBucket>>,
     pub(super) tickets: HashMap<(usize, usize, Ticket), usize>,
     pub(super) limits: Vec<Limit>,
-    pub(super) reference: Vec<(f64, u64)>,
+    pub(super) reference_buckets: Vec<(f64, u64)>,
     pub(super) teams: Vec<Name>,
-    pub(super) seen: HashSet<u64>,
-    pub(super) away_us: Vec<u64>,
+    pub(super) prefilled_blocks: HashSet<u64>,
+    pub(super) outage_latencies_us: Vec<u64>,
     pub(super) measures: Measures,
 }
 
@@ -104,7 +104,7 @@
 
 impl World {
     pub fn new(deployment: &Deployment, policy: Policy, scenario: &Scenario) -> Self {
-        let slots = f64::from(SLOTS) * deployment.models as f64;
+        let slots = f64::from(MODEL_SLOTS) * deployment.models as f64;
         let token_s = TOKEN_S * (1.0 + 0.5 * scenario.load);
         let mut factors = [1.0; 8];
         if let Some(greedy) = scenario.greedy {
@@ -125,7 +125,7 @@
         let endpoints: Vec<Endpoint> = (0..deployment.models + deployment.services)
             .map(|i| {
                 let service = i >= deployment.models;
-                let capacity = if service { SERVICE_SLOTS } else { SLOTS };
+                let capacity = if service { SERVICE_SLOTS } else { MODEL_SLOTS };
                 let mut e = Endpoint::new(i % deployment.zones, capacity, PREFILL_PER_S, TOKEN_S);
                 if service {
                     e.cache_blocks = 0;
@@ -149,18 +149,18 @@
             now: 0,
             events: BTreeMap::new(),
             sequence: 0,
-            open_measured: 0,
+            unfinished_measured: 0,
             chains: Vec::new(),
             calls: Vec::new(),
             cache_events: vec![0; endpoints.len()],
             instances,
-            local: (0..INSTANCES).map(|_| limits.iter().map(full).collect()).collect(),
+            local_buckets: (0..INSTANCES).map(|_| limits.iter().map(full).collect()).collect(),
             tickets: HashMap::new(),
-            reference: limits.iter().map(|l| (f64::from(l.burst()), 0)).collect(),
+            reference_buckets: limits.iter().map(|l| (f64::from(l.burst()), 0)).collect(),
             limits,
-            teams: (0..TEAM_PARTS.len()).map(|t| Name::from(format!("t{t}"))).collect(),
-            seen: HashSet::new(),
-            away_us: Vec::new(),
+            teams: (0..TEAM_LOAD_FRACTIONS.len()).map(|t| Name::from(format!("t{t}"))).collect(),
+            prefilled_blocks: HashSet::new(),
+            outage_latencies_us: Vec::new(),
             measures: Measures::default(),
             programs,
             endpoints,
@@ -171,20 +171,20 @@
 
     fn prepare(&mut self) {
         for i in 0..self.programs.len() {
-            self.at(START_US + self.programs[i].arrival_us, Event::Start(i));
-            self.open_measured += usize::from(self.is_measured(i));
+            self.schedule(START_US + self.programs[i].arrival_us, Event::Start(i));
+            self.unfinished_measured += usize::from(self.is_measured(i));
         }
         for e in 0..self.endpoints.len() {
             let at = START_US / 2 + REPORT_US * e as u64 / self.endpoints.len() as u64;
-            self.at(at, Event::Tick(e));
+            self.schedule(at, Event::Tick(e));
         }
-        if self.scenario.zone_leaves {
+        if self.scenario.zone_outage {
             let third = (self.scenario.duration_s * 1e6 / 3.0) as u64;
             for (at, out) in [(third, true), (2 * third, false)] {
-                self.at(START_US + at, Event::Zone(None, out));
+                self.schedule(START_US + at, Event::Zone(None, out));
                 for i in 0..INSTANCES {
                     let lag = self.rng.random_range(0..1_000_000);
-                    self.at(START_US + at + lag, Event::Zone(Some(i), out));
+                    self.schedule(START_US + at + lag, Event::Zone(Some(i), out));
                 }
             }
         }
@@ -195,7 +195,7 @@
         (0.2..0.6).contains(&part)
     }
 
-    pub(super) fn at(&mut self, time: u64, event: Event) {
+    pub(super) fn schedule(&mut self, time: u64, event: Event) {
         self.sequence += 1;
         self.events.insert((time.max(self.now), self.sequence), event);
     }
@@ -211,16 +211,18 @@
         let duration = START_US + (self.scenario.duration_s * 1e6) as u64;
         while let Some(((now, _), event)) = self.events.pop_first() {
             self.now = now;
-            if now > end || now > duration && self.open_measured == 0 {
+            if now > end || now > duration && self.unfinished_measured == 0 {
                 break;
             }
             self.handle(event);
         }
-        self.measures.unfinished = self.open_measured;
+        self.measures.unfinished = self.unfinished_measured;
         self.measures.latencies_s.sort_by(f64::total_cmp);
-        self.away_us.sort();
-        let at = (self.away_us.len() * 95 / 100).min(self.away_us.len().saturating_sub(1));
-        self.measures.call_p95_away_s = self.away_us.get(at).map_or(0.0, |n| *n as f64 / 1e6);
+        self.outage_latencies_us.sort();
+        let at = (self.outage_latencies_us.len() * 95 / 100)
+            .min(self.outage_latencies_us.len().saturating_sub(1));
+        self.measures.outage_call_p95_s =
+            self.outage_latencies_us.get(at).map_or(0.0, |n| *n as f64 / 1e6);
         self.measures
     }
 
@@ -233,11 +235,11 @@
                 let decided = self.instances[i].shares[team].expire(us(self.now));
                 self.decide(i, team, decided);
             }
-            Event::Ask(to, from, team, ask) => {
+            Event::RequestTokens(to, from, team, ask) => {
                 let (limit, now) = (self.limits[team], us(self.now));
                 let answer = self.instances[to].owners.request(&self.teams[team], limit, &ask, now);
                 let at = self.now + self.delay(to, from);
-                self.at(at, Event::Grant(from, team, ask.id, answer));
+                self.schedule(at, Event::Grant(from, team, ask.id, answer));
             }
             Event::Grant(i, team, ask, answer) => {
                 let Answer::Granted(grant) = answer else { panic!("owners have started") };
@@ -250,7 +252,7 @@
             Event::Answered(call) => self.answered(call),
             Event::Tick(e) => self.tick(e),
             Event::Report(report) => self.report(&report),
-            Event::Zone(instance, out) => self.zone(instance, out),
+            Event::Zone(instance, out) => self.set_zone_out(instance, out),
         }
     }
 
@@ -292,17 +294,17 @@
 
     fn ended(&mut self, chain: usize) {
         if let Some(parent) = self.chains[chain].parent {
-            return self.part_ended(parent);
+            return self.subtask_ended(parent);
         }
         let program = self.chains[chain].program;
         if self.is_measured(program) {
             let took = self.now - START_US - self.programs[program].arrival_us;
             self.measures.latencies_s.push(took as f64 / 1e6);
-            self.open_measured -= 1;
+            self.unfinished_measured -= 1;
         }
     }
 
-    fn part_ended(&mut self, chain: usize) {
+    fn subtask_ended(&mut self, chain: usize) {
         let c = &mut self.chains[chain];
         c.pending -= 1;
         if c.pending == 0 {
@@ -320,12 +322,12 @@
             group,
             instance,
             arrived,
-            within: false,
+            within_rate: false,
             endpoint: 0,
             dispatched: 0,
             priority: 0,
         });
-        self.at(arrived, Event::Arrive(self.calls.len() - 1));
+        self.schedule(arrived, Event::Arrive(self.calls.len() - 1));
     }
 
     fn at_endpoint(&mut self, call: usize) {
@@ -354,13 +356,13 @@
         while let Some(started) = self.endpoints[endpoint].start(self.now) {
             for block in started.prefilled_blocks {
                 let tokens = u64::from(BLOCK_TOKENS);
-                if self.seen.insert(block) {
+                if self.prefilled_blocks.insert(block) {
                     self.measures.needed_tokens += tokens;
                 } else {
                     self.measures.wasted_tokens += tokens;
                 }
             }
-            self.at(started.ends_us, Event::Done(started.call));
+            self.schedule(started.ends_us, Event::Done(started.call));
         }
     }
 
@@ -373,12 +375,12 @@
             c.last = Some(endpoint);
             self.extend(chain);
             let blocks = &self.chains[chain].blocks;
-            self.seen.extend(blocks);
+            self.prefilled_blocks.extend(blocks);
             let e = &mut self.endpoints[endpoint];
             e.cache.store(blocks, e.cache_blocks);
         }
         let at = self.now + self.delay(self.endpoints[endpoint].zone, instance);
-        self.at(at, Event::Answered(call));
+        self.schedule(at, Event::Answered(call));
         self.start_queued(endpoint);
     }
 
@@ -386,16 +388,16 @@
         let Call { chain, group, endpoint, instance, dispatched, arrived, .. } = self.calls[call];
         let (now, id) = (us(self.now), EndpointId(endpoint as u32));
         let this = &mut self.instances[instance];
-        this.fleet.ended(id, Some(us(self.now - dispatched)), now);
-        use poplarspan_policy::fair::InFlight;
-        this.limits[group].ended(0);
-        self.pump(instance, group);
+        this.fleet.call_ended(id, Some(us(self.now - dispatched)), now);
+        use poplarspan_policy::fair::InFlightLimit;
+        this.limits[group].release(0);
+        self.dispatch_queued(instance, group);
         if group == 1 {
-            return self.part_ended(chain);
+            return self.subtask_ended(chain);
         }
         let third = (self.scenario.duration_s * 1e6 / 3.0) as u64;
         if (START_US + third..START_US + 2 * third).contains(&arrived) {
-            self.away_us.push(self.now - arrived);
+            self.outage_latencies_us.push(self.now - arrived);
         }
         let team = self.team(call);
         let c = &mut self.chains[chain];
@@ -429,22 +431,29 @@
         let taken = us(self.now);
         let lag = self.rng.random_range(100_000..300_000);
         let endpoint = &mut self.endpoints[e];
-        let load =
-            LoadReport { running: endpoint.running, queued: endpoint.queue.len() as u32, taken };
+        let load = LoadReport {
+            running: endpoint.running,
+            queued: endpoint.queue.len() as u32,
+            measured_at: taken,
+        };
         let mut events = Vec::new();
         let stored = std::mem::take(&mut endpoint.cache.stored);
         let removed = std::mem::take(&mut endpoint.cache.removed);
         for change in [CacheChange::Stored(stored), CacheChange::Removed(removed)] {
             self.cache_events[e] += 1;
             if !self.rng.random_bool(0.02) {
-                events.push(CacheEvent { sequence: self.cache_events[e], taken, change });
+                events.push(CacheEvent {
+                    sequence: self.cache_events[e],
+                    occurred_at: taken,
+                    change,
+                });
             }
         }
         let uptime = endpoint.uptime_us(self.now) + lag;
         let report = Reported { endpoint: e, load, run: endpoint.run, uptime, events };
         self.start_queued(e);
-        self.at(self.now + lag, Event::Report(Rc::new(report)));
-        self.at(self.now + REPORT_US, Event::Tick(e));
+        self.schedule(self.now + lag, Event::Report(Rc::new(report)));
+        self.schedule(self.now + REPORT_US, Event::Tick(e));
     }
 
     fn report(&mut self, report: &Reported) {
@@ -453,18 +462,18 @@
             let this = &mut self.instances[i];
             this.report(e, &report.load, report.run, report.uptime, self.now);
             for event in &report.events {
-                this.prefixes.event(EndpointId(e as u32), event);
+                this.prefixes.apply_event(EndpointId(e as u32), event);
             }
-            self.pump(i, usize::from(e >= self.deployment.models));
+            self.dispatch_queued(i, usize::from(e >= self.deployment.models));
         }
     }
 
-    fn zone(&mut self, instance: Option<usize>, out: bool) {
+    fn set_zone_out(&mut self, instance: Option<usize>, out: bool) {
         match instance {
             Some(i) => {
                 self.instances[i].fleet.set_zone_out(&"z0".into(), out);
-                self.pump(i, 0);
-                self.pump(i, 1);
+                self.dispatch_queued(i, 0);
+                self.dispatch_queued(i, 1);
             }
             // Endpoints come back restarted.
             None if !out => {
--- a/crates/policy/src/starts.rs
+++ b/crates/policy/src/cold_start.rs
@@ -14,41 +14,47 @@
 
 /// Place of an instance among those that share the bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct InstanceRank {
     /// From 0, below `of`.
     pub rank: u32,
     /// Number of instances, at least 1.
-    pub of: u32,
+    pub count: u32,
 }
 
 /// Counts the starts of one instance at one endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct StartGate {
+pub struct StartLimiter {
     starts: VecDeque<Duration>,
 }
 
-impl StartGate {
+impl StartLimiter {
     /// Whether one more call may start. `offset` spreads the instances that may use an endpoint, and
     /// is the same number for an endpoint at all instances.
-    pub fn is_open(&mut self, per_second: f64, place: Place, offset: u32, now: Duration) -> bool {
+    pub fn allows(
+        &mut self,
+        per_second: f64,
+        rank: InstanceRank,
+        offset: u32,
+        now: Duration,
+    ) -> bool {
         while self.starts.front().is_some_and(|at| now >= *at + WINDOW) {
             self.starts.pop_front();
         }
-        let part = own_part(per_second, place, offset);
-        u32::try_from(self.starts.len()).is_ok_and(|n| n < part)
+        let limit = instance_limit(per_second, rank, offset);
+        u32::try_from(self.starts.len()).is_ok_and(|n| n < limit)
     }
 
     /// Counts a start.
-    pub fn start(&mut self, now: Duration) {
+    pub fn record_start(&mut self, now: Duration) {
         self.starts.push_back(now);
     }
 }
 
 /// Starts a second that the instance may make; the parts of all instances sum up to at most
 /// `per_second`.
-fn own_part(per_second: f64, place: Place, offset: u32) -> u32 {
+fn instance_limit(per_second: f64, rank: InstanceRank, offset: u32) -> u32 {
     let whole = per_second.max(0.0) as u32;
-    let of = place.of.max(1);
-    let turn = (place.rank % of + offset % of) % of;
-    whole / of + u32::from(turn < whole % of)
+    let count = rank.count.max(1);
+    let position = (rank.rank % count + offset % count) % count;
+    whole / count + u32::from(position < whole % count)
 }
--- a/crates/policy/src/containment.rs
+++ b/crates/policy/src/containment.rs
@@ -7,7 +7,7 @@
 //!
 //! To keep a resent request from a third endpoint, the instance that saw a crash neither runs the
 //! request again nor answers its caller before every live instance has the record
-//! ([`Containment::is_settled`]): an instance either acknowledges it or has lost its membership
+//! ([`Containment::is_replicated`]): an instance either acknowledges it or has lost its membership
 //! lease, so this ends after one lease duration at the latest. Copies that a caller sent in parallel
 //! before the first crash was known cannot be stopped this way.
 //!
@@ -21,10 +21,10 @@
 use std::fmt;
 
 use crate::Name;
-use crate::check::invariant;
+use crate::invariants::check_invariant;
 
 /// Endpoints after which a request is refused.
-pub const MAX_ENDPOINTS: usize = 2;
+pub const MAX_CRASHED_ENDPOINTS: usize = 2;
 
 /// Digest of the route and body of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -65,10 +65,10 @@
 pub enum Admission {
     /// Anywhere.
     Anywhere,
-    /// On one more endpoint, through [`Containment::begin_suspect`]; not on these.
-    OneMore(Vec<Name>),
+    /// On one more endpoint, through [`Containment::reserve_endpoint`]; not on these.
+    Excluding(Vec<Name>),
     /// Not before other instances know of its last crash; ask again soon.
-    NotYet,
+    Pending,
     /// Nowhere; it has crashed two endpoints.
     Refused,
 }
@@ -79,20 +79,20 @@
     /// Records kept.
     pub max_records: usize,
     /// Age after which a record is dropped.
-    pub keep_ms: u64,
+    pub retention_ms: u64,
 }
 
 impl Default for ContainmentConfig {
     fn default() -> Self {
-        Self { max_records: 16_384, keep_ms: 7 * 24 * 3600 * 1000 }
+        Self { max_records: 16_384, retention_ms: 7 * 24 * 3600 * 1000 }
     }
 }
 
 #[derive(Debug)]
-struct Unsettled {
+struct PendingRecord {
     fingerprint: Fingerprint,
     endpoint: Name,
-    waiting: Vec<Name>,
+    missing_peers: Vec<Name>,
 }
 
 /// Records of crashes, sorted by fingerprint and endpoint.
@@ -101,14 +101,14 @@
     cfg: ContainmentConfig,
     records: Vec<Crash>,
     /// Own records that some live instances have not acknowledged yet.
-    unsettled: Vec<Unsettled>,
-    suspects: Vec<(Name, Fingerprint)>,
+    pending_records: Vec<PendingRecord>,
+    reservations: Vec<(Name, Fingerprint)>,
 }
 
 impl Containment {
     /// Returns an empty table.
     pub fn new(cfg: ContainmentConfig) -> Self {
-        Self { cfg, records: Vec::new(), unsettled: Vec::new(), suspects: Vec::new() }
+        Self { cfg, records: Vec::new(), pending_records: Vec::new(), reservations: Vec::new() }
     }
 
     /// All records, to be sent to an instance that has none.
@@ -120,12 +120,16 @@
     /// them is sent the record until it acknowledges ([`Containment::unacknowledged`]).
     pub fn record(&mut self, crash: Crash, peers: &[Name], now_ms: u64) {
         let (fingerprint, endpoint) = (crash.fingerprint, crash.endpoint.clone());
-        self.end_suspect(&endpoint, fingerprint);
+        self.release_endpoint(&endpoint, fingerprint);
         self.insert(crash);
-        self.bound(now_ms);
-        self.unsettled.retain(|u| (u.fingerprint, &u.endpoint) != (fingerprint, &endpoint));
+        self.evict(now_ms);
+        self.pending_records.retain(|r| (r.fingerprint, &r.endpoint) != (fingerprint, &endpoint));
         if !peers.is_empty() {
-            self.unsettled.push(Unsettled { fingerprint, endpoint, waiting: peers.to_vec() });
+            self.pending_records.push(PendingRecord {
+                fingerprint,
+                endpoint,
+                missing_peers: peers.to_vec(),
+            });
         }
     }
 
@@ -133,41 +137,41 @@
     pub fn merge(&mut self, records: &[Crash], now_ms: u64) -> usize {
         let before = self.records.len();
         for crash in records {
-            if crash.at_ms.saturating_add(self.cfg.keep_ms) > now_ms {
+            if crash.at_ms.saturating_add(self.cfg.retention_ms) > now_ms {
                 self.insert(crash.clone());
             }
         }
         let new = self.records.len() - before;
-        self.bound(now_ms);
+        self.evict(now_ms);
         new
     }
 
     /// Notes that `peer` has these records. An acknowledgement names records, since that of an
     /// earlier record of a request says nothing of a later one.
-    pub fn acknowledged(&mut self, peer: &Name, records: &[Crash]) {
-        self.unsettled.retain_mut(|u| {
-            let named = |c: &Crash| c.fingerprint == u.fingerprint && c.endpoint == u.endpoint;
+    pub fn acknowledge(&mut self, peer: &Name, records: &[Crash]) {
+        self.pending_records.retain_mut(|r| {
+            let named = |c: &Crash| c.fingerprint == r.fingerprint && c.endpoint == r.endpoint;
             if records.iter().any(named) {
-                u.waiting.retain(|name| name != peer);
+                r.missing_peers.retain(|name| name != peer);
             }
-            !u.waiting.is_empty()
+            !r.missing_peers.is_empty()
         });
     }
 
     /// Notes the instances of a new view: those that are missing have lost their lease.
     pub fn observe_view(&mut self, instances: &[Name]) {
-        self.unsettled.retain_mut(|u| {
-            u.waiting.retain(|name| instances.contains(name));
-            !u.waiting.is_empty()
+        self.pending_records.retain_mut(|r| {
+            r.missing_peers.retain(|name| instances.contains(name));
+            !r.missing_peers.is_empty()
         });
     }
 
     /// Records of this instance that `peer` has not acknowledged yet; to be sent until it does.
     pub fn unacknowledged(&self, peer: &Name) -> Vec<Crash> {
         let waits = |c: &Crash| {
-            self.unsettled.iter().any(|u| {
-                (c.fingerprint, &c.endpoint) == (u.fingerprint, &u.endpoint)
-                    && u.waiting.contains(peer)
+            self.pending_records.iter().any(|r| {
+                (c.fingerprint, &c.endpoint) == (r.fingerprint, &r.endpoint)
+                    && r.missing_peers.contains(peer)
             })
         };
         self.records.iter().filter(|c| waits(c)).cloned().collect()
@@ -175,42 +179,46 @@
 
     /// Whether all live instances have this instance's records of `fingerprint`. Only then may its
     /// caller be answered or the request run again.
-    pub fn is_settled(&self, fingerprint: Fingerprint) -> bool {
-        self.unsettled.iter().all(|u| u.fingerprint != fingerprint)
+    pub fn is_replicated(&self, fingerprint: Fingerprint) -> bool {
+        self.pending_records.iter().all(|r| r.fingerprint != fingerprint)
     }
 
     /// Whether and where a request may run.
     pub fn admission(&self, fingerprint: Fingerprint, now_ms: u64) -> Admission {
-        let alive = |c: &&Crash| c.at_ms.saturating_add(self.cfg.keep_ms) > now_ms;
-        let endpoints: Vec<Name> =
-            self.of(fingerprint).iter().filter(alive).map(|c| c.endpoint.clone()).collect();
+        let is_current = |c: &&Crash| c.at_ms.saturating_add(self.cfg.retention_ms) > now_ms;
+        let endpoints: Vec<Name> = self
+            .records_of(fingerprint)
+            .iter()
+            .filter(is_current)
+            .map(|c| c.endpoint.clone())
+            .collect();
         match endpoints.len() {
             0 => Admission::Anywhere,
             // A refusal is an answer too: the caller may resend to an instance without the record.
-            _ if !self.is_settled(fingerprint) => Admission::NotYet,
-            n if n >= MAX_ENDPOINTS => Admission::Refused,
-            _ if self.suspects.iter().any(|(_, running)| *running == fingerprint) => {
-                Admission::NotYet
+            _ if !self.is_replicated(fingerprint) => Admission::Pending,
+            n if n >= MAX_CRASHED_ENDPOINTS => Admission::Refused,
+            _ if self.reservations.iter().any(|(_, running)| *running == fingerprint) => {
+                Admission::Pending
             }
-            _ => Admission::OneMore(endpoints),
+            _ => Admission::Excluding(endpoints),
         }
     }
 
-    /// Reserves `endpoint` for a request with [`Admission::OneMore`]; false when it is taken.
-    pub fn begin_suspect(&mut self, endpoint: &Name, fingerprint: Fingerprint) -> bool {
-        let taken = self.suspects.iter().any(|(e, f)| e == endpoint || *f == fingerprint);
+    /// Reserves `endpoint` for a request with [`Admission::Excluding`]; false when it is taken.
+    pub fn reserve_endpoint(&mut self, endpoint: &Name, fingerprint: Fingerprint) -> bool {
+        let taken = self.reservations.iter().any(|(e, f)| e == endpoint || *f == fingerprint);
         if !taken {
-            self.suspects.push((endpoint.clone(), fingerprint));
+            self.reservations.push((endpoint.clone(), fingerprint));
         }
         !taken
     }
 
     /// Ends the reservation.
-    pub fn end_suspect(&mut self, endpoint: &str, fingerprint: Fingerprint) {
-        self.suspects.retain(|(e, f)| **e != *endpoint || *f != fingerprint);
+    pub fn release_endpoint(&mut self, endpoint: &str, fingerprint: Fingerprint) {
+        self.reservations.retain(|(e, f)| **e != *endpoint || *f != fingerprint);
     }
 
-    fn of(&self, fingerprint: Fingerprint) -> &[Crash] {
+    fn records_of(&self, fingerprint: Fingerprint) -> &[Crash] {
         let from = self.records.partition_point(|c| c.fingerprint < fingerprint);
         let to = self.records.partition_point(|c| c.fingerprint <= fingerprint);
         &self.records[from..to]
@@ -227,12 +235,12 @@
 
     /// Drops old records, and when too many are left, the oldest of requests with one endpoint
     /// before those of refused requests.
-    fn bound(&mut self, now_ms: u64) {
-        let keep_ms = self.cfg.keep_ms;
-        self.records.retain(|c| c.at_ms.saturating_add(keep_ms) > now_ms);
+    fn evict(&mut self, now_ms: u64) {
+        let retention_ms = self.cfg.retention_ms;
+        self.records.retain(|c| c.at_ms.saturating_add(retention_ms) > now_ms);
         let excess = self.records.len().saturating_sub(self.cfg.max_records);
         if excess > 0 {
-            let refused = |c: &Crash| self.of(c.fingerprint).len() >= MAX_ENDPOINTS;
+            let refused = |c: &Crash| self.records_of(c.fingerprint).len() >= MAX_CRASHED_ENDPOINTS;
             let mut ages: Vec<_> =
                 self.records.iter().map(|c| (refused(c), c.at_ms, c.clone())).collect();
             ages.sort();
@@ -241,7 +249,7 @@
             kept.sort();
             self.records = kept;
         }
-        invariant(
+        check_invariant(
             self.records.len() <= self.cfg.max_records,
             "containment: the table is within its bound",
         );
--- a/crates/policy/src/departures.rs
+++ b/crates/policy/src/departures.rs
@@ -11,7 +11,7 @@
 
 /// One start of an endpoint, as a list names it.
 #[derive(Clone, Copy, Debug)]
-pub struct Start<'a> {
+pub struct EndpointRun<'a> {
     /// Name of the endpoint.
     pub name: &'a str,
     /// Time of the start in milliseconds since 1970, if the list says it.
@@ -23,7 +23,7 @@
     name: Name,
     started_ms: Option<u64>,
     /// Counts up, to find the first one.
-    number: u64,
+    sequence: u64,
 }
 
 /// What endpoints have said of their departure.
@@ -31,22 +31,22 @@
 pub struct Departures {
     // Sorted by name.
     entries: Vec<Departure>,
-    next_number: u64,
+    next_sequence: u64,
 }
 
 impl Departures {
     /// Takes note that a start of an endpoint is about to end.
-    pub fn note(&mut self, name: &Name, started_ms: Option<u64>) {
-        let number = self.next_number;
-        self.next_number += 1;
-        let entry = Departure { name: name.clone(), started_ms, number };
+    pub fn record(&mut self, name: &Name, started_ms: Option<u64>) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        let entry = Departure { name: name.clone(), started_ms, sequence };
         match self.find(name) {
             Ok(at) => self.entries[at] = entry,
             Err(at) => {
                 self.entries.insert(at, entry);
                 if self.entries.len() > MAX_DEPARTURES
                     && let Some(first) =
-                        (0..self.entries.len()).min_by_key(|at| self.entries[*at].number)
+                        (0..self.entries.len()).min_by_key(|at| self.entries[*at].sequence)
                 {
                     self.entries.remove(first);
                 }
@@ -55,14 +55,14 @@
     }
 
     /// Whether a start of an endpoint has said that it is about to end.
-    pub fn includes(&self, start: Start<'_>) -> bool {
+    pub fn contains(&self, start: EndpointRun<'_>) -> bool {
         self.find(start.name).is_ok_and(|at| self.entries[at].started_ms == start.started_ms)
     }
 
     /// Follows a list, sorted by name: forgets the departures of endpoints that have started again.
     /// Where starts have no time, an endpoint that was absent from a list has started again when it
     /// is back.
-    pub fn follow(&mut self, listed: &[Start<'_>]) {
+    pub fn reconcile(&mut self, listed: &[EndpointRun<'_>]) {
         self.entries.retain(|entry| {
             let at = listed.binary_search_by(|s| s.name.cmp(&entry.name));
             match at {
--- a/crates/policy/src/fair/mod.rs
+++ b/crates/policy/src/fair/mod.rs
@@ -23,8 +23,8 @@
 
 use std::time::Duration;
 
-pub use order::{Fcfs, Las, LasDeadline, Pending, ProgramOrder};
-pub use priority::{PRIORITY_FILL, Priorities, PriorityConfig};
+pub use order::{Fcfs, Las, LasDeadline, PendingCall, ProgramOrder};
+pub use priority::{PRIORITY_LOAD_FACTOR, Priorities, PriorityConfig};
 pub use queue::{FairQueue, QueueConfig};
 
 use crate::Name;
@@ -63,7 +63,7 @@
 
 /// Why a call was not queued.
 #[derive(Debug, thiserror::Error)]
-pub enum Full<T> {
+pub enum QueueFull<T> {
     /// The team has as many calls waiting as it may.
     #[error("too many calls of the team are waiting")]
     Team(Call<T>),
@@ -75,13 +75,13 @@
 /// How many more calls a group of endpoints can take from this instance now.
 ///
 /// The queue asks before it hands out a call and reports each call that it hands out.
-pub trait InFlight {
+pub trait InFlightLimit {
     /// Whether one more call can be dispatched.
     fn has_room(&self, now: Duration) -> bool;
     /// Notes that a call of estimated `cost` is being dispatched.
-    fn began(&mut self, cost: u64);
+    fn acquire(&mut self, cost: u64);
     /// Notes that a call of estimated `cost` has ended.
-    fn ended(&mut self, cost: u64);
+    fn release(&mut self, cost: u64);
 }
 
 /// A constant limit on calls in flight.
@@ -98,7 +98,7 @@
     }
 
     /// Changes the limit; calls in flight above it go on.
-    pub fn set(&mut self, limit: u32) {
+    pub fn set_limit(&mut self, limit: u32) {
         self.limit = limit;
     }
 
@@ -108,21 +108,21 @@
     }
 }
 
-impl InFlight for FixedLimit {
+impl InFlightLimit for FixedLimit {
     fn has_room(&self, _now: Duration) -> bool {
         self.in_flight < self.limit
     }
 
-    fn began(&mut self, _cost: u64) {
+    fn acquire(&mut self, _cost: u64) {
         self.in_flight += 1;
     }
 
-    fn ended(&mut self, _cost: u64) {
+    fn release(&mut self, _cost: u64) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
 
 /// Root of a program path.
-pub fn root_of(program: &str) -> &str {
+pub fn root_program(program: &str) -> &str {
     program.split('/').next().unwrap_or(program)
 }
--- a/crates/policy/src/fair/order.rs
+++ b/crates/policy/src/fair/order.rs
@@ -4,7 +4,7 @@
 
 /// What an ordering knows of a call when it arrives.
 #[derive(Clone, Copy, Debug)]
-pub struct Pending {
+pub struct PendingCall {
     /// When it arrived.
     pub queued_at: Duration,
     /// When its caller gives up.
@@ -18,7 +18,7 @@
 /// Order of the calls of one team.
 pub trait ProgramOrder: Send {
     /// Returns the key of a call; the lowest key is served first, equal keys in order of arrival.
-    fn key(&self, call: &Pending) -> u64;
+    fn key(&self, call: &PendingCall) -> u64;
 }
 
 /// First come, first served. The baseline.
@@ -26,7 +26,7 @@
 pub struct Fcfs;
 
 impl ProgramOrder for Fcfs {
-    fn key(&self, _call: &Pending) -> u64 {
+    fn key(&self, _call: &PendingCall) -> u64 {
         0
     }
 }
@@ -39,7 +39,7 @@
 pub struct Las;
 
 impl ProgramOrder for Las {
-    fn key(&self, call: &Pending) -> u64 {
+    fn key(&self, call: &PendingCall) -> u64 {
         call.attained
     }
 }
@@ -70,13 +70,13 @@
 }
 
 impl ProgramOrder for LasDeadline {
-    fn key(&self, call: &Pending) -> u64 {
-        let times = |d: Duration, n: u64| Duration::from_secs_f64(d.as_secs_f64() * n as f64);
-        let due = call.queued_at + times(self.per_token, call.attained).min(self.max_delay);
+    fn key(&self, call: &PendingCall) -> u64 {
+        let scale = |d: Duration, n: u64| Duration::from_secs_f64(d.as_secs_f64() * n as f64);
+        let due_at = call.queued_at + scale(self.per_token, call.attained).min(self.max_delay);
         // Half of the remaining time is left for estimates that prove too low.
-        let needed = times(self.service_per_token, call.cost).min(self.max_delay);
+        let needed = scale(self.service_per_token, call.cost).min(self.max_delay);
         let slack = call.deadline.saturating_sub(call.queued_at + needed) / 2;
-        let latest = call.queued_at + slack;
-        u64::try_from(due.min(latest).as_nanos()).unwrap_or(u64::MAX)
+        let latest_at = call.queued_at + slack;
+        u64::try_from(due_at.min(latest_at).as_nanos()).unwrap_or(u64::MAX)
     }
 }
--- a/crates/policy/src/fair/priority.rs
+++ b/crates/policy/src/fair/priority.rs
@@ -20,7 +20,7 @@
 //!
 //! The wait in the queue of the instance is the larger part: each instance sees few calls of a small
 //! team, and two of them in a row wait for one another there. So teams within their part, give or
-//! take `tolerance`, may be dispatched until the group of endpoints is at [`PRIORITY_FILL`] times
+//! take `tolerance`, may be dispatched until the group of endpoints is at [`PRIORITY_LOAD_FACTOR`] times
 //! its capacity, and only the others wait for a fill below 1 ([`super::FairQueue::pop_where`]). A
 //! team alone has an excess of 1 and is not held back.
 //!
@@ -33,14 +33,14 @@
 use crate::Name;
 
 /// Tokens of decayed service below which a team no longer counts as active.
-const FORGET_TOKENS: f64 = 1.0;
+const MIN_ACTIVE_TOKENS: f64 = 1.0;
 
 /// Calls at a group of engines that honour priorities, as a multiple of its capacity, above which
 /// all calls wait in the queue of the instance.
-pub const PRIORITY_FILL: f32 = 1.5;
+pub const PRIORITY_LOAD_FACTOR: f32 = 1.5;
 
 /// Sweeps per half-life; between sweeps service does not decay.
-const SWEEPS: u32 = 16;
+const DECAY_STEPS_PER_HALF_LIFE: u32 = 16;
 
 /// Settings of [`Priorities`].
 #[derive(Clone, Copy, Debug)]
@@ -68,14 +68,14 @@
 #[derive(Debug, Default)]
 pub struct Priorities {
     cfg: PriorityConfig,
-    teams: HashMap<Name, Recent>,
-    tokens: f64,
-    weights: f64,
-    swept: Duration,
+    teams: HashMap<Name, TeamUsage>,
+    total_tokens: f64,
+    total_weight: f64,
+    decayed_at: Duration,
 }
 
 #[derive(Debug)]
-struct Recent {
+struct TeamUsage {
     tokens: f64,
     weight: f64,
 }
@@ -96,13 +96,14 @@
         now: Duration,
         unix: Duration,
     ) -> i64 {
-        self.sweep(now);
+        self.decay(now);
         let weight = f64::from(weight.max(1));
-        let recent = self.teams.entry(team.clone()).or_insert(Recent { tokens: 0.0, weight: 0.0 });
-        self.weights += weight - recent.weight;
-        recent.weight = weight;
-        recent.tokens += cost as f64;
-        self.tokens += cost as f64;
+        let usage =
+            self.teams.entry(team.clone()).or_insert(TeamUsage { tokens: 0.0, weight: 0.0 });
+        self.total_weight += weight - usage.weight;
+        usage.weight = weight;
+        usage.tokens += cost as f64;
+        self.total_tokens += cost as f64;
         let excess = self.excess(team);
         let delay = self.cfg.max_delay.mul_f64(1.0 - 1.0 / excess.max(1.0));
         i64::try_from((unix + delay).as_millis()).unwrap_or(i64::MAX)
@@ -110,46 +111,46 @@
 
     /// Corrects the count for a call that was estimated at `estimated` and cost `actual` tokens.
     pub fn settle(&mut self, team: &str, estimated: u64, actual: u64) {
-        let Some(recent) = self.teams.get_mut(team) else { return };
+        let Some(usage) = self.teams.get_mut(team) else { return };
         // Part of the estimate may have decayed already.
-        let change = (actual as f64 - estimated as f64).max(-recent.tokens);
-        recent.tokens += change;
-        self.tokens += change;
+        let change = (actual as f64 - estimated as f64).max(-usage.tokens);
+        usage.tokens += change;
+        self.total_tokens += change;
     }
 
     /// Part of `team` in the recent service, divided by its part in the weights of active teams.
     pub fn excess(&self, team: &str) -> f64 {
-        let Some(recent) = self.teams.get(team) else { return 0.0 };
-        if self.tokens <= 0.0 {
+        let Some(usage) = self.teams.get(team) else { return 0.0 };
+        if self.total_tokens <= 0.0 {
             return 0.0;
         }
-        recent.tokens / self.tokens * self.weights / recent.weight
+        usage.tokens / self.total_tokens * self.total_weight / usage.weight
     }
 
     /// Whether calls of `team` may wait at the engines and not only in the queue of the instance.
-    pub fn within_part(&self, team: &str) -> bool {
+    pub fn is_within_share(&self, team: &str) -> bool {
         self.excess(team) <= self.cfg.tolerance
     }
 
     /// Teams whose service is counted.
-    pub fn active(&self) -> usize {
+    pub fn active_teams(&self) -> usize {
         self.teams.len()
     }
 
-    fn sweep(&mut self, now: Duration) {
-        let elapsed = now.saturating_sub(self.swept);
-        if elapsed < self.cfg.half_life / SWEEPS {
+    fn decay(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.decayed_at);
+        if elapsed < self.cfg.half_life / DECAY_STEPS_PER_HALF_LIFE {
             return;
         }
-        self.swept = now;
+        self.decayed_at = now;
         let half_lives = elapsed.as_secs_f64() / self.cfg.half_life.as_secs_f64();
         let kept = (-half_lives).exp2();
-        self.teams.retain(|_, recent| {
-            recent.tokens *= kept;
-            recent.tokens >= FORGET_TOKENS
+        self.teams.retain(|_, usage| {
+            usage.tokens *= kept;
+            usage.tokens >= MIN_ACTIVE_TOKENS
         });
         // Summed anew, so that rounding does not accumulate.
-        self.tokens = self.teams.values().map(|r| r.tokens).sum();
-        self.weights = self.teams.values().map(|r| r.weight).sum();
+        self.total_tokens = self.teams.values().map(|r| r.tokens).sum();
+        self.total_weight = self.teams.values().map(|r| r.weight).sum();
     }
 }
--- a/crates/policy/src/fair/queue.rs
+++ b/crates/policy/src/fair/queue.rs
@@ -4,8 +4,8 @@
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-use super::service::Attained;
-use super::{Call, Entry, Full, InFlight, Pending, ProgramOrder, QueueId};
+use super::service::AttainedService;
+use super::{Call, Entry, InFlightLimit, PendingCall, ProgramOrder, QueueFull, QueueId};
 use crate::Name;
 
 /// Tag units per token at weight 1; keeps divisions by the weight exact to a thousandth of a token.
@@ -26,7 +26,7 @@
     /// Root programs whose attained service is remembered.
     pub max_programs: usize,
     /// Time without calls after which a root program's attained service is forgotten.
-    pub forget_after: Duration,
+    pub program_ttl: Duration,
 }
 
 impl Default for QueueConfig {
@@ -36,7 +36,7 @@
             max_total: 65_536,
             max_wait: Duration::from_secs(120),
             max_programs: 65_536,
-            forget_after: Duration::from_secs(3600),
+            program_ttl: Duration::from_secs(3600),
         }
     }
 }
@@ -52,21 +52,21 @@
     backlog: BTreeSet<(u128, Name)>,
     virtual_time: u128,
     max_finish: u128,
-    index: HashMap<QueueId, (Name, u64)>,
-    expiry: BTreeSet<(Duration, QueueId)>,
-    attained: Attained,
+    calls_by_id: HashMap<QueueId, (Name, u64)>,
+    expirations: BTreeSet<(Duration, QueueId)>,
+    attained: AttainedService,
     next_id: u64,
 }
 
 struct Team<T> {
     weight: u32,
-    start: u128,
-    calls: BTreeMap<(u64, QueueId), Slot<T>>,
+    start_tag: u128,
+    calls: BTreeMap<(u64, QueueId), QueuedCall<T>>,
 }
 
-struct Slot<T> {
+struct QueuedCall<T> {
     entry: Entry<T>,
-    expires: Duration,
+    expires_at: Duration,
 }
 
 impl<T> FairQueue<T> {
@@ -79,21 +79,21 @@
             backlog: BTreeSet::new(),
             virtual_time: 0,
             max_finish: 0,
-            index: HashMap::new(),
-            expiry: BTreeSet::new(),
-            attained: Attained::new(cfg.max_programs, cfg.forget_after),
+            calls_by_id: HashMap::new(),
+            expirations: BTreeSet::new(),
+            attained: AttainedService::new(cfg.max_programs, cfg.program_ttl),
             next_id: 0,
         }
     }
 
     /// Calls that wait.
     pub fn len(&self) -> usize {
-        self.index.len()
+        self.calls_by_id.len()
     }
 
     /// Whether no call waits.
     pub fn is_empty(&self) -> bool {
-        self.index.is_empty()
+        self.calls_by_id.is_empty()
     }
 
     /// Calls of `team` that wait.
@@ -111,12 +111,12 @@
     /// # Errors
     ///
     /// Returns the call when its team or the whole queue has as many waiting as it may.
-    pub fn push(&mut self, call: Call<T>, now: Duration) -> Result<QueueId, Full<T>> {
-        if self.index.len() >= self.cfg.max_total {
-            return Err(Full::Queue(call));
+    pub fn push(&mut self, call: Call<T>, now: Duration) -> Result<QueueId, QueueFull<T>> {
+        if self.calls_by_id.len() >= self.cfg.max_total {
+            return Err(QueueFull::Queue(call));
         }
         if self.team_len(&call.team) >= self.cfg.max_per_team {
-            return Err(Full::Team(call));
+            return Err(QueueFull::Team(call));
         }
         let id = QueueId(self.next_id);
         self.next_id += 1;
@@ -126,7 +126,7 @@
 
     /// Takes the next call, if `limits` has room for it. Calls whose wait has ended are left to
     /// [`FairQueue::expire`].
-    pub fn pop(&mut self, limits: &mut dyn InFlight, now: Duration) -> Option<Entry<T>> {
+    pub fn pop(&mut self, limits: &mut dyn InFlightLimit, now: Duration) -> Option<Entry<T>> {
         self.pop_where(limits, now, |_| true)
     }
 
@@ -134,9 +134,9 @@
     /// teams are passed over and keep their place.
     pub fn pop_where(
         &mut self,
-        limits: &mut dyn InFlight,
+        limits: &mut dyn InFlightLimit,
         now: Duration,
-        may: impl Fn(&Name) -> bool,
+        eligible: impl Fn(&Name) -> bool,
     ) -> Option<Entry<T>> {
         if !limits.has_room(now) {
             return None;
@@ -149,29 +149,30 @@
                 Some(last) => self.backlog.range((Excluded(last), Unbounded)).next()?,
             }
             .clone();
-            if !may(&name) {
+            if !eligible(&name) {
                 after = Some((tag, name));
                 continue;
             }
             let at = self.find(&name).expect("a backlogged team is in the table");
             let calls = &self.teams[at].1.calls;
-            let Some(key) = calls.iter().find(|(_, s)| s.expires > now).map(|(key, _)| *key) else {
+            let Some(key) = calls.iter().find(|(_, s)| s.expires_at > now).map(|(key, _)| *key)
+            else {
                 after = Some((tag, name));
                 continue;
             };
-            let entry = self.take(at, key, true);
-            limits.began(entry.call.cost);
+            let entry = self.remove_call(at, key, true);
+            limits.acquire(entry.call.cost);
             return Some(entry);
         }
     }
 
     /// Puts a call back that [`FairQueue::pop`] returned but that could not be dispatched. Undoes
     /// the charge to its team; it goes before equal calls.
-    pub fn put_back(&mut self, entry: Entry<T>, limits: &mut dyn InFlight, now: Duration) {
-        limits.ended(entry.call.cost);
+    pub fn put_back(&mut self, entry: Entry<T>, limits: &mut dyn InFlightLimit, now: Duration) {
+        limits.release(entry.call.cost);
         let (team, cost) = (entry.call.team.clone(), entry.call.cost);
         if let Some(program) = &entry.call.program {
-            self.attained.sub(&team, program, cost);
+            self.attained.subtract(&team, program, cost);
         }
         self.insert(entry, now);
         self.charge(&team, -i128::from(cost));
@@ -179,11 +180,11 @@
 
     /// Removes a call whose caller has gone.
     pub fn remove(&mut self, id: QueueId) -> Option<Entry<T>> {
-        let (team, key) = self.index.get(&id)?.clone();
+        let (team, key) = self.calls_by_id.get(&id)?.clone();
         let at = self.find(&team)?;
-        let entry = self.take(at, (key, id), false);
+        let entry = self.remove_call(at, (key, id), false);
         if let Some(program) = &entry.call.program {
-            self.attained.sub(&team, program, entry.call.cost);
+            self.attained.subtract(&team, program, entry.call.cost);
         }
         Some(entry)
     }
@@ -191,11 +192,11 @@
     /// Removes the calls whose deadline or longest wait has passed.
     pub fn expire(&mut self, now: Duration) -> Vec<Entry<T>> {
         let mut expired = Vec::new();
-        while let Some((at, id)) = self.expiry.first().copied().filter(|(at, _)| *at <= now) {
+        while let Some((at, id)) = self.expirations.first().copied().filter(|(at, _)| *at <= now) {
             match self.remove(id) {
                 Some(entry) => expired.push(entry),
                 None => {
-                    self.expiry.remove(&(at, id));
+                    self.expirations.remove(&(at, id));
                 }
             }
         }
@@ -204,13 +205,13 @@
 
     /// When [`FairQueue::expire`] next has something to remove.
     pub fn next_expiry(&self) -> Option<Duration> {
-        self.expiry.first().map(|(at, _)| *at)
+        self.expirations.first().map(|(at, _)| *at)
     }
 
     /// Removes the calls for which `gone` holds, for example those of a withdrawn key.
-    pub fn remove_where(&mut self, mut gone: impl FnMut(&Call<T>) -> bool) -> Vec<Entry<T>> {
-        let slots = self.teams.iter().flat_map(|(_, team)| team.calls.values());
-        let ids: Vec<_> = slots.filter(|s| gone(&s.entry.call)).map(|s| s.entry.id).collect();
+    pub fn remove_where(&mut self, mut matches: impl FnMut(&Call<T>) -> bool) -> Vec<Entry<T>> {
+        let queued = self.teams.iter().flat_map(|(_, team)| team.calls.values());
+        let ids: Vec<_> = queued.filter(|s| matches(&s.entry.call)).map(|s| s.entry.id).collect();
         ids.into_iter().filter_map(|id| self.remove(id)).collect()
     }
 
@@ -224,7 +225,7 @@
         now: Duration,
     ) {
         if let Some(program) = program {
-            self.attained.sub(team, program, estimated);
+            self.attained.subtract(team, program, estimated);
             self.attained.add(team, program, actual, now);
         }
         self.charge(team, i128::from(actual) - i128::from(estimated));
@@ -233,7 +234,7 @@
     fn insert(&mut self, entry: Entry<T>, now: Duration) {
         let call = &entry.call;
         let attained = call.program.as_ref().map_or(0, |p| self.attained.get(&call.team, p));
-        let key = self.order.key(&Pending {
+        let key = self.order.key(&PendingCall {
             queued_at: entry.queued_at,
             deadline: call.deadline,
             cost: call.cost,
@@ -242,36 +243,37 @@
         if let Some(program) = &call.program {
             self.attained.add(&call.team, program, call.cost, now);
         }
-        let expires = call.deadline.min(entry.queued_at + self.cfg.max_wait);
+        let expires_at = call.deadline.min(entry.queued_at + self.cfg.max_wait);
         let at = self.find_or_add(&call.team);
         let (name, team) = &mut self.teams[at];
         team.weight = call.weight.max(1);
         if team.calls.is_empty() {
-            team.start = team.start.max(self.virtual_time);
-            self.backlog.insert((team.start, name.clone()));
+            team.start_tag = team.start_tag.max(self.virtual_time);
+            self.backlog.insert((team.start_tag, name.clone()));
         }
-        self.index.insert(entry.id, (name.clone(), key));
-        self.expiry.insert((expires, entry.id));
-        team.calls.insert((key, entry.id), Slot { entry, expires });
+        self.calls_by_id.insert(entry.id, (name.clone(), key));
+        self.expirations.insert((expires_at, entry.id));
+        team.calls.insert((key, entry.id), QueuedCall { entry, expires_at });
     }
 
     /// Removes a call from its team, which is charged for it when it is `served`.
-    fn take(&mut self, at: usize, key: (u64, QueueId), served: bool) -> Entry<T> {
+    fn remove_call(&mut self, at: usize, key: (u64, QueueId), served: bool) -> Entry<T> {
         let (name, team) = &mut self.teams[at];
-        let Slot { entry, expires } = team.calls.remove(&key).expect("the call is in its team");
-        self.index.remove(&entry.id);
-        self.expiry.remove(&(expires, entry.id));
-        let old = team.start;
+        let QueuedCall { entry, expires_at } =
+            team.calls.remove(&key).expect("the call is in its team");
+        self.calls_by_id.remove(&entry.id);
+        self.expirations.remove(&(expires_at, entry.id));
+        let old = team.start_tag;
         if served {
             // A team whose calls had all expired was passed over and may be behind.
             self.virtual_time = self.virtual_time.max(old);
-            team.start += u128::from(entry.call.cost) * TAG_SCALE / u128::from(team.weight);
-            self.max_finish = self.max_finish.max(team.start);
+            team.start_tag += u128::from(entry.call.cost) * TAG_SCALE / u128::from(team.weight);
+            self.max_finish = self.max_finish.max(team.start_tag);
         }
         if served || team.calls.is_empty() {
             self.backlog.remove(&(old, name.clone()));
             if !team.calls.is_empty() {
-                self.backlog.insert((team.start, name.clone()));
+                self.backlog.insert((team.start_tag, name.clone()));
             }
         }
         if self.backlog.is_empty() {
@@ -284,13 +286,13 @@
     fn charge(&mut self, name: &Name, tokens: i128) {
         let Some(at) = self.find(name) else { return };
         let team = &mut self.teams[at].1;
-        let old = team.start;
+        let old = team.start_tag;
         let step = tokens.unsigned_abs() * TAG_SCALE / u128::from(team.weight);
-        team.start = if tokens < 0 { old.saturating_sub(step) } else { old + step };
-        team.start = team.start.max(self.virtual_time);
-        self.max_finish = self.max_finish.max(team.start);
+        team.start_tag = if tokens < 0 { old.saturating_sub(step) } else { old + step };
+        team.start_tag = team.start_tag.max(self.virtual_time);
+        self.max_finish = self.max_finish.max(team.start_tag);
         if self.backlog.remove(&(old, name.clone())) {
-            self.backlog.insert((team.start, name.clone()));
+            self.backlog.insert((team.start_tag, name.clone()));
         }
     }
 
@@ -305,10 +307,10 @@
         if self.teams.len() >= 2 * self.backlog.len() + MAX_IDLE_TEAMS {
             // A team that is behind the virtual time would start there anyway.
             let now = self.virtual_time;
-            self.teams.retain(|(_, team)| !team.calls.is_empty() || team.start > now);
+            self.teams.retain(|(_, team)| !team.calls.is_empty() || team.start_tag > now);
         }
         let at = self.teams.partition_point(|(name, _)| name < team);
-        let new = Team { weight: 1, start: self.virtual_time, calls: BTreeMap::new() };
+        let new = Team { weight: 1, start_tag: self.virtual_time, calls: BTreeMap::new() };
         self.teams.insert(at, (team.clone(), new));
         at
     }
--- a/crates/policy/src/fair/service.rs
+++ b/crates/policy/src/fair/service.rs
@@ -3,33 +3,33 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use super::root_of;
+use super::root_program;
 use crate::Name;
 
 /// Attained service per (team, root program), bounded in number and forgotten after a time.
 #[derive(Debug)]
-pub(super) struct Attained {
+pub(super) struct AttainedService {
     programs: HashMap<(Name, Name), Program>,
     /// Candidates for removal, oldest first; a candidate seen since is queued again.
-    oldest: VecDeque<(Name, Name)>,
+    eviction_order: VecDeque<(Name, Name)>,
     max_programs: usize,
-    forget_after: Duration,
+    program_ttl: Duration,
 }
 
 #[derive(Debug)]
 struct Program {
     tokens: u64,
-    seen: Duration,
-    checked: Duration,
+    last_used: Duration,
+    last_checked: Duration,
 }
 
-impl Attained {
-    pub(super) fn new(max_programs: usize, forget_after: Duration) -> Self {
+impl AttainedService {
+    pub(super) fn new(max_programs: usize, program_ttl: Duration) -> Self {
         Self {
             programs: HashMap::new(),
-            oldest: VecDeque::new(),
+            eviction_order: VecDeque::new(),
             max_programs: max_programs.max(1),
-            forget_after,
+            program_ttl,
         }
     }
 
@@ -41,44 +41,44 @@
         let key = key(team, program);
         if let Some(p) = self.programs.get_mut(&key) {
             p.tokens = p.tokens.saturating_add(tokens);
-            p.seen = now;
+            p.last_used = now;
             return;
         }
-        self.make_room(now);
-        self.oldest.push_back(key.clone());
-        self.programs.insert(key, Program { tokens, seen: now, checked: now });
+        self.evict(now);
+        self.eviction_order.push_back(key.clone());
+        self.programs.insert(key, Program { tokens, last_used: now, last_checked: now });
     }
 
-    pub(super) fn sub(&mut self, team: &Name, program: &Name, tokens: u64) {
+    pub(super) fn subtract(&mut self, team: &Name, program: &Name, tokens: u64) {
         if let Some(p) = self.programs.get_mut(&key(team, program)) {
             p.tokens = p.tokens.saturating_sub(tokens);
         }
     }
 
     /// Removes a few forgotten programs, and the oldest one if the table is full.
-    fn make_room(&mut self, now: Duration) {
+    fn evict(&mut self, now: Duration) {
         for _ in 0..4 {
             let full = self.programs.len() >= self.max_programs;
-            let Some(key) = self.oldest.pop_front() else { return };
+            let Some(key) = self.eviction_order.pop_front() else { return };
             let p = self.programs.get_mut(&key).expect("each candidate is in the table");
-            let idle = now.saturating_sub(p.seen) >= self.forget_after;
-            let unchanged = p.seen <= p.checked;
+            let idle = now.saturating_sub(p.last_used) >= self.program_ttl;
+            let unchanged = p.last_used <= p.last_checked;
             if idle || full && unchanged {
                 self.programs.remove(&key);
             } else {
-                p.checked = now.max(p.seen);
-                self.oldest.push_back(key);
+                p.last_checked = now.max(p.last_used);
+                self.eviction_order.push_back(key);
             }
         }
         while self.programs.len() >= self.max_programs {
-            let Some(key) = self.oldest.pop_front() else { return };
+            let Some(key) = self.eviction_order.pop_front() else { return };
             self.programs.remove(&key);
         }
     }
 }
 
 fn key(team: &Name, program: &Name) -> (Name, Name) {
-    let root = root_of(program);
+    let root = root_program(program);
     let root = if root.len() == program.len() { program.clone() } else { Name::from(root) };
     (team.clone(), root)
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,7 +5,7 @@
 //! * [`fair`]: fair queueing between teams and ordering of programs within a team.
 //! * [`route`]: choice of an endpoint, with the baselines round robin and least connections.
 //! * [`ramp`]: load of endpoints that have just started.
-//! * [`starts`]: bound on the calls that start at a cold endpoint in a second.
+//! * [`cold_start`]: bound on the calls that start at a cold endpoint in a second.
 //! * [`retry`]: budget for retries.
 //! * [`containment`]: requests that crash the endpoints that run them, known by all instances.
 //! * [`quarantine`]: the same, decided by a leader that all instances lease from.
@@ -67,10 +67,11 @@
 //! assert_eq!(served, [1, 3], "one of each team");
 //! ```
 
-mod check;
+pub mod cold_start;
 pub mod containment;
 pub mod departures;
 pub mod fair;
+mod invariants;
 pub mod placement;
 pub mod quarantine;
 pub mod quota;
@@ -78,11 +79,10 @@
 pub mod rate;
 pub mod retry;
 pub mod route;
-pub mod starts;
 
 use std::sync::Arc;
 
-pub use check::violations;
+pub use invariants::invariant_violations;
 
 /// Name of a team, instance, program or endpoint.
 pub type Name = Arc<str>;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,9 +1,9 @@
 //! Placement of models on endpoints: load orders follow demand.
 //!
 //! Per model, the demand (unit: calls in flight and waiting) divided by the capacity of one
-//! endpoint at [`PlacementConfig::target_fill`] gives the number of endpoints that should hold it,
+//! endpoint at [`PlacementConfig::target_utilization`] gives the number of endpoints that should hold it,
 //! at least one. Loads are paced by the rate of the weight store (unit: bytes per second). A model
-//! that holds more endpoints than it needs for [`PlacementConfig::settle`] is drained from one of
+//! that holds more endpoints than it needs for [`PlacementConfig::scale_in_delay`] is drained from one of
 //! them, and unloaded only when no call runs there.
 //!
 //! Every order carries a fencing number that is higher than that of any earlier order: the term of
@@ -21,13 +21,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementConfig {
     /// Part of the capacity that demand should use.
-    pub target_fill: f64,
+    pub target_utilization: f64,
     /// Rate of the weight store in bytes per second.
     pub store_bytes_per_s: f64,
     /// Bytes that may be requested from the store at once.
     pub store_burst_bytes: f64,
     /// Time for which an endpoint must be superfluous before it is drained.
-    pub settle: Duration,
+    pub scale_in_delay: Duration,
     /// Time after which a load order that had no effect is repeated.
     pub load_timeout: Duration,
 }
@@ -35,10 +35,10 @@
 impl Default for PlacementConfig {
     fn default() -> Self {
         Self {
-            target_fill: 0.7,
+            target_utilization: 0.7,
             store_bytes_per_s: 1e9,
             store_burst_bytes: 200e9,
-            settle: Duration::from_secs(120),
+            scale_in_delay: Duration::from_secs(120),
             load_timeout: Duration::from_secs(300),
         }
     }
@@ -46,7 +46,7 @@
 
 /// Demand for a model.
 #[derive(Clone, Debug)]
-pub struct Demand {
+pub struct ModelDemand {
     /// The model.
     pub model: Name,
     /// Calls in flight and waiting, smoothed.
@@ -57,7 +57,7 @@
 
 /// A model on a host.
 #[derive(Clone, Debug)]
-pub struct Loaded {
+pub struct LoadedModel {
     /// The model.
     pub model: Name,
     /// Calls of it in flight on the host.
@@ -74,9 +74,9 @@
     /// Models that fit.
     pub max_models: usize,
     /// Models that it holds.
-    pub loaded: Vec<Loaded>,
+    pub loaded: Vec<LoadedModel>,
     /// Whether it may receive new work.
-    pub open: bool,
+    pub available: bool,
 }
 
 /// What an order does.
@@ -100,19 +100,19 @@
     /// What to do.
     pub action: Action,
     /// Fencing number.
-    pub fence: u64,
+    pub fencing_token: u64,
 }
 
 /// Planner of model placement.
 #[derive(Debug)]
 pub struct Placement {
     cfg: PlacementConfig,
-    fence: u64,
-    store_level: f64,
-    updated: Duration,
+    fencing_token: u64,
+    store_bytes_available: f64,
+    updated_at: Duration,
     loading: Vec<(Name, Name, Duration)>,
     draining: Vec<(Name, Name)>,
-    superfluous: Vec<(Name, Duration)>,
+    overprovisioned: Vec<(Name, Duration)>,
 }
 
 impl Placement {
@@ -120,12 +120,12 @@
     pub fn new(cfg: PlacementConfig, term: u32, now: Duration) -> Self {
         Self {
             cfg,
-            fence: u64::from(term) << 32,
-            store_level: 0.0,
-            updated: now,
+            fencing_token: u64::from(term) << 32,
+            store_bytes_available: 0.0,
+            updated_at: now,
             loading: Vec::new(),
             draining: Vec::new(),
-            superfluous: Vec::new(),
+            overprovisioned: Vec::new(),
         }
     }
 
@@ -135,19 +135,21 @@
     }
 
     /// Returns the orders to send now.
-    pub fn plan(&mut self, demand: &[Demand], hosts: &[Host], now: Duration) -> Vec<Order> {
-        let accrued = now.saturating_sub(self.updated).as_secs_f64() * self.cfg.store_bytes_per_s;
-        self.store_level = (self.store_level + accrued).min(self.cfg.store_burst_bytes);
-        self.updated = self.updated.max(now);
+    pub fn plan(&mut self, demand: &[ModelDemand], hosts: &[Host], now: Duration) -> Vec<Order> {
+        let accrued =
+            now.saturating_sub(self.updated_at).as_secs_f64() * self.cfg.store_bytes_per_s;
+        self.store_bytes_available =
+            (self.store_bytes_available + accrued).min(self.cfg.store_burst_bytes);
+        self.updated_at = self.updated_at.max(now);
         let timeout = self.cfg.load_timeout;
-        self.loading.retain(|(e, m, at)| !holds(hosts, e, m) && now < *at + timeout);
-        self.draining.retain(|(e, m)| holds(hosts, e, m));
+        self.loading.retain(|(e, m, at)| !has_model(hosts, e, m) && now < *at + timeout);
+        self.draining.retain(|(e, m)| has_model(hosts, e, m));
         let mut orders = Vec::new();
         self.unload_drained(hosts, &mut orders);
-        let mut by_need: Vec<&Demand> = demand.iter().collect();
-        by_need.sort_by(|a, b| b.calls.total_cmp(&a.calls));
-        for demand in by_need {
-            self.follow(demand, hosts, now, &mut orders);
+        let mut by_demand: Vec<&ModelDemand> = demand.iter().collect();
+        by_demand.sort_by(|a, b| b.calls.total_cmp(&a.calls));
+        for demand in by_demand {
+            self.plan_model(demand, hosts, now, &mut orders);
         }
         orders
     }
@@ -157,47 +159,62 @@
             let host = hosts.iter().find(|h| h.endpoint == endpoint);
             let loaded = host.and_then(|h| h.loaded.iter().find(|l| l.model == model));
             if loaded.is_some_and(|l| l.in_flight == 0) {
-                orders.push(self.order(&endpoint, &model, Action::Unload));
+                orders.push(self.new_order(&endpoint, &model, Action::Unload));
             }
         }
     }
 
-    fn follow(&mut self, demand: &Demand, hosts: &[Host], now: Duration, orders: &mut Vec<Order>) {
+    fn plan_model(
+        &mut self,
+        demand: &ModelDemand,
+        hosts: &[Host],
+        now: Duration,
+        orders: &mut Vec<Order>,
+    ) {
         let model = &demand.model;
         let serving: Vec<&Host> = hosts
             .iter()
-            .filter(|h| h.open && holds(hosts, &h.endpoint, model))
+            .filter(|h| h.available && has_model(hosts, &h.endpoint, model))
             .filter(|h| !self.is_draining(&h.endpoint, model))
             .collect();
         let loading = self.loading.iter().filter(|(_, m, _)| m == model).count();
         let capacity = hosts.iter().map(|h| h.capacity).max().unwrap_or(1).max(1);
-        let per_host = f64::from(capacity) * self.cfg.target_fill;
+        let per_host = f64::from(capacity) * self.cfg.target_utilization;
         let needed = ((demand.calls / per_host).ceil() as usize).max(1);
-        let have = serving.len() + loading;
-        if have < needed {
-            self.superfluous.retain(|(m, _)| m != model);
+        let available = serving.len() + loading;
+        if available < needed {
+            self.overprovisioned.retain(|(m, _)| m != model);
             self.load(demand, hosts, now, orders);
         } else if serving.len() > needed {
             self.scale_in(model, &serving, now, orders);
         } else {
-            self.superfluous.retain(|(m, _)| m != model);
+            self.overprovisioned.retain(|(m, _)| m != model);
         }
     }
 
     /// Orders one load per model and plan, if the weight store's rate allows it.
-    fn load(&mut self, demand: &Demand, hosts: &[Host], now: Duration, orders: &mut Vec<Order>) {
+    fn load(
+        &mut self,
+        demand: &ModelDemand,
+        hosts: &[Host],
+        now: Duration,
+        orders: &mut Vec<Order>,
+    ) {
         // A model larger than the burst is loaded when the store has been idle for the whole burst.
         let cost = demand.bytes.min(self.cfg.store_burst_bytes);
         let busy = |h: &Host| self.loading.iter().filter(|(e, ..)| *e == h.endpoint).count();
         let room = |h: &Host| h.max_models.saturating_sub(h.loaded.len() + busy(h));
         let fits = |h: &&Host| {
-            h.open && busy(h) == 0 && room(h) > 0 && !holds(hosts, &h.endpoint, &demand.model)
+            h.available
+                && busy(h) == 0
+                && room(h) > 0
+                && !has_model(hosts, &h.endpoint, &demand.model)
         };
         let Some(host) = hosts.iter().filter(fits).max_by_key(|h| room(h)) else { return };
-        if self.store_level >= cost {
-            self.store_level -= cost;
+        if self.store_bytes_available >= cost {
+            self.store_bytes_available -= cost;
             let (endpoint, model) = (host.endpoint.clone(), demand.model.clone());
-            orders.push(self.order(&endpoint, &model, Action::Load));
+            orders.push(self.new_order(&endpoint, &model, Action::Load));
             self.loading.push((endpoint, model, now));
         }
     }
@@ -209,29 +226,34 @@
         now: Duration,
         orders: &mut Vec<Order>,
     ) {
-        let Some((_, since)) = self.superfluous.iter().find(|(m, _)| m == model) else {
-            self.superfluous.push((model.clone(), now));
+        let Some((_, since)) = self.overprovisioned.iter().find(|(m, _)| m == model) else {
+            self.overprovisioned.push((model.clone(), now));
             return;
         };
-        if now < *since + self.cfg.settle {
+        if now < *since + self.cfg.scale_in_delay {
             return;
         }
-        self.superfluous.retain(|(m, _)| m != model);
+        self.overprovisioned.retain(|(m, _)| m != model);
         let in_flight = |h: &&&Host| h.loaded.iter().map(|l| l.in_flight).sum::<u32>();
         if let Some(host) = serving.iter().min_by_key(in_flight) {
             self.draining.push((host.endpoint.clone(), model.clone()));
             let endpoint = host.endpoint.clone();
-            orders.push(self.order(&endpoint, model, Action::Drain));
+            orders.push(self.new_order(&endpoint, model, Action::Drain));
         }
     }
 
-    fn order(&mut self, endpoint: &Name, model: &Name, action: Action) -> Order {
-        self.fence += 1;
-        Order { endpoint: endpoint.clone(), model: model.clone(), action, fence: self.fence }
+    fn new_order(&mut self, endpoint: &Name, model: &Name, action: Action) -> Order {
+        self.fencing_token += 1;
+        Order {
+            endpoint: endpoint.clone(),
+            model: model.clone(),
+            action,
+            fencing_token: self.fencing_token,
+        }
     }
 }
 
-fn holds(hosts: &[Host], endpoint: &Name, model: &Name) -> bool {
+fn has_model(hosts: &[Host], endpoint: &Name, model: &Name) -> bool {
     let host = hosts.iter().find(|h| h.endpoint == *endpoint);
     host.is_some_and(|h| h.loaded.iter().any(|l| l.model == *model))
 }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -11,7 +11,7 @@
 //! program come to several instances, so the allocator knows which programs have begun anywhere.
 //!
 //! Over any window, all instances together admit no more than the rate times the window plus the
-//! burst: the shares handed out never exceed [`SHARED_RATE`] and [`SHARED_BURST`] of the limit, and
+//! burst: the shares handed out never exceed [`SHARED_RATE_FRACTION`] and [`SHARED_BURST_FRACTION`] of the limit, and
 //! the reserve has what is left. A share that shrinks counts as held until its instance reports the
 //! smaller one or its lease has run out. Growing a share never adds tokens, only room for them.
 //!
@@ -27,36 +27,36 @@
 use crate::rate::Limit;
 
 /// Part of a team's rate that instances may hold as shares.
-pub const SHARED_RATE: f64 = 0.8;
+pub const SHARED_RATE_FRACTION: f64 = 0.8;
 /// Part of a team's burst that instances may hold as shares.
-pub const SHARED_BURST: f64 = 0.5;
+pub const SHARED_BURST_FRACTION: f64 = 0.5;
 /// Share of an instance as a part of what the team asks of it. The rest is borrowed: a share that is
 /// always used up wastes no token, and what instances ask for beyond theirs is averaged over all.
-const SHARED_DEMAND: f64 = 0.7;
+const SHARE_DEMAND_FRACTION: f64 = 0.7;
 /// Burst of a share, as the time in which the instance's demand would use it up.
-const BURST_S: f64 = 0.5;
+const SHARE_BURST_SECONDS: f64 = 0.5;
 /// Smallest burst of the share of an instance that is asked at all, in tokens.
-const MIN_BURST: f64 = 2.0;
+const MIN_SHARE_BURST_TOKENS: f64 = 2.0;
 /// Part of a team's rate that the programs under way may be expected to use when one more begins.
-const BEGIN_BELOW: f64 = 0.95;
+const ADMIT_RATE_FRACTION: f64 = 0.95;
 /// A program may also begin while this part of the reserve's burst is unused.
-const BEGIN_FILL: f64 = 0.6;
+const ADMIT_RESERVE_FRACTION: f64 = 0.6;
 /// Part of a team's rate from which on the allocator decides which programs begin.
-const CROWDED_FROM: f64 = 0.6;
+const NEAR_LIMIT_RATE_FRACTION: f64 = 0.6;
 /// Time in which a program that has begun is not yet in the reports of its instance.
-const UNREPORTED: Duration = Duration::from_millis(400);
+const UNREPORTED_WINDOW: Duration = Duration::from_millis(400);
 /// Calls a second of a program under way, until it has been measured.
-const PROGRAM_RATE: f64 = 5.0;
+const INITIAL_PROGRAM_RATE_PER_SECOND: f64 = 5.0;
 /// Weight of a new measurement in the calls a second of a program.
-const PROGRAM_GAIN: f64 = 0.05;
+const PROGRAM_RATE_GAIN: f64 = 0.05;
 /// A program is known for this long after an instance has last named it; longer than most pauses
 /// between two calls.
-const KNOWN_FOR: Duration = Duration::from_secs(20);
+const PROGRAM_TTL: Duration = Duration::from_secs(20);
 /// Programs of a team that are known at a time.
-const MAX_KNOWN: usize = 8_192;
+const MAX_KNOWN_PROGRAMS: usize = 8_192;
 /// An instance with fewer calls a second of a team borrows each token. Its share would mostly lie
 /// idle while other instances are short of tokens, and a token is borrowed in a few milliseconds.
-const SHARED_FROM: f64 = 3.0;
+const MIN_SHARE_DEMAND_PER_SECOND: f64 = 3.0;
 
 /// Part of a team's rate and burst that an instance may admit by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -81,13 +81,13 @@
 pub struct Bucket {
     share: Share,
     level: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl Bucket {
     /// Returns an empty bucket.
     pub fn new(share: Share, now: Duration) -> Self {
-        Self { share, level: 0.0, at: now }
+        Self { share, level: 0.0, updated_at: now }
     }
 
     /// The share in force.
@@ -96,14 +96,14 @@
     }
 
     /// Changes the share. What is in the bucket beyond the new burst is lost; nothing is added.
-    pub fn set(&mut self, share: Share, now: Duration) {
+    pub fn set_share(&mut self, share: Share, now: Duration) {
         self.refill(now);
         self.share = share;
         self.level = self.level.min(share.burst);
     }
 
     /// Puts back a token that was taken and not used.
-    pub fn give_back(&mut self, now: Duration) {
+    pub fn return_token(&mut self, now: Duration) {
         self.refill(now);
         self.level = (self.level + 1.0).min(self.share.burst);
     }
@@ -125,14 +125,14 @@
     }
 
     /// Part of the burst that is in the bucket.
-    fn fill(&mut self, now: Duration) -> f64 {
+    fn fill_ratio(&mut self, now: Duration) -> f64 {
         self.refill(now);
         if self.share.burst > 0.0 { self.level / self.share.burst } else { 0.0 }
     }
 
     fn refill(&mut self, now: Duration) {
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = self.updated_at.max(now);
         self.level = (self.level + elapsed * self.share.per_second).min(self.share.burst);
     }
 }
@@ -141,46 +141,46 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     per_second: f64,
-    arrived: u32,
-    at: Duration,
+    arrivals: u32,
+    updated_at: Duration,
 }
 
 /// Time constant of [`Demand`].
-const DEMAND_S: f64 = 1.5;
+const DEMAND_TIME_CONSTANT_SECONDS: f64 = 1.5;
 
 impl Demand {
     /// Counts an arrival.
-    pub fn arrive(&mut self) {
-        self.arrived += 1;
+    pub fn record_arrival(&mut self) {
+        self.arrivals += 1;
     }
 
     /// Takes back the last arrival: the call was refused for another reason.
-    pub fn withdraw(&mut self) {
-        self.arrived = self.arrived.saturating_sub(1);
+    pub fn cancel_arrival(&mut self) {
+        self.arrivals = self.arrivals.saturating_sub(1);
     }
 
     /// Returns the average, brought up to `now`.
-    pub fn read(&mut self, now: Duration) -> f64 {
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+    pub fn update(&mut self, now: Duration) -> f64 {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         if elapsed > 0.0 {
-            let current = f64::from(self.arrived) / elapsed;
-            let weight = 1.0 - (-elapsed / DEMAND_S).exp();
+            let current = f64::from(self.arrivals) / elapsed;
+            let weight = 1.0 - (-elapsed / DEMAND_TIME_CONSTANT_SECONDS).exp();
             self.per_second += weight * (current - self.per_second);
-            self.arrived = 0;
-            self.at = now;
+            self.arrivals = 0;
+            self.updated_at = now;
         }
         self.per_second
     }
 }
 
 #[derive(Clone, Debug)]
-struct Holder {
+struct ShareHolder {
     instance: Name,
     demand: f64,
     programs: u32,
     /// Most that the instance may hold until `until`.
     held: Share,
-    until: Duration,
+    expires_at: Duration,
 }
 
 /// What an allocator knows of a team's load.
@@ -201,55 +201,55 @@
 pub struct Allocator {
     limit: Option<Limit>,
     /// Until then there may be holders that this allocator does not know.
-    settled_at: Duration,
+    recovered_at: Duration,
     lease: Duration,
     // Sorted by instance.
-    holders: Vec<Holder>,
+    holders: Vec<ShareHolder>,
     reserve: Bucket,
     /// Calls a second of a program under way.
     program_rate: f64,
     /// Programs that have begun and are in no report yet.
-    begun: Vec<Duration>,
+    unreported_starts: Vec<Duration>,
     /// Programs that have begun, with the time at which they were last named, sorted by program.
-    known: Vec<(u64, Duration)>,
+    known_programs: Vec<(u64, Duration)>,
 }
 
 impl Allocator {
     /// Returns an allocator. `settled_at` is when every instance that can reach it has reported the
     /// share that another allocator gave it; `lease` is for how long a share is given out.
-    pub fn new(settled_at: Duration, lease: Duration, now: Duration) -> Self {
+    pub fn new(recovered_at: Duration, lease: Duration, now: Duration) -> Self {
         let reserve = Bucket::new(Share::default(), now);
         Self {
             limit: None,
-            settled_at,
+            recovered_at,
             lease,
             holders: Vec::new(),
             reserve,
-            program_rate: PROGRAM_RATE,
-            begun: Vec::new(),
-            known: Vec::new(),
+            program_rate: INITIAL_PROGRAM_RATE_PER_SECOND,
+            unreported_starts: Vec::new(),
+            known_programs: Vec::new(),
         }
     }
 
     /// Takes note of a program that has begun at any instance.
-    pub fn know(&mut self, program: u64, now: Duration) {
-        match self.known.binary_search_by_key(&program, |(p, _)| *p) {
-            Ok(at) => self.known[at].1 = now,
+    pub fn record_program(&mut self, program: u64, now: Duration) {
+        match self.known_programs.binary_search_by_key(&program, |(p, _)| *p) {
+            Ok(at) => self.known_programs[at].1 = now,
             Err(_) => {
-                if self.known.len() >= MAX_KNOWN {
-                    self.known.retain(|(_, at)| now < *at + KNOWN_FOR);
+                if self.known_programs.len() >= MAX_KNOWN_PROGRAMS {
+                    self.known_programs.retain(|(_, at)| now < *at + PROGRAM_TTL);
                 }
-                if self.known.len() < MAX_KNOWN {
-                    let at = self.known.partition_point(|(p, _)| *p < program);
-                    self.known.insert(at, (program, now));
+                if self.known_programs.len() < MAX_KNOWN_PROGRAMS {
+                    let at = self.known_programs.partition_point(|(p, _)| *p < program);
+                    self.known_programs.insert(at, (program, now));
                 }
             }
         }
     }
 
-    fn knows(&self, program: u64, now: Duration) -> bool {
-        let found = self.known.binary_search_by_key(&program, |(p, _)| *p);
-        found.is_ok_and(|at| now < self.known[at].1 + KNOWN_FOR)
+    fn is_known(&self, program: u64, now: Duration) -> bool {
+        let found = self.known_programs.binary_search_by_key(&program, |(p, _)| *p);
+        found.is_ok_and(|at| now < self.known_programs[at].1 + PROGRAM_TTL)
     }
 
     /// Changes the team's limit; none for no limit.
@@ -270,31 +270,31 @@
         held: Share,
         now: Duration,
     ) -> Share {
-        self.holders.retain(|h| now < h.until);
-        let until = now + self.lease;
+        self.holders.retain(|h| now < h.expires_at);
+        let expires_at = now + self.lease;
         let at = match self.holders.binary_search_by(|h| h.instance.cmp(instance)) {
             Ok(at) => at,
             Err(at) => {
                 let instance = instance.clone();
-                let holder = Holder { instance, demand, programs, held, until };
+                let holder = ShareHolder { instance, demand, programs, held, expires_at };
                 self.holders.insert(at, holder);
                 at
             }
         };
         let holder = &mut self.holders[at];
-        (holder.demand, holder.held, holder.until) = (demand, held, until);
+        (holder.demand, holder.held, holder.expires_at) = (demand, held, expires_at);
         holder.programs = programs;
-        self.measure_programs();
-        let share = if now < self.settled_at { held } else { self.next_share(at) };
+        self.update_program_rate();
+        let share = if now < self.recovered_at { held } else { self.next_share(at) };
         self.holders[at].held = held.max(share);
         self.refresh_reserve(now);
         share
     }
 
     /// Whether the team is near its rate, so that programs begin only when the allocator says so.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_near_limit(&self) -> bool {
         let demand: f64 = self.holders.iter().map(|h| h.demand).sum();
-        self.limit.is_some_and(|limit| demand > CROWDED_FROM * limit.per_second())
+        self.limit.is_some_and(|limit| demand > NEAR_LIMIT_RATE_FRACTION * limit.per_second())
     }
 
     /// Begins a program, if the programs under way leave room for it. One that has begun at another
@@ -303,21 +303,24 @@
     /// # Errors
     ///
     /// Returns the time after which there may be room.
-    pub fn begin(&mut self, program: u64, now: Duration) -> Result<(), Duration> {
+    pub fn admit_program(&mut self, program: u64, now: Duration) -> Result<(), Duration> {
         let Some(limit) = self.limit else { return Ok(()) };
-        if self.knows(program, now) {
-            self.know(program, now);
+        if self.is_known(program, now) {
+            self.record_program(program, now);
             return Ok(());
         }
         let TeamLoad { demand, programs, program_rate, .. } = self.load(now);
         let expected = demand.max(programs * program_rate) + program_rate;
-        let room = BEGIN_BELOW * limit.per_second();
+        let room = ADMIT_RATE_FRACTION * limit.per_second();
         self.refresh_reserve(now);
         // A team that has not used its burst may go beyond its rate for a while. A rate that is below
         // that of a single program still lets one at a time begin.
-        if expected <= room || programs < 1.0 || self.reserve.fill(now) >= BEGIN_FILL {
-            self.begun.push(now);
-            self.know(program, now);
+        if expected <= room
+            || programs < 1.0
+            || self.reserve.fill_ratio(now) >= ADMIT_RESERVE_FRACTION
+        {
+            self.unreported_starts.push(now);
+            self.record_program(program, now);
             return Ok(());
         }
         let excess = (expected - room) / limit.per_second();
@@ -326,30 +329,30 @@
 
     /// The load that decides which programs begin.
     pub fn load(&mut self, now: Duration) -> TeamLoad {
-        self.begun.retain(|at| now < *at + UNREPORTED);
+        self.unreported_starts.retain(|at| now < *at + UNREPORTED_WINDOW);
         let programs: u32 = self.holders.iter().map(|h| h.programs).sum();
         self.refresh_reserve(now);
         TeamLoad {
             demand: self.holders.iter().map(|h| h.demand).sum(),
-            programs: f64::from(programs) + self.begun.len() as f64,
+            programs: f64::from(programs) + self.unreported_starts.len() as f64,
             program_rate: self.program_rate,
             reserve: self.reserve.level,
         }
     }
 
-    fn measure_programs(&mut self) {
+    fn update_program_rate(&mut self) {
         let (demand, programs) =
             self.holders.iter().fold((0.0, 0), |(d, p), h| (d + h.demand, p + h.programs));
         if programs > 0 && demand > 0.0 {
             let measured = (demand / f64::from(programs)).clamp(0.5, 50.0);
-            self.program_rate += PROGRAM_GAIN * (measured - self.program_rate);
+            self.program_rate += PROGRAM_RATE_GAIN * (measured - self.program_rate);
         }
     }
 
     /// Puts a token back into the reserve.
-    pub fn give_back(&mut self, now: Duration) {
+    pub fn return_token(&mut self, now: Duration) {
         self.refresh_reserve(now);
-        self.reserve.give_back(now);
+        self.reserve.return_token(now);
     }
 
     /// Takes one token from the reserve.
@@ -361,7 +364,7 @@
         if self.limit.is_none() {
             return Ok(());
         }
-        self.holders.retain(|h| now < h.until);
+        self.holders.retain(|h| now < h.expires_at);
         self.refresh_reserve(now);
         self.reserve.take(now)
     }
@@ -369,22 +372,22 @@
     /// Share that the holder should have, as far as the others leave room for it.
     fn next_share(&self, at: usize) -> Share {
         let Some(limit) = self.limit else { return Share::default() };
-        let rate = limit.per_second() * SHARED_RATE;
-        let burst = f64::from(limit.burst()) * SHARED_BURST;
+        let rate = limit.per_second() * SHARED_RATE_FRACTION;
+        let burst = f64::from(limit.burst()) * SHARED_BURST_FRACTION;
         let holder = &self.holders[at];
-        if holder.demand < SHARED_FROM {
+        if holder.demand < MIN_SHARE_DEMAND_PER_SECOND {
             return Share::default();
         }
-        let active = self.holders.iter().filter(|h| h.demand >= SHARED_FROM);
+        let active = self.holders.iter().filter(|h| h.demand >= MIN_SHARE_DEMAND_PER_SECOND);
         let (demand, count) = active.fold((0.0, 0.0), |(d, n), h| (d + h.demand, n + 1.0));
         let others = self.holders.iter().enumerate().filter(|(i, _)| *i != at);
         let (rate_held, burst_held) =
             others.fold((0.0, 0.0), |(r, b), (_, h)| (r + h.held.per_second, b + h.held.burst));
         let fair_rate = rate * holder.demand / demand;
-        let wanted_burst = (holder.demand * BURST_S).max(MIN_BURST);
+        let wanted_burst = (holder.demand * SHARE_BURST_SECONDS).max(MIN_SHARE_BURST_TOKENS);
         let fair_burst = burst * (0.5 * holder.demand / demand + 0.5 / count);
         Share {
-            per_second: (holder.demand * SHARED_DEMAND)
+            per_second: (holder.demand * SHARE_DEMAND_FRACTION)
                 .min(fair_rate)
                 .min(rate - rate_held)
                 .max(0.0),
@@ -399,12 +402,12 @@
             .holders
             .iter()
             .fold((0.0, 0.0), |(r, b), h| (r + h.held.per_second, b + h.held.burst));
-        if now < self.settled_at {
-            rate_held = rate * SHARED_RATE;
-            burst_held = burst * SHARED_BURST;
+        if now < self.recovered_at {
+            rate_held = rate * SHARED_RATE_FRACTION;
+            burst_held = burst * SHARED_BURST_FRACTION;
         }
         let per_second = (rate - rate_held).max(0.0);
         let burst = (burst - burst_held).max(0.0);
-        self.reserve.set(Share { per_second, burst }, now);
+        self.reserve.set_share(Share { per_second, burst }, now);
     }
 }
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -16,7 +16,7 @@
 //!
 //! An endpoint counts as cold until it is known, when its start time changes, when it refuses
 //! [`COLD_REFUSALS`] calls in a row, or when [`COLD_LATENCIES`] answers in a row take
-//! [`COLD_FACTOR`] times as long as usual. When under half of a group's capacity is warm, its warm
+//! [`COLD_LATENCY_FACTOR`] times as long as usual. When under half of a group's capacity is warm, its warm
 //! endpoints are divided among the instances like cold ones, so that a restart of all endpoints
 //! does not fall on the one that stayed warm.
 //!
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 use crate::Name;
-use crate::check::invariant;
+use crate::invariants::check_invariant;
 use crate::rate::{View, rendezvous};
 
 /// Refusals in a row that show a cold endpoint.
@@ -37,10 +37,10 @@
 pub const COLD_LATENCIES: u32 = 5;
 
 /// An answer that takes this many times the usual time is slow.
-pub const COLD_FACTOR: f64 = 4.0;
+pub const COLD_LATENCY_FACTOR: f64 = 4.0;
 
 /// Weight of a new answer in the usual time.
-const LATENCY_GAIN: f64 = 0.05;
+const BASELINE_LATENCY_GAIN: f64 = 0.05;
 
 /// Views remembered.
 const MAX_VIEWS: usize = 64;
@@ -84,10 +84,10 @@
     /// Identity of the run, for example the start time that the endpoint reports.
     run: Option<u64>,
     /// Age of the run, and when it had that age; none while the endpoint is unknown.
-    seen: Option<(Duration, Duration)>,
+    observed_age: Option<(Duration, Duration)>,
     refusals: u32,
-    slow: u32,
-    usual_s: Option<f64>,
+    slow_answers: u32,
+    baseline_latency_s: Option<f64>,
 }
 
 impl Ramp {
@@ -97,8 +97,8 @@
         if age >= self.spec.ramp {
             return warm;
         }
-        let done = age.as_secs_f64() / self.spec.ramp.as_secs_f64();
-        cold + (f64::from(warm - cold) * done) as u32
+        let progress = age.as_secs_f64() / self.spec.ramp.as_secs_f64();
+        cold + (f64::from(warm - cold) * progress) as u32
     }
 
     fn is_warm(&self, now: Duration) -> bool {
@@ -106,20 +106,20 @@
     }
 
     fn age(&self, now: Duration) -> Option<Duration> {
-        self.seen.map(|(age, at)| age + now.saturating_sub(at))
+        self.observed_age.map(|(age, at)| age + now.saturating_sub(at))
     }
 
-    fn restart(&mut self, age: Duration, now: Duration) {
-        self.seen = Some((age, now));
+    fn reset(&mut self, age: Duration, now: Duration) {
+        self.observed_age = Some((age, now));
         self.refusals = 0;
-        self.slow = 0;
+        self.slow_answers = 0;
     }
 }
 
 /// Ramps of all endpoints, and the division of their capacity among instances.
 #[derive(Debug)]
 pub struct Ramps {
-    me: Name,
+    instance: Name,
     lease: Duration,
     ramps: Vec<Ramp>,
     /// Views with the time at which each was learned.
@@ -128,8 +128,8 @@
 
 impl Ramps {
     /// Returns an empty table of instance `me`; `lease` is the duration of membership leases.
-    pub fn new(me: Name, lease: Duration) -> Self {
-        Self { me, lease, ramps: Vec::new(), views: VecDeque::new() }
+    pub fn new(instance: Name, lease: Duration) -> Self {
+        Self { instance, lease, ramps: Vec::new(), views: VecDeque::new() }
     }
 
     /// Adds an endpoint, which counts as cold, or changes the numbers of a known one.
@@ -137,8 +137,14 @@
         match self.find(&spec.endpoint) {
             Ok(at) => self.ramps[at].spec = spec,
             Err(at) => {
-                let ramp =
-                    Ramp { spec, run: None, seen: None, refusals: 0, slow: 0, usual_s: None };
+                let ramp = Ramp {
+                    spec,
+                    run: None,
+                    observed_age: None,
+                    refusals: 0,
+                    slow_answers: 0,
+                    baseline_latency_s: None,
+                };
                 self.ramps.insert(at, ramp);
             }
         }
@@ -180,7 +186,7 @@
         let Ok(at) = self.find(endpoint) else { return };
         let ramp = &mut self.ramps[at];
         if ramp.run != Some(run) {
-            ramp.restart(uptime.unwrap_or(Duration::ZERO), now);
+            ramp.reset(uptime.unwrap_or(Duration::ZERO), now);
             ramp.run = Some(run);
         }
     }
@@ -195,21 +201,22 @@
             Outcome::Answered(latency) => {
                 ramp.refusals = 0;
                 let latency = latency.as_secs_f64();
-                let usual = ramp.usual_s.unwrap_or(latency);
-                if latency > COLD_FACTOR * usual {
-                    ramp.slow += 1;
+                let baseline = ramp.baseline_latency_s.unwrap_or(latency);
+                if latency > COLD_LATENCY_FACTOR * baseline {
+                    ramp.slow_answers += 1;
                 } else {
-                    ramp.slow = 0;
+                    ramp.slow_answers = 0;
                     if warm {
-                        ramp.usual_s = Some(usual + LATENCY_GAIN * (latency - usual));
+                        ramp.baseline_latency_s =
+                            Some(baseline + BASELINE_LATENCY_GAIN * (latency - baseline));
                     }
                 }
-                ramp.seen.get_or_insert((Duration::ZERO, now));
+                ramp.observed_age.get_or_insert((Duration::ZERO, now));
             }
         }
-        let cold = ramp.refusals >= COLD_REFUSALS || warm && ramp.slow >= COLD_LATENCIES;
+        let cold = ramp.refusals >= COLD_REFUSALS || warm && ramp.slow_answers >= COLD_LATENCIES;
         if cold {
-            ramp.restart(Duration::ZERO, now);
+            ramp.reset(Duration::ZERO, now);
         }
         cold
     }
@@ -227,13 +234,13 @@
             return None;
         }
         let total = ramp.total(now);
-        let cap = Cap { own: self.part(endpoint, total, now), total };
-        invariant(cap.own <= cap.total, "ramp: own part is within the total");
+        let cap = Cap { own: self.own_share(endpoint, total, now), total };
+        check_invariant(cap.own <= cap.total, "ramp: own part is within the total");
         Some(cap)
     }
 
     /// This instance's part of `total` calls at `endpoint`: the smallest one over its recent views.
-    fn part(&self, endpoint: &str, total: u32, now: Duration) -> u32 {
+    fn own_share(&self, endpoint: &str, total: u32, now: Duration) -> u32 {
         let Some((first_learned, _)) = self.views.front() else { return 0 };
         let recent = |i: &usize| {
             // In force until the next view arrived; of interest for one lease after that.
@@ -243,9 +250,9 @@
         if oldest == 0 && now < *first_learned + self.lease {
             return 0;
         }
-        let parts = self.views.iter().skip(oldest);
-        parts
-            .map(|(_, view)| part_of(&self.me, endpoint, total, &view.instances))
+        let shares = self.views.iter().skip(oldest);
+        shares
+            .map(|(_, view)| instance_share(&self.instance, endpoint, total, &view.instances))
             .min()
             .unwrap_or(0)
     }
@@ -265,12 +272,12 @@
 }
 
 /// Part of instance `me` in `total` calls at `endpoint` under one view.
-fn part_of(me: &Name, endpoint: &str, total: u32, instances: &[Name]) -> u32 {
-    if !instances.contains(me) {
+fn instance_share(instance: &Name, endpoint: &str, total: u32, instances: &[Name]) -> u32 {
+    if !instances.contains(instance) {
         return 0;
     }
     let key = |name: &Name| (rendezvous(endpoint, name), name.clone());
-    let own = key(me);
+    let own = key(instance);
     let rank = instances.iter().filter(|name| key(name) > own).count() as u32;
     let count = instances.len() as u32;
     total / count + u32::from(rank < total % count)
--- a/crates/policy/src/rate/handover.rs
+++ b/crates/policy/src/rate/handover.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::{Ask, Grant, GrantId, Limit, MAX_VALIDITY, OwnerBucket};
+use super::{Grant, GrantId, Limit, MAX_VALIDITY, OwnerBucket, TokenRequest};
 use crate::Name;
 
 /// Views remembered; older changes count as settled.
@@ -61,7 +61,7 @@
     pub valid_for: Duration,
 }
 
-/// Answer of [`Owners::request`].
+/// Answer of [`OwnedBuckets::request`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The bucket's answer.
@@ -77,7 +77,7 @@
 
 /// Buckets that this instance owns.
 ///
-/// The caller must check its own membership lease before [`Owners::request`]. Then an instance that
+/// The caller must check its own membership lease before [`OwnedBuckets::request`]. Then an instance that
 /// has seen each view since its start, or since a gap, may rely on this: any former owner in those
 /// views was preferred to it, so it is missing in the newest one, so its lease has expired, because
 /// the leader removes an instance only then. Its last grants remain valid for [`MAX_VALIDITY`].
@@ -85,37 +85,37 @@
 /// a lease under them, and [`MAX_VALIDITY`] later no grant is valid.
 ///
 /// An instance that joins takes over teams from live owners. It need not wait: the former owner,
-/// once it knows the new view, hands its bucket over ([`Owners::claim`], [`Owners::release`],
-/// [`Owners::accept`]). It does so once, to one session, and only for [`MAX_VALIDITY`] after it
+/// once it knows the new view, hands its bucket over ([`OwnedBuckets::claim`], [`OwnedBuckets::release`],
+/// [`OwnedBuckets::accept`]). It does so once, to one session, and only for [`MAX_VALIDITY`] after it
 /// learned of the view. It learned of it at most one lease duration after the view was made, and
 /// the new owner starts by itself one lease duration and [`MAX_VALIDITY`] after that at the
 /// earliest, so the bucket cannot be handed to an instance that has already started another.
 #[derive(Debug)]
-pub struct Owners {
-    me: Name,
+pub struct OwnedBuckets {
+    instance: Name,
     session: u64,
     lease: Duration,
     min_validity: Duration,
-    grants: u64,
+    grants_made: u64,
     /// Before this time a team may have had an owner that this instance does not know.
-    settled: Duration,
+    unknown_owners_until: Duration,
     views: VecDeque<(Duration, View)>,
     buckets: Vec<(Name, OwnerBucket)>,
     /// Buckets that the newest view gave to another instance.
     released: Vec<(Name, OwnerBucket)>,
 }
 
-impl Owners {
+impl OwnedBuckets {
     /// Returns the buckets of instance `me`; `session` must differ from that of any former process
     /// and `lease` is the duration of membership leases.
-    pub fn new(me: Name, session: u64, lease: Duration, min_validity: Duration) -> Self {
+    pub fn new(instance: Name, session: u64, lease: Duration, min_validity: Duration) -> Self {
         Self {
-            me,
+            instance,
             session,
             lease,
             min_validity,
-            grants: 0,
-            settled: Duration::MAX,
+            grants_made: 0,
+            unknown_owners_until: Duration::MAX,
             views: VecDeque::new(),
             buckets: Vec::new(),
             released: Vec::new(),
@@ -125,25 +125,26 @@
     /// Takes note of a view that arrived at `now`.
     ///
     /// A gap between epochs hides owners from this instance, so it waits as after a start.
-    pub fn observe(&mut self, view: &View, now: Duration) {
+    pub fn observe_view(&mut self, view: &View, now: Duration) {
         match self.views.back() {
             Some((_, last)) if last.epoch >= view.epoch => return,
             Some((_, last))
-                if last.epoch + 1 == view.epoch && view.instances.contains(&self.me) => {}
+                if last.epoch + 1 == view.epoch && view.instances.contains(&self.instance) => {}
             _ => {
                 self.views.clear();
                 self.buckets.clear();
-                self.settled = now + self.lease + MAX_VALIDITY;
+                self.unknown_owners_until = now + self.lease + MAX_VALIDITY;
             }
         }
         self.views.push_back((now, view.clone()));
         if self.views.len() > MAX_VIEWS {
             self.views.pop_front();
             let (learned, _) = &self.views[0];
-            self.settled = self.settled.max(*learned + self.lease + MAX_VALIDITY);
+            self.unknown_owners_until =
+                self.unknown_owners_until.max(*learned + self.lease + MAX_VALIDITY);
         }
-        let me = &self.me;
-        let is_mine = |team: &Name| owner_of(team, &view.instances) == Some(me);
+        let instance = &self.instance;
+        let is_mine = |team: &Name| owner_of(team, &view.instances) == Some(instance);
         self.released = self.buckets.extract_if(.., |(team, _)| !is_mine(team)).collect();
     }
 
@@ -152,12 +153,13 @@
     pub fn claim(&self, team: &Name, now: Duration) -> Option<(Name, Claim)> {
         let (_, view) = self.views.back()?;
         let started = self.buckets.binary_search_by(|(name, _)| name.cmp(team)).is_ok();
-        if started || now >= self.start(team) || self.owner(team) != Some(&self.me) {
+        if started || now >= self.earliest_grant(team) || self.owner(team) != Some(&self.instance) {
             return None;
         }
-        let others: Vec<_> = view.instances.iter().filter(|i| **i != self.me).cloned().collect();
+        let others: Vec<_> =
+            view.instances.iter().filter(|i| **i != self.instance).cloned().collect();
         let former = owner_of(team, &others)?.clone();
-        let (to, session, epoch) = (self.me.clone(), self.session, view.epoch);
+        let (to, session, epoch) = (self.instance.clone(), self.session, view.epoch);
         Some((former, Claim { team: team.clone(), to, session, epoch }))
     }
 
@@ -187,10 +189,12 @@
     }
 
     /// When this instance may start to grant tokens of `team` without a transfer.
-    pub fn start(&self, team: &str) -> Duration {
+    pub fn earliest_grant(&self, team: &str) -> Duration {
         let owners = |i: usize| owner_of(team, &self.views[i].1.instances);
         let changed = (1..self.views.len()).rev().find(|i| owners(*i) != owners(*i - 1));
-        changed.map_or(self.settled, |i| self.settled.max(self.views[i].0 + MAX_VALIDITY))
+        changed.map_or(self.unknown_owners_until, |i| {
+            self.unknown_owners_until.max(self.views[i].0 + MAX_VALIDITY)
+        })
     }
 
     /// Takes over a bucket from its former owner. Returns whether the transfer was accepted; it is
@@ -198,8 +202,8 @@
     pub fn accept(&mut self, transfer: &Transfer, limit: Limit, now: Duration) -> bool {
         let claim = &transfer.claim;
         let Some((_, view)) = self.views.back() else { return false };
-        if (claim.epoch, claim.session, &claim.to) != (view.epoch, self.session, &self.me)
-            || owner_of(&claim.team, &view.instances) != Some(&self.me)
+        if (claim.epoch, claim.session, &claim.to) != (view.epoch, self.session, &self.instance)
+            || owner_of(&claim.team, &view.instances) != Some(&self.instance)
         {
             return false;
         }
@@ -208,21 +212,27 @@
         };
         let state = (transfer.level_nano, transfer.outstanding);
         let (min, valid_for) = (self.min_validity, transfer.valid_for);
-        let bucket = OwnerBucket::resumed(limit, min, state, valid_for, now);
+        let bucket = OwnerBucket::from_transfer(limit, min, state, valid_for, now);
         self.buckets.insert(at, (claim.team.clone(), bucket));
         true
     }
 
     /// Answers a request for tokens of `team`. The caller has checked its own lease at `now`.
-    pub fn request(&mut self, team: &Name, limit: Limit, ask: &Ask, now: Duration) -> Answer {
+    pub fn request(
+        &mut self,
+        team: &Name,
+        limit: Limit,
+        request: &TokenRequest,
+        now: Duration,
+    ) -> Answer {
         let owner = self.owner(team);
-        if owner != Some(&self.me) {
+        if owner != Some(&self.instance) {
             return Answer::NotOwner(owner.cloned());
         }
         let at = match self.buckets.binary_search_by(|(name, _)| name.cmp(team)) {
             Ok(at) => at,
             Err(at) => {
-                let start = self.start(team);
+                let start = self.earliest_grant(team);
                 if now < start {
                     return Answer::Starting { retry_after: start - now };
                 }
@@ -234,16 +244,16 @@
         };
         let bucket = &mut self.buckets[at].1;
         bucket.set_limit(limit, now);
-        self.grants += 1;
-        let id = GrantId { session: self.session, number: self.grants };
-        Answer::Granted(bucket.request(id, ask, now))
+        self.grants_made += 1;
+        let id = GrantId { session: self.session, number: self.grants_made };
+        Answer::Granted(bucket.request(id, request, now))
     }
 
-    /// Drops the buckets for which [`Owners::request`] would make an equal one: those that are full.
+    /// Drops the buckets for which [`OwnedBuckets::request`] would make an equal one: those that are full.
     pub fn prune(&mut self, now: Duration) {
         let mut buckets = std::mem::take(&mut self.buckets);
         buckets.retain_mut(|(team, bucket)| {
-            !bucket.is_idle(now) || now < self.start(team) + bucket.time_to_fill()
+            !bucket.is_idle(now) || now < self.earliest_grant(team) + bucket.time_to_fill()
         });
         self.buckets = buckets;
     }
--- a/crates/policy/src/rate/share.rs
+++ b/crates/policy/src/rate/instance.rs
@@ -3,37 +3,37 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::{Ask, Grant, GrantId, Limit, Report};
+use super::{Grant, GrantId, Limit, Report, TokenRequest};
 use crate::Name;
-use crate::check::invariant;
+use crate::invariants::check_invariant;
 
 /// Clocks of two instances may differ by this fraction in speed.
-const DRIFT: u32 = 256;
+const CLOCK_DRIFT_DIVISOR: u32 = 256;
 
 /// Time constant of the demand estimate.
 const DEMAND_WINDOW: Duration = Duration::from_millis(250);
 
 /// Bursts under this report each use immediately, because they cannot refill until then.
-const PROMPT_REPORT_BURST: u32 = 16;
+const IMMEDIATE_REPORT_BURST: u32 = 16;
 
 /// Requests to the owner whose answers are still accepted.
-const MAX_ASKS: usize = 8;
+const MAX_PENDING_REQUESTS: usize = 8;
 
-/// Parameters of a [`Share`].
+/// Parameters of a [`InstanceBucket`].
 #[derive(Clone, Copy, Debug)]
-pub struct ShareConfig {
+pub struct InstanceBucketConfig {
     /// Time after which an unanswered request to the owner is sent again.
-    pub ask_timeout: Duration,
+    pub request_timeout: Duration,
     /// Calls that may wait for a token.
     pub max_waiting: usize,
     /// Lower bound of the validity of grants; the same value as at the owner.
     pub min_validity: Duration,
 }
 
-impl Default for ShareConfig {
+impl Default for InstanceBucketConfig {
     fn default() -> Self {
         Self {
-            ask_timeout: Duration::from_millis(50),
+            request_timeout: Duration::from_millis(50),
             max_waiting: 1024,
             min_validity: super::MIN_VALIDITY,
         }
@@ -51,12 +51,12 @@
     pub valid_until: Duration,
 }
 
-/// Answer of [`Share::acquire`].
+/// Answer of [`InstanceBucket::acquire`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The call may run now.
     Granted(Permit),
-    /// The call waits; its verdict comes from [`Share::on_grant`] or [`Share::expire`].
+    /// The call waits; its verdict comes from [`InstanceBucket::on_grant`] or [`InstanceBucket::expire`].
     Wait(Ticket),
     /// No token can be had before the call's deadline, or too many calls are waiting.
     Refused {
@@ -78,7 +78,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldGrant {
     id: GrantId,
     left: u32,
     used: u32,
@@ -90,7 +90,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct WaitingCall {
     ticket: Ticket,
     deadline: Duration,
 }
@@ -103,28 +103,28 @@
 /// when a call waits. Busier teams lease the tokens for half a validity of their recent demand, and
 /// ask again when half of them are spent.
 #[derive(Debug)]
-pub struct Share {
+pub struct InstanceBucket {
     instance: Name,
     limit: Limit,
-    cfg: ShareConfig,
-    held: VecDeque<Held>,
-    waiting: VecDeque<Waiting>,
+    cfg: InstanceBucketConfig,
+    held: VecDeque<HeldGrant>,
+    waiting: VecDeque<WaitingCall>,
     next_ticket: u64,
-    next_ask: u64,
+    next_request: u64,
     /// Requests without an answer yet, and when each was sent.
-    asks: VecDeque<(u64, Duration)>,
-    not_before: Duration,
+    pending_requests: VecDeque<(u64, Duration)>,
+    next_request_at: Duration,
     /// The owner gives no spare tokens while the bucket is low; it is not asked again before this.
-    spare_not_before: Duration,
+    next_prefetch_at: Duration,
     /// When the team's backlog is expected to be served, if the owner has reported one.
-    clear_at: Option<Duration>,
+    backlog_cleared_at: Option<Duration>,
     demand: f64,
     demand_at: Duration,
 }
 
-impl Share {
+impl InstanceBucket {
     /// Returns an empty share.
-    pub fn new(instance: Name, limit: Limit, cfg: ShareConfig) -> Self {
+    pub fn new(instance: Name, limit: Limit, cfg: InstanceBucketConfig) -> Self {
         Self {
             instance,
             limit,
@@ -132,11 +132,11 @@
             held: VecDeque::new(),
             waiting: VecDeque::new(),
             next_ticket: 0,
-            next_ask: 0,
-            asks: VecDeque::new(),
-            not_before: Duration::ZERO,
-            spare_not_before: Duration::ZERO,
-            clear_at: None,
+            next_request: 0,
+            pending_requests: VecDeque::new(),
+            next_request_at: Duration::ZERO,
+            next_prefetch_at: Duration::ZERO,
+            backlog_cleared_at: None,
             demand: 0.0,
             demand_at: Duration::ZERO,
         }
@@ -151,7 +151,7 @@
     pub fn acquire(&mut self, deadline: Duration, now: Duration) -> Admission {
         self.count_demand(now);
         if self.waiting.is_empty()
-            && let Some(permit) = self.take(now)
+            && let Some(permit) = self.take_token(now)
         {
             return Admission::Granted(permit);
         }
@@ -159,12 +159,12 @@
         if now + wait >= deadline || self.waiting.len() >= self.cfg.max_waiting {
             return Admission::Refused { retry_after: wait.max(self.limit.time_for(1.0)) };
         }
-        if let Some(at) = self.clear_at {
-            self.clear_at = Some(at.max(now) + self.limit.time_for(1.0));
+        if let Some(at) = self.backlog_cleared_at {
+            self.backlog_cleared_at = Some(at.max(now) + self.limit.time_for(1.0));
         }
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        self.waiting.push_back(Waiting { ticket, deadline });
+        self.waiting.push_back(WaitingCall { ticket, deadline });
         Admission::Wait(ticket)
     }
 
@@ -186,56 +186,66 @@
 
     /// Expected wait of a call that arrives now.
     pub fn expected_wait(&self, now: Duration) -> Duration {
-        self.clear_at.map_or(Duration::ZERO, |at| at.saturating_sub(now))
+        self.backlog_cleared_at.map_or(Duration::ZERO, |at| at.saturating_sub(now))
     }
 
     /// Returns the request to send to the owner now, if any.
-    pub fn poll(&mut self, now: Duration) -> Option<Ask> {
+    pub fn poll(&mut self, now: Duration) -> Option<TokenRequest> {
         self.drop_expired(now);
         if self.next_poll(now).is_none_or(|at| at > now) {
             return None;
         }
-        let (held, target) = (self.held(now), self.target(now));
+        let (held, target) = (self.held(now), self.target_tokens(now));
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
-        let spare = if held <= target / 2 { target - held } else { 0 };
+        let prefetch = if held <= target / 2 { target - held } else { 0 };
         if waiting == 0 && held > target {
-            self.give_back(held - target, now);
+            self.return_tokens(held - target, now);
         }
-        let reports: Vec<_> = self.held.iter_mut().filter_map(Held::report).collect();
-        if waiting == 0 && spare == 0 && reports.is_empty() {
+        let reports: Vec<_> = self.held.iter_mut().filter_map(HeldGrant::report).collect();
+        if waiting == 0 && prefetch == 0 && reports.is_empty() {
             return None;
         }
-        let id = self.next_ask;
-        self.next_ask += 1;
-        self.asks.push_back((id, now));
-        if self.asks.len() > MAX_ASKS {
-            self.asks.pop_front();
+        let id = self.next_request;
+        self.next_request += 1;
+        self.pending_requests.push_back((id, now));
+        if self.pending_requests.len() > MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_front();
         }
-        Some(Ask { id, instance: self.instance.clone(), waiting, spare, reports })
+        Some(TokenRequest { id, instance: self.instance.clone(), waiting, prefetch, reports })
     }
 
-    /// When [`Share::poll`] may have a request, if no other method is called before.
+    /// When [`InstanceBucket::poll`] may have a request, if no other method is called before.
     pub fn next_poll(&self, now: Duration) -> Option<Duration> {
-        let resend = self.asks.back().map_or(Duration::ZERO, |(_, at)| *at + self.cfg.ask_timeout);
-        let earliest = self.not_before.max(resend);
+        let resend = self
+            .pending_requests
+            .back()
+            .map_or(Duration::ZERO, |(_, at)| *at + self.cfg.request_timeout);
+        let earliest = self.next_request_at.max(resend);
         if self.report_due(now) {
             return Some(resend);
         }
         if !self.waiting.is_empty() {
             return Some(earliest);
         }
-        let target = self.target(now);
-        (target > 0 && self.held(now) <= target / 2).then(|| earliest.max(self.spare_not_before))
+        let target = self.target_tokens(now);
+        (target > 0 && self.held(now) <= target / 2).then(|| earliest.max(self.next_prefetch_at))
     }
 
     /// Takes the owner's answer to the request `ask`, and returns the calls that it decides.
-    pub fn on_grant(&mut self, ask: u64, grant: &Grant, now: Duration) -> Vec<(Ticket, Verdict)> {
-        let Some(at) = self.asks.iter().position(|(id, _)| *id == ask) else { return Vec::new() };
-        let (_, sent) = self.asks.remove(at).expect("the position is in range");
+    pub fn on_grant(
+        &mut self,
+        request: u64,
+        grant: &Grant,
+        now: Duration,
+    ) -> Vec<(Ticket, Verdict)> {
+        let Some(at) = self.pending_requests.iter().position(|(id, _)| *id == request) else {
+            return Vec::new();
+        };
+        let (_, sent) = self.pending_requests.remove(at).expect("the position is in range");
         // Older requests are considered lost, but their answers are still accepted.
-        let expires = sent + grant.valid_for - grant.valid_for / DRIFT;
+        let expires = sent + grant.valid_for - grant.valid_for / CLOCK_DRIFT_DIVISOR;
         if grant.tokens > 0 && expires > now {
-            self.held.push_back(Held {
+            self.held.push_back(HeldGrant {
                 id: grant.id,
                 left: grant.tokens,
                 used: 0,
@@ -245,21 +255,21 @@
                 expires,
             });
         }
-        self.not_before = now + grant.retry_after;
-        self.spare_not_before = now + grant.valid_for / 4;
-        self.clear_at =
+        self.next_request_at = now + grant.retry_after;
+        self.next_prefetch_at = now + grant.valid_for / 4;
+        self.backlog_cleared_at =
             (grant.backlog > 0).then(|| now + self.limit.time_for(f64::from(grant.backlog)));
-        let mut decided = self.serve(now);
+        let mut decided = self.grant_waiting(now);
         self.refuse_until(now + grant.retry_after, now, &mut decided);
         decided
     }
 
     /// Notes that the owner cannot grant before `retry_after` has passed (it is starting).
     pub fn on_starting(&mut self, retry_after: Duration, now: Duration) -> Vec<(Ticket, Verdict)> {
-        self.asks.clear();
+        self.pending_requests.clear();
         // A transfer from the former owner may end the wait early.
-        self.not_before = now + retry_after.min(self.cfg.ask_timeout);
-        self.clear_at = Some(now + retry_after);
+        self.next_request_at = now + retry_after.min(self.cfg.request_timeout);
+        self.backlog_cleared_at = Some(now + retry_after);
         let mut decided = Vec::new();
         self.refuse_until(now + retry_after, now, &mut decided);
         decided
@@ -267,9 +277,9 @@
 
     /// Notes that the team has another owner, which has not heard of earlier requests.
     pub fn on_new_owner(&mut self, now: Duration) {
-        self.asks.clear();
-        self.not_before = now;
-        self.clear_at = None;
+        self.pending_requests.clear();
+        self.next_request_at = now;
+        self.backlog_cleared_at = None;
     }
 
     /// Returns the calls whose deadline has passed.
@@ -300,22 +310,22 @@
         });
     }
 
-    fn serve(&mut self, now: Duration) -> Vec<(Ticket, Verdict)> {
+    fn grant_waiting(&mut self, now: Duration) -> Vec<(Ticket, Verdict)> {
         let mut decided = Vec::new();
         while let Some(first) = self.waiting.front().copied() {
-            let Some(permit) = self.take(now) else { break };
+            let Some(permit) = self.take_token(now) else { break };
             self.waiting.pop_front();
             decided.push((first.ticket, Verdict::Granted(permit)));
         }
         decided
     }
 
-    fn take(&mut self, now: Duration) -> Option<Permit> {
+    fn take_token(&mut self, now: Duration) -> Option<Permit> {
         let held = self.held.iter_mut().find(|h| h.left > 0 && h.expires > now)?;
         held.left -= 1;
         held.used += 1;
         let valid_until = held.expires;
-        invariant(valid_until > now, "rate: a used token is valid");
+        check_invariant(valid_until > now, "rate: a used token is valid");
         Some(Permit { valid_until })
     }
 
@@ -324,7 +334,7 @@
     }
 
     /// Gives up to `surplus` tokens back whose grants are past half of their validity.
-    fn give_back(&mut self, mut surplus: u32, now: Duration) {
+    fn return_tokens(&mut self, mut surplus: u32, now: Duration) {
         for held in &mut self.held {
             if now >= held.received + (held.expires - held.received) / 2 {
                 let back = surplus.min(held.left);
@@ -336,17 +346,17 @@
     }
 
     fn report_due(&self, now: Duration) -> bool {
-        let open = |h: &Held| h.expires > now && h.used + h.returned > h.reported;
-        self.limit.burst() < PROMPT_REPORT_BURST && self.held.iter().any(open)
+        let open = |h: &HeldGrant| h.expires > now && h.used + h.returned > h.reported;
+        self.limit.burst() < IMMEDIATE_REPORT_BURST && self.held.iter().any(open)
     }
 
     /// Tokens to lease: half a validity of the recent demand, or none for a small team.
-    fn target(&self, now: Duration) -> u32 {
+    fn target_tokens(&self, now: Duration) -> u32 {
         let validity = self.limit.validity(self.cfg.min_validity);
         let idle = now.saturating_sub(self.demand_at).as_secs_f64();
         let demand = self.demand * (-idle / DEMAND_WINDOW.as_secs_f64()).exp();
         let batch = (demand * validity.as_secs_f64() / 2.0) as u32;
-        if batch < 2 || self.limit.burst() < PROMPT_REPORT_BURST { 0 } else { batch }
+        if batch < 2 || self.limit.burst() < IMMEDIATE_REPORT_BURST { 0 } else { batch }
     }
 
     fn count_demand(&mut self, now: Duration) {
@@ -357,7 +367,7 @@
     }
 }
 
-impl Held {
+impl HeldGrant {
     fn report(&mut self) -> Option<Report> {
         if self.used + self.returned == self.reported {
             return None;
--- a/crates/policy/src/rate/mod.rs
+++ b/crates/policy/src/rate/mod.rs
@@ -1,8 +1,8 @@
 //! Rate limits of teams, counted over all instances together (invariant I6).
 //!
-//! One instance owns the token bucket of a team ([`OwnerBucket`], held in [`Owners`]). It is chosen
+//! One instance owns the token bucket of a team ([`OwnerBucket`], held in [`OwnedBuckets`]). It is chosen
 //! by rendezvous hashing over the membership view ([`owner_of`]). Each instance that has calls of
-//! the team asks the owner for tokens and spends them locally ([`Share`]). When the owner dies, a
+//! the team asks the owner for tokens and spends them locally ([`InstanceBucket`]). When the owner dies, a
 //! successor starts after every grant of the former owner must have expired.
 //!
 //! Units: one token admits one request. Levels are kept in 10^-9 tokens, rates in 10^-6 tokens per
@@ -41,15 +41,15 @@
 //! trips of 3 ms and four contending instances it reached 77% of the rate; a burst of five, all.
 
 mod handover;
+mod instance;
 mod owner;
-mod share;
 
 use std::time::Duration;
 
 pub(crate) use handover::rendezvous;
-pub use handover::{Answer, Claim, Owners, Transfer, View, owner_of};
+pub use handover::{Answer, Claim, OwnedBuckets, Transfer, View, owner_of};
+pub use instance::{Admission, InstanceBucket, InstanceBucketConfig, Permit, Ticket, Verdict};
 pub use owner::OwnerBucket;
-pub use share::{Admission, Permit, Share, ShareConfig, Ticket, Verdict};
 
 use crate::Name;
 
@@ -133,7 +133,7 @@
 
 /// Request of an instance to the owner of a team's bucket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct TokenRequest {
     /// Number of the request, unique for the share; the answer is matched by it.
     pub id: u64,
     /// Asking instance.
@@ -141,12 +141,12 @@
     /// Calls that wait for a token now.
     pub waiting: u32,
     /// Tokens wanted on top, for calls expected soon.
-    pub spare: u32,
+    pub prefetch: u32,
     /// Reports on earlier grants.
     pub reports: Vec<Report>,
 }
 
-/// Answer of the owner to an [`Ask`].
+/// Answer of the owner to an [`TokenRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The grant; meaningless when `tokens` is zero.
--- a/crates/policy/src/rate/owner.rs
+++ b/crates/policy/src/rate/owner.rs
@@ -3,18 +3,18 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use super::{Ask, Grant, GrantId, Limit, NANO, Report};
+use super::{Grant, GrantId, Limit, NANO, Report, TokenRequest};
 use crate::Name;
-use crate::check::invariant;
+use crate::invariants::check_invariant;
 
 /// Shortest time after which an instance is told to ask again.
-const MIN_RETRY: Duration = Duration::from_millis(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(1);
 
 /// How long after the announced time an instance that was told to ask again keeps its place.
-const PLACE_KEPT: Duration = Duration::from_millis(20);
+const RETRY_GRACE: Duration = Duration::from_millis(20);
 
 /// How long an instance counts as active after its last request.
-const ACTIVE_FOR: Duration = Duration::from_secs(1);
+const ACTIVE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Token bucket of one team.
 ///
@@ -26,11 +26,11 @@
     min_validity: Duration,
     level_nano: u64,
     outstanding: u64,
-    updated: Duration,
+    updated_at: Duration,
     /// In order of grant; expiry is checked from the front, so a grant behind one with a later
     /// expiry (after a change of the limit) stays outstanding for longer than necessary.
     grants: VecDeque<Outstanding>,
-    askers: Vec<Asker>,
+    requesters: Vec<Requester>,
 }
 
 #[derive(Clone, Debug)]
@@ -49,15 +49,15 @@
 }
 
 #[derive(Clone, Debug)]
-struct Asker {
+struct Requester {
     instance: Name,
     /// Calls that were left without a token by the last answer.
     waiting: u32,
     /// Since when it has waited without receiving any token.
-    since: Duration,
+    waiting_since: Duration,
     /// When it was told to ask again.
-    due: Duration,
-    seen: Duration,
+    retry_at: Duration,
+    last_seen: Duration,
 }
 
 impl OwnerBucket {
@@ -69,15 +69,15 @@
             min_validity,
             level_nano,
             outstanding: 0,
-            updated: now,
+            updated_at: now,
             grants: VecDeque::new(),
-            askers: Vec::new(),
+            requesters: Vec::new(),
         }
     }
 
     /// Returns a bucket that takes over `level_nano` and `outstanding` tokens of a former owner;
     /// the outstanding ones expire after `valid_for`.
-    pub(super) fn resumed(
+    pub(super) fn from_transfer(
         limit: Limit,
         min_validity: Duration,
         (level_nano, outstanding): (u64, u32),
@@ -87,7 +87,7 @@
         let mut bucket = Self::new(limit, min_validity, 0.0, now);
         let outstanding = outstanding.min(limit.burst());
         bucket.outstanding = u64::from(outstanding);
-        bucket.level_nano = level_nano.min(bucket.room());
+        bucket.level_nano = level_nano.min(bucket.max_level_nano());
         if outstanding > 0 {
             bucket.grants.push_back(Outstanding {
                 id: GrantId { session: 0, number: 0 },
@@ -129,7 +129,7 @@
     pub fn set_limit(&mut self, limit: Limit, now: Duration) {
         self.advance(now);
         self.limit = limit;
-        self.level_nano = self.level_nano.min(self.room());
+        self.level_nano = self.level_nano.min(self.max_level_nano());
     }
 
     /// Latest time at which an outstanding token expires.
@@ -138,93 +138,110 @@
     }
 
     /// Answers a request. `id` becomes the identity of the grant and must not be used again.
-    pub fn request(&mut self, id: GrantId, ask: &Ask, now: Duration) -> Grant {
+    pub fn request(&mut self, id: GrantId, request: &TokenRequest, now: Duration) -> Grant {
         self.advance(now);
-        for report in &ask.reports {
-            self.apply(report);
+        for report in &request.reports {
+            self.apply_report(report);
         }
-        let ahead = self.ahead_of(&ask.instance);
+        let ahead = self.ahead_of(&request.instance);
         let free = (self.level_nano / NANO).saturating_sub(u64::from(ahead));
-        let served = u64::from(ask.waiting).min(free) as u32;
+        let served = u64::from(request.waiting).min(free) as u32;
         let mut tokens = served;
-        if served == ask.waiting && ahead == 0 {
-            tokens += self.spare(ask.spare, served);
+        if served == request.waiting && ahead == 0 {
+            tokens += self.prefetch_tokens(request.prefetch, served);
         }
         let valid_for = self.limit.validity(self.min_validity);
         if tokens > 0 {
             self.level_nano -= u64::from(tokens) * NANO;
             self.outstanding += u64::from(tokens);
-            let expires = self.updated + valid_for;
+            let expires = self.updated_at + valid_for;
             self.grants.push_back(Outstanding { id, tokens, used: 0, returned: 0, expires });
         }
-        let left = ask.waiting - served;
-        let next = ahead + left.min(self.chunk());
+        let left = request.waiting - served;
+        let next = ahead + left.min(self.tokens_per_requester());
         let retry_after = if left == 0 { Duration::ZERO } else { self.wait_for(next) };
-        self.note(&ask.instance, left, served > 0, retry_after);
-        self.check();
+        self.update_requester(&request.instance, left, served > 0, retry_after);
+        self.check_level();
         Grant { id, tokens, valid_for, retry_after, backlog: self.backlog() }
     }
 
     /// Spare tokens come only from the upper half of the burst and are divided among the active
     /// instances, so that leases never leave the waiting calls of another instance without tokens.
-    fn spare(&self, wanted: u32, served: u32) -> u32 {
+    fn prefetch_tokens(&self, wanted: u32, served: u32) -> u32 {
         let level = self.level_nano / NANO - u64::from(served);
         let above_half = level.saturating_sub(u64::from(self.limit.burst()) / 2);
-        let active = self.askers.len().max(1) as u64;
+        let active = self.requesters.len().max(1) as u64;
         u64::from(wanted).min(above_half / active) as u32
     }
 
     /// Time until the level covers `tokens` tokens.
     fn wait_for(&self, tokens: u32) -> Duration {
         let missing = f64::from(tokens) - self.level();
-        self.limit.time_for(missing).max(MIN_RETRY)
+        self.limit.time_for(missing).max(MIN_RETRY_AFTER)
     }
 
     fn backlog(&self) -> u32 {
-        self.askers.iter().map(|a| a.waiting).sum()
+        self.requesters.iter().map(|a| a.waiting).sum()
     }
 
     /// Tokens that are kept for an instance that waits. More would let a few instances with many
     /// waiting calls keep all tokens from the others until the bucket is full.
-    fn chunk(&self) -> u32 {
-        (self.limit.burst() / 4 / self.askers.len().max(1) as u32).max(1)
+    fn tokens_per_requester(&self) -> u32 {
+        (self.limit.burst() / 4 / self.requesters.len().max(1) as u32).max(1)
     }
 
     /// Tokens kept for other instances that have waited for longer and still keep their place.
     fn ahead_of(&self, instance: &Name) -> u32 {
-        let own = self.askers.iter().find(|a| a.instance == *instance);
-        let since = match own {
-            Some(a) if a.waiting > 0 => a.since,
-            _ => self.updated,
+        let own = self.requesters.iter().find(|a| a.instance == *instance);
+        let waiting_since = match own {
+            Some(a) if a.waiting > 0 => a.waiting_since,
+            _ => self.updated_at,
         };
-        let earlier = |a: &&Asker| {
-            a.waiting > 0 && (a.since, &a.instance) < (since, instance) && a.instance != *instance
+        let earlier = |a: &&Requester| {
+            a.waiting > 0
+                && (a.waiting_since, &a.instance) < (waiting_since, instance)
+                && a.instance != *instance
         };
-        self.askers.iter().filter(earlier).map(|a| a.waiting.min(self.chunk())).sum()
+        self.requesters
+            .iter()
+            .filter(earlier)
+            .map(|a| a.waiting.min(self.tokens_per_requester()))
+            .sum()
     }
 
-    fn note(&mut self, instance: &Name, waiting: u32, served: bool, retry_after: Duration) {
-        let now = self.updated;
-        let fresh =
-            || Asker { instance: instance.clone(), waiting: 0, since: now, due: now, seen: now };
-        let at = match self.askers.binary_search_by(|a| a.instance.cmp(instance)) {
+    fn update_requester(
+        &mut self,
+        instance: &Name,
+        waiting: u32,
+        served: bool,
+        retry_after: Duration,
+    ) {
+        let now = self.updated_at;
+        let fresh = || Requester {
+            instance: instance.clone(),
+            waiting: 0,
+            waiting_since: now,
+            retry_at: now,
+            last_seen: now,
+        };
+        let at = match self.requesters.binary_search_by(|a| a.instance.cmp(instance)) {
             Ok(at) => at,
             Err(at) => {
-                self.askers.insert(at, fresh());
+                self.requesters.insert(at, fresh());
                 at
             }
         };
-        let asker = &mut self.askers[at];
-        if asker.waiting == 0 || served {
+        let requester = &mut self.requesters[at];
+        if requester.waiting == 0 || served {
             // An instance that received tokens goes behind those that did not.
-            asker.since = now;
+            requester.waiting_since = now;
         }
-        asker.waiting = waiting;
-        asker.due = now + retry_after;
-        asker.seen = now;
+        requester.waiting = waiting;
+        requester.retry_at = now + retry_after;
+        requester.last_seen = now;
     }
 
-    fn apply(&mut self, report: &Report) {
+    fn apply_report(&mut self, report: &Report) {
         let Ok(at) = self.grants.binary_search_by(|g| g.id.cmp(&report.grant)) else { return };
         let grant = &mut self.grants[at];
         let before = grant.open();
@@ -233,7 +250,7 @@
         let back = returned - grant.returned;
         grant.returned = returned;
         self.outstanding -= u64::from(before - grant.open());
-        self.level_nano = (self.level_nano + u64::from(back) * NANO).min(self.room());
+        self.level_nano = (self.level_nano + u64::from(back) * NANO).min(self.max_level_nano());
     }
 
     /// Refills up to `now` and lets grants expire, in the order in which both happen.
@@ -248,33 +265,33 @@
             self.grants.pop_front();
         }
         self.refill(now);
-        let now = self.updated;
-        self.askers.retain_mut(|a| {
-            if a.due + PLACE_KEPT < now {
+        let now = self.updated_at;
+        self.requesters.retain_mut(|a| {
+            if a.retry_at + RETRY_GRACE < now {
                 a.waiting = 0;
             }
-            a.waiting > 0 || a.seen + ACTIVE_FOR > now
+            a.waiting > 0 || a.last_seen + ACTIVE_WINDOW > now
         });
-        self.check();
+        self.check_level();
     }
 
     fn refill(&mut self, to: Duration) {
-        if to > self.updated {
-            let accrued = self.limit.accrued_nano(to - self.updated);
-            self.level_nano = self.level_nano.saturating_add(accrued).min(self.room());
-            self.updated = to;
+        if to > self.updated_at {
+            let accrued = self.limit.accrued_nano(to - self.updated_at);
+            self.level_nano = self.level_nano.saturating_add(accrued).min(self.max_level_nano());
+            self.updated_at = to;
         }
     }
 
     /// Highest level that the outstanding tokens permit.
-    fn room(&self) -> u64 {
+    fn max_level_nano(&self) -> u64 {
         self.limit.burst_nano().saturating_sub(self.outstanding * NANO)
     }
 
-    fn check(&self) {
+    fn check_level(&self) {
         // After the burst was lowered, more than the burst may be outstanding, with level zero.
         let total = self.level_nano + self.outstanding * NANO;
-        invariant(
+        check_invariant(
             self.level_nano == 0 || total <= self.limit.burst_nano(),
             "rate: level + outstanding <= burst",
         );
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -9,7 +9,7 @@
 //! Owner of the state: each instance for itself. After a crash it starts with the reserves.
 
 use crate::Name;
-use crate::check::invariant;
+use crate::invariants::check_invariant;
 
 /// Parameters of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug)]
@@ -30,26 +30,29 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Budget {
-    level: f64,
+    available: f64,
     attempts: u64,
     retries: u64,
 }
 
 impl Budget {
     fn new(reserve: f64) -> Self {
-        Self { level: reserve, attempts: 0, retries: 0 }
+        Self { available: reserve, attempts: 0, retries: 0 }
     }
 
-    fn attempted(&mut self, ratio: f64, reserve: f64) {
+    fn record_attempt(&mut self, ratio: f64, reserve: f64) {
         self.attempts += 1;
-        self.level = (self.level + ratio).min(reserve);
+        self.available = (self.available + ratio).min(reserve);
     }
 
-    fn retried(&mut self, ratio: f64, reserve: f64) {
-        self.level -= 1.0;
+    fn spend_retry(&mut self, ratio: f64, reserve: f64) {
+        self.available -= 1.0;
         self.retries += 1;
-        let most = reserve + ratio * self.attempts as f64;
-        invariant(self.retries as f64 <= most + 1e-3, "retry: retries are within the budget");
+        let allowed = reserve + ratio * self.attempts as f64;
+        check_invariant(
+            self.retries as f64 <= allowed + 1e-3,
+            "retry: retries are within the budget",
+        );
     }
 }
 
@@ -68,20 +71,20 @@
     }
 
     /// Notes a first attempt.
-    pub fn attempted(&mut self, team: &Name) {
+    pub fn record_attempt(&mut self, team: &Name) {
         let cfg = self.cfg;
-        self.instance.attempted(cfg.ratio, cfg.instance_reserve);
-        self.team(team).attempted(cfg.ratio, cfg.team_reserve);
+        self.instance.record_attempt(cfg.ratio, cfg.instance_reserve);
+        self.team(team).record_attempt(cfg.ratio, cfg.team_reserve);
     }
 
     /// Takes one retry from both budgets; returns whether it was available.
     pub fn try_retry(&mut self, team: &Name) -> bool {
         let cfg = self.cfg;
-        if self.instance.level < 1.0 || self.team(team).level < 1.0 {
+        if self.instance.available < 1.0 || self.team(team).available < 1.0 {
             return false;
         }
-        self.instance.retried(cfg.ratio, cfg.instance_reserve);
-        self.team(team).retried(cfg.ratio, cfg.team_reserve);
+        self.instance.spend_retry(cfg.ratio, cfg.instance_reserve);
+        self.team(team).spend_retry(cfg.ratio, cfg.team_reserve);
         true
     }
 
--- a/crates/policy/src/route/choose.rs
+++ b/crates/policy/src/route/choose.rs
@@ -16,9 +16,9 @@
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
     /// Endpoint that ran the program's last call.
-    pub last: Option<EndpointId>,
+    pub last_endpoint: Option<EndpointId>,
     /// Endpoints that must not run it, for example because they failed it.
-    pub avoid: &'a [EndpointId],
+    pub excluded: &'a [EndpointId],
 }
 
 /// A chosen endpoint.
@@ -37,7 +37,7 @@
 pub enum NoRoute {
     /// No endpoint serves the group, or none of them may receive new calls.
     #[error("no endpoint in service")]
-    NoneOpen,
+    NoneAvailable,
     /// Endpoints are in service, but all are full; the call waits.
     #[error("all endpoints are full")]
     Full,
@@ -60,18 +60,18 @@
 }
 
 /// Outcome of a scan that found nothing: whether any member was open at all.
-pub(super) fn none_found(fleet: &Fleet, req: &RouteRequest<'_>) -> NoRoute {
-    let open = |id: &EndpointId| fleet.is_open(*id) && !req.avoid.contains(id);
+pub(super) fn no_route(fleet: &Fleet, req: &RouteRequest<'_>) -> NoRoute {
+    let available = |id: &EndpointId| fleet.is_available(*id) && !req.excluded.contains(id);
     match fleet.members(req.group) {
-        Some(members) if members.iter().any(open) => NoRoute::Full,
-        _ => NoRoute::NoneOpen,
+        Some(members) if members.iter().any(available) => NoRoute::Full,
+        _ => NoRoute::NoneAvailable,
     }
 }
 
 /// Whether the baselines may choose an endpoint: they respect exclusions and caps, not load.
-fn allowed(fleet: &Fleet, req: &RouteRequest<'_>, id: EndpointId) -> bool {
-    let hot = &fleet.hot()[id.0 as usize];
-    hot.open && hot.own < hot.cap && !req.avoid.contains(&id)
+fn is_eligible(fleet: &Fleet, req: &RouteRequest<'_>, id: EndpointId) -> bool {
+    let state = &fleet.routing_states()[id.0 as usize];
+    state.available && state.own_in_flight < state.own_cap && !req.excluded.contains(&id)
 }
 
 /// Baseline: each endpoint in turn.
@@ -92,11 +92,11 @@
         for _ in 0..members.len() {
             let endpoint = members[self.next % members.len()];
             self.next = self.next.wrapping_add(1);
-            if allowed(fleet, req, endpoint) {
+            if is_eligible(fleet, req, endpoint) {
                 return Ok(Choice { endpoint, cost_s: 0.0, cached_blocks: 0 });
             }
         }
-        Err(none_found(fleet, req))
+        Err(no_route(fleet, req))
     }
 }
 
@@ -115,7 +115,7 @@
         let members = fleet.members(req.group).unwrap_or(&[]);
         let mut best: Option<(u32, EndpointId)> = None;
         let mut equal = 0;
-        for &id in members.iter().filter(|id| allowed(fleet, req, **id)) {
+        for &id in members.iter().filter(|id| is_eligible(fleet, req, **id)) {
             let own = fleet.own_in_flight(id);
             match best {
                 Some((least, _)) if own > least => continue,
@@ -128,7 +128,7 @@
         }
         match best {
             Some((_, endpoint)) => Ok(Choice { endpoint, cost_s: 0.0, cached_blocks: 0 }),
-            None => Err(none_found(fleet, req)),
+            None => Err(no_route(fleet, req)),
         }
     }
 }
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -2,9 +2,9 @@
 
 use rand::{Rng, RngCore};
 
-use super::choose::none_found;
-use super::fleet::Hot;
-use super::{Choice, Chooser, Depths, EndpointId, Fleet, NoRoute, PrefixIndex, RouteRequest};
+use super::choose::no_route;
+use super::fleet::RoutingState;
+use super::{CachedDepths, Choice, Chooser, EndpointId, Fleet, NoRoute, PrefixIndex, RouteRequest};
 
 /// Parameters of a [`CostChooser`].
 ///
@@ -16,26 +16,26 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CostConfig {
     /// Cost of an endpoint in another zone, in seconds.
-    pub other_zone_s: f32,
+    pub cross_zone_s: f32,
     /// Weight of prefill time. Above one, because prefill on an endpoint also delays the other
     /// calls there, which the call itself does not feel.
     pub prefill_weight: f32,
     /// Part of the service time by which a fully occupied endpoint slows a call down.
-    pub occupancy: f32,
+    pub occupancy_slowdown: f32,
     /// An endpoint takes calls up to this multiple of its capacity. Above one, so that a program can
     /// stay at a full endpoint that has cached its history.
-    pub max_fill: f32,
+    pub max_load_factor: f32,
     /// A group takes calls up to this multiple of its capacity; beyond, they wait in the fair queue
     /// and not at the endpoints, which know no teams.
-    pub group_fill: f32,
+    pub max_group_load_factor: f32,
     /// Costs this near to the best, in seconds, count as equal.
-    pub near_s: f32,
+    pub tie_s: f32,
     /// Costs this near to the best, as a part of it, count as equal.
-    pub near: f32,
+    pub tie_fraction: f32,
     /// A program leaves its endpoint only for a gain of this many seconds.
-    pub stay_s: f32,
+    pub stay_gain_s: f32,
     /// A program leaves its endpoint only for a gain of this part of the best cost.
-    pub stay: f32,
+    pub stay_gain_fraction: f32,
     /// Cost of opening a connection, in seconds.
     pub connect_s: f32,
 }
@@ -43,15 +43,15 @@
 impl Default for CostConfig {
     fn default() -> Self {
         Self {
-            other_zone_s: 0.006,
+            cross_zone_s: 0.006,
             prefill_weight: 8.0,
-            occupancy: 0.5,
-            max_fill: 2.0,
-            group_fill: 1.0,
-            near_s: 0.01,
-            near: 0.1,
-            stay_s: 0.02,
-            stay: 0.1,
+            occupancy_slowdown: 0.5,
+            max_load_factor: 2.0,
+            max_group_load_factor: 1.0,
+            tie_s: 0.01,
+            tie_fraction: 0.1,
+            stay_gain_s: 0.02,
+            stay_gain_fraction: 0.1,
             connect_s: 0.0,
         }
     }
@@ -62,34 +62,41 @@
 pub struct CostChooser {
     cfg: CostConfig,
     zone: crate::Name,
-    depths: Depths,
+    depths: CachedDepths,
     costs: Vec<f32>,
 }
 
 impl CostChooser {
     /// Returns a chooser for an instance in `zone`.
     pub fn new(zone: crate::Name, cfg: CostConfig) -> Self {
-        Self { cfg, zone, depths: Depths::default(), costs: Vec::new() }
+        Self { cfg, zone, depths: CachedDepths::default(), costs: Vec::new() }
     }
 
     /// Estimated cost of an endpoint in seconds, or infinity when it may not be chosen.
-    fn cost(&self, hot: &Hot, depth: u32, zone: u16, req: &RouteRequest<'_>) -> f32 {
+    fn cost(&self, state: &RoutingState, depth: u32, zone: u16, req: &RouteRequest<'_>) -> f32 {
         // No branches: which endpoints are full or near is not predictable.
-        let excluded =
-            !hot.open | (hot.load >= hot.capacity * self.cfg.max_fill) | (hot.own >= hot.cap);
+        let excluded = !state.available
+            | (state.load >= state.capacity * self.cfg.max_load_factor)
+            | (state.own_in_flight >= state.own_cap);
         let cached = depth.saturating_mul(req.block_tokens).min(req.prompt_tokens);
         let uncached = (req.prompt_tokens - cached) as f32;
-        let prefill = uncached * hot.prefill_s * self.cfg.prefill_weight;
-        let fill = (hot.load + 1.0) * hot.per_capacity;
-        let under = if fill < 1.0 { fill } else { 1.0 };
-        let wait = hot.service_s * (self.cfg.occupancy * under + (fill - under));
-        let distance = if zone == hot.zone { 0.0 } else { self.cfg.other_zone_s };
-        let connect = if hot.connected { 0.0 } else { self.cfg.connect_s };
+        let prefill = uncached * state.prefill_s * self.cfg.prefill_weight;
+        let load_factor = (state.load + 1.0) * state.inverse_capacity;
+        let below_capacity = if load_factor < 1.0 { load_factor } else { 1.0 };
+        let wait = state.service_s
+            * (self.cfg.occupancy_slowdown * below_capacity + (load_factor - below_capacity));
+        let distance = if zone == state.zone { 0.0 } else { self.cfg.cross_zone_s };
+        let connect = if state.connected { 0.0 } else { self.cfg.connect_s };
         if excluded { f32::INFINITY } else { wait + prefill + distance + connect }
     }
 
     /// The cheaper of two random endpoints whose cost is at most `limit`.
-    fn pick(&self, members: &[EndpointId], limit: f32, rng: &mut dyn RngCore) -> Option<usize> {
+    fn pick_near_best(
+        &self,
+        members: &[EndpointId],
+        limit: f32,
+        rng: &mut dyn RngCore,
+    ) -> Option<usize> {
         let near = || (0..members.len()).filter(|at| self.costs[*at] <= limit);
         let count = near().count();
         let mut any = || near().nth(rng.random_range(0..count.max(1)));
@@ -106,38 +113,38 @@
         req: &RouteRequest<'_>,
         rng: &mut dyn RngCore,
     ) -> Result<Choice, NoRoute> {
-        let Some(members) = fleet.members(req.group) else { return Err(NoRoute::NoneOpen) };
+        let Some(members) = fleet.members(req.group) else { return Err(NoRoute::NoneAvailable) };
         prefixes.lookup(req.blocks, &mut self.depths);
-        let zone = fleet.zone_of(&self.zone).unwrap_or(u16::MAX);
-        let hot = fleet.hot();
+        let zone = fleet.find_zone(&self.zone).unwrap_or(u16::MAX);
+        let states = fleet.routing_states();
         let mut costs = std::mem::take(&mut self.costs);
         costs.clear();
         let (mut load, mut capacity) = (0.0, 0.0);
         costs.extend(members.iter().map(|id| {
-            let hot = &hot[id.0 as usize];
-            load += if hot.open { hot.load } else { 0.0 };
-            capacity += if hot.open { hot.capacity } else { 0.0 };
-            self.cost(hot, self.depths.get(*id), zone, req)
+            let state = &states[id.0 as usize];
+            load += if state.available { state.load } else { 0.0 };
+            capacity += if state.available { state.capacity } else { 0.0 };
+            self.cost(state, self.depths.get(*id), zone, req)
         }));
         self.costs = costs;
-        if load >= capacity * self.cfg.group_fill {
-            return Err(none_found(fleet, req));
+        if load >= capacity * self.cfg.max_group_load_factor {
+            return Err(no_route(fleet, req));
         }
-        for avoid in req.avoid {
-            if let Some(at) = members.iter().position(|id| id == avoid) {
+        for excluded in req.excluded {
+            if let Some(at) = members.iter().position(|id| id == excluded) {
                 self.costs[at] = f32::INFINITY;
             }
         }
         let best = self.costs.iter().copied().fold(f32::INFINITY, f32::min);
         if best.is_infinite() {
-            return Err(none_found(fleet, req));
+            return Err(no_route(fleet, req));
         }
-        let stay = best + self.cfg.stay_s.max(self.cfg.stay * best);
-        let last = req.last.and_then(|last| members.iter().position(|id| *id == last));
-        let near = best + self.cfg.near_s.max(self.cfg.near * best);
+        let stay = best + self.cfg.stay_gain_s.max(self.cfg.stay_gain_fraction * best);
+        let last = req.last_endpoint.and_then(|last| members.iter().position(|id| *id == last));
+        let near = best + self.cfg.tie_s.max(self.cfg.tie_fraction * best);
         let at = match last {
             Some(at) if self.costs[at] <= stay => at,
-            _ => self.pick(members, near, rng).ok_or(NoRoute::Full)?,
+            _ => self.pick_near_best(members, near, rng).ok_or(NoRoute::Full)?,
         };
         let endpoint = members[at];
         let cached_blocks = self.depths.get(endpoint);
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -21,4 +21,4 @@
 pub use choose::{Choice, Chooser, LeastConnections, NoRoute, RoundRobin, RouteRequest};
 pub use cost::{CostChooser, CostConfig};
 pub use fleet::{EndpointId, EndpointSpec, Fleet, LoadReport};
-pub use prefix::{CacheChange, CacheEvent, Depths, PrefixChain, PrefixIndex};
+pub use prefix::{CacheChange, CacheEvent, CachedDepths, PrefixChain, PrefixIndex};
--- a/crates/policy/src/route/prefix.rs
+++ b/crates/policy/src/route/prefix.rs
@@ -19,9 +19,9 @@
 /// Spreads block hashes by one multiplication. They come from a cryptographic hash, but an engine may
 /// publish others, and hashes that differ only in their upper half would share few buckets.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spread(u64);
+struct BlockHasher(u64);
 
-impl Hasher for Spread {
+impl Hasher for BlockHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -94,16 +94,16 @@
     /// Number, increasing by one; a jump shows lost events.
     pub sequence: u64,
     /// When it happened, by the clock of this instance (arrival less the expected lag).
-    pub taken: Duration,
+    pub occurred_at: Duration,
     /// What happened.
     pub change: CacheChange,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Holder {
-    slot: u32,
+struct BlockHolder {
+    endpoint: u32,
     /// The endpoint's count of stored blocks when the block was last used.
-    stamp: u32,
+    last_used: u32,
     /// Time of the last dispatch, in milliseconds.
     used_ms: u32,
 }
@@ -115,63 +115,63 @@
     stored: u32,
     sequence: Option<u64>,
     /// Blocks per event, for the estimate of what lost events stored.
-    per_event: f32,
+    blocks_per_event: f32,
     generation_start: u32,
 }
 
 impl Cache {
-    fn holds(&self, stamp: u32) -> bool {
-        let age = self.stored.wrapping_sub(stamp);
+    fn holds(&self, last_used: u32) -> bool {
+        let age = self.stored.wrapping_sub(last_used);
         age < self.blocks && age < self.stored.wrapping_sub(self.generation_start)
     }
 }
 
 #[derive(Debug, Default)]
 struct Block {
-    holders: Vec<Holder>,
+    holders: Vec<BlockHolder>,
     /// Used since the eviction scan last passed it.
-    used: bool,
+    referenced: bool,
 }
 
 /// Index of the prompt blocks that endpoints hold, bounded in blocks.
 #[derive(Debug)]
 pub struct PrefixIndex {
-    blocks: HashMap<u64, Block, BuildHasherDefault<Spread>>,
+    blocks: HashMap<u64, Block, BuildHasherDefault<BlockHasher>>,
     /// Order in which blocks are considered for eviction (second chance).
-    scan: VecDeque<u64>,
+    clock_queue: VecDeque<u64>,
     max_blocks: usize,
     caches: Vec<Cache>,
 }
 
 /// Cached blocks per endpoint, as found by [`PrefixIndex::lookup`]. Reused between lookups.
 #[derive(Debug, Default)]
-pub struct Depths {
-    round: u32,
+pub struct CachedDepths {
+    lookup_number: u32,
     found: Vec<(u32, u32)>,
 }
 
-impl Depths {
+impl CachedDepths {
     /// Leading blocks that `id` has cached.
     pub fn get(&self, id: EndpointId) -> u32 {
         match self.found.get(id.0 as usize) {
-            Some((round, depth)) if *round == self.round => *depth,
+            Some((lookup_number, depth)) if *lookup_number == self.lookup_number => *depth,
             _ => 0,
         }
     }
 
     fn start(&mut self, endpoints: usize) {
-        self.round = self.round.wrapping_add(1);
-        if self.round == 0 {
+        self.lookup_number = self.lookup_number.wrapping_add(1);
+        if self.lookup_number == 0 {
             self.found.clear();
-            self.round = 1;
+            self.lookup_number = 1;
         }
         self.found.resize(endpoints.max(self.found.len()), (0, 0));
     }
 
-    fn note(&mut self, slot: u32, depth: u32) {
-        let found = &mut self.found[slot as usize];
-        if found.0 != self.round {
-            *found = (self.round, depth);
+    fn record(&mut self, endpoint: u32, depth: u32) {
+        let found = &mut self.found[endpoint as usize];
+        if found.0 != self.lookup_number {
+            *found = (self.lookup_number, depth);
         }
     }
 }
@@ -181,14 +181,14 @@
     pub fn new(max_blocks: usize) -> Self {
         Self {
             blocks: HashMap::default(),
-            scan: VecDeque::new(),
+            clock_queue: VecDeque::new(),
             max_blocks: max_blocks.max(1),
             caches: Vec::new(),
         }
     }
 
     /// Declares an endpoint whose cache holds `blocks` blocks, and forgets what was known of it.
-    pub fn declare(&mut self, id: EndpointId, blocks: u32) {
+    pub fn register(&mut self, id: EndpointId, blocks: u32) {
         let at = id.0 as usize;
         if self.caches.len() <= at {
             self.caches.resize(at + 1, Cache::default());
@@ -208,7 +208,7 @@
     }
 
     /// Notes that a prompt was dispatched to an endpoint, which caches all its blocks.
-    pub fn dispatched(&mut self, id: EndpointId, blocks: &[u64], now: Duration) {
+    pub fn record_dispatch(&mut self, id: EndpointId, blocks: &[u64], now: Duration) {
         // The last blocks are stored first, so that an endpoint evicts a chain from its end.
         for hash in blocks.iter().rev() {
             self.store(id, *hash, now);
@@ -216,7 +216,7 @@
     }
 
     /// Applies a cache event. Repeated and older events are ignored.
-    pub fn event(&mut self, id: EndpointId, event: &CacheEvent) {
+    pub fn apply_event(&mut self, id: EndpointId, event: &CacheEvent) {
         let Some(cache) = self.caches.get_mut(id.0 as usize) else { return };
         let next = cache.sequence.map_or(event.sequence, |last| last + 1);
         if event.sequence < next {
@@ -224,19 +224,19 @@
         }
         cache.sequence = Some(event.sequence);
         let lost = (event.sequence - next).min(u64::from(cache.blocks)) as f32;
-        let aged = (lost * cache.per_event).min(cache.blocks as f32);
+        let aged = (lost * cache.blocks_per_event).min(cache.blocks as f32);
         cache.stored = cache.stored.wrapping_add(aged as u32);
         match &event.change {
             CacheChange::Stored(blocks) => {
-                cache.per_event += 0.1 * (blocks.len() as f32 - cache.per_event);
+                cache.blocks_per_event += 0.1 * (blocks.len() as f32 - cache.blocks_per_event);
                 for hash in blocks.iter().rev() {
-                    self.store(id, *hash, event.taken);
+                    self.store(id, *hash, event.occurred_at);
                 }
             }
             CacheChange::Removed(blocks) => {
-                cache.per_event *= 0.9;
+                cache.blocks_per_event *= 0.9;
                 for hash in blocks {
-                    self.remove(id, *hash, event.taken);
+                    self.remove(id, *hash, event.occurred_at);
                 }
             }
             CacheChange::Cleared => self.clear(id),
@@ -253,16 +253,16 @@
 
     /// Finds how many leading blocks each endpoint has cached. Exact for the `MAX_LEVELS` longest
     /// prefixes that differ; endpoints with shorter ones count as having none.
-    pub fn lookup(&self, blocks: &[u64], depths: &mut Depths) {
+    pub fn lookup(&self, blocks: &[u64], depths: &mut CachedDepths) {
         depths.start(self.caches.len());
-        let mut depth = self.deepest(blocks);
+        let mut depth = self.deepest_held(blocks);
         for _ in 0..MAX_LEVELS {
             let Some(block) = depth.checked_sub(1).and_then(|at| self.blocks.get(&blocks[at]))
             else {
                 return;
             };
             for holder in block.holders.iter().filter(|h| self.holds(h)) {
-                depths.note(holder.slot, depth as u32);
+                depths.record(holder.endpoint, depth as u32);
             }
             // The holders of a block include those of the blocks after it, so the next endpoints
             // are at the deepest block with more holders.
@@ -277,14 +277,14 @@
 
     /// Number of leading blocks that any endpoint holds. If a block is held, so are those before
     /// it, as a rule; after an exception the result is too low.
-    fn deepest(&self, blocks: &[u64]) -> usize {
+    fn deepest_held(&self, blocks: &[u64]) -> usize {
         blocks.partition_point(|hash| {
             self.blocks.get(hash).is_some_and(|b| b.holders.iter().any(|h| self.holds(h)))
         })
     }
 
-    fn holds(&self, holder: &Holder) -> bool {
-        self.caches[holder.slot as usize].holds(holder.stamp)
+    fn holds(&self, holder: &BlockHolder) -> bool {
+        self.caches[holder.endpoint as usize].holds(holder.last_used)
     }
 
     fn store(&mut self, id: EndpointId, hash: u64, at: Duration) {
@@ -292,43 +292,47 @@
             return;
         }
         if !self.blocks.contains_key(&hash) {
-            self.make_room();
-            self.scan.push_back(hash);
+            self.evict_blocks();
+            self.clock_queue.push_back(hash);
         }
         let cache = &mut self.caches[id.0 as usize];
         let block = self.blocks.entry(hash).or_default();
-        block.used = true;
+        block.referenced = true;
         let used_ms = at.as_millis() as u32;
-        match block.holders.iter_mut().find(|h| h.slot == id.0) {
-            Some(holder) if cache.holds(holder.stamp) => {
-                holder.stamp = cache.stored;
+        match block.holders.iter_mut().find(|h| h.endpoint == id.0) {
+            Some(holder) if cache.holds(holder.last_used) => {
+                holder.last_used = cache.stored;
                 holder.used_ms = holder.used_ms.max(used_ms);
             }
             Some(holder) => {
                 cache.stored = cache.stored.wrapping_add(1);
-                *holder = Holder { slot: id.0, stamp: cache.stored, used_ms };
+                *holder = BlockHolder { endpoint: id.0, last_used: cache.stored, used_ms };
             }
             None => {
                 cache.stored = cache.stored.wrapping_add(1);
-                block.holders.push(Holder { slot: id.0, stamp: cache.stored, used_ms });
+                block.holders.push(BlockHolder {
+                    endpoint: id.0,
+                    last_used: cache.stored,
+                    used_ms,
+                });
             }
         }
     }
 
-    fn remove(&mut self, id: EndpointId, hash: u64, taken: Duration) {
+    fn remove(&mut self, id: EndpointId, hash: u64, occurred_at: Duration) {
         if let Some(block) = self.blocks.get_mut(&hash) {
-            let taken_ms = taken.as_millis() as u32;
-            block.holders.retain(|h| h.slot != id.0 || h.used_ms > taken_ms);
+            let occurred_at_ms = occurred_at.as_millis() as u32;
+            block.holders.retain(|h| h.endpoint != id.0 || h.used_ms > occurred_at_ms);
         }
     }
 
-    fn make_room(&mut self) {
+    fn evict_blocks(&mut self) {
         while self.blocks.len() >= self.max_blocks {
-            let Some(hash) = self.scan.pop_front() else { return };
+            let Some(hash) = self.clock_queue.pop_front() else { return };
             match self.blocks.get_mut(&hash) {
-                Some(block) if block.used => {
-                    block.used = false;
-                    self.scan.push_back(hash);
+                Some(block) if block.referenced => {
+                    block.referenced = false;
+                    self.clock_queue.push_back(hash);
                 }
                 _ => {
                     self.blocks.remove(&hash);
--- a/crates/policy/tests/call_priorities.rs
+++ b/crates/policy/tests/call_priorities.rs
@@ -53,7 +53,7 @@
     rounds(&mut priorities, &[("greedy", 1, 500), ("small", 1, 100)]);
     let now = secs(1_000.0);
     let alone = priorities.dispatch(&"small".into(), 1, 100, now, EPOCH + now);
-    assert_eq!(priorities.active(), 1);
+    assert_eq!(priorities.active_teams(), 1);
     assert_eq!(u128::try_from(alone).unwrap(), (EPOCH + now).as_millis());
 }
 
@@ -84,7 +84,7 @@
             Call { team: team.into(), weight: 1, program: None, cost: 1, deadline, payload: () };
         queue.push(call, secs(0.0)).unwrap();
     }
-    let within = |team: &Name| priorities.within_part(team);
+    let within = |team: &Name| priorities.is_within_share(team);
     let taken = queue.pop_where(&mut limit, secs(0.0), within).unwrap();
     assert_eq!(&*taken.call.team, "small");
     assert!(queue.pop_where(&mut limit, secs(0.0), within).is_none());
--- a/crates/policy/tests/cold_starts.rs
+++ b/crates/policy/tests/cold_starts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use poplarspan_policy::starts::{Place, StartGate};
+use poplarspan_policy::cold_start::{InstanceRank, StartLimiter};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 proptest! {
@@ -21,14 +21,14 @@
         offset in any::<u32>(),
         steps in proptest::collection::vec((any::<u32>(), 0u64..10), 100..600),
     ) {
-        let mut gates = vec![StartGate::default(); instances as usize];
+        let mut limiters = vec![StartLimiter::default(); instances as usize];
         let (mut now, mut starts) = (Duration::ZERO, Vec::new());
-        for (who, pause) in steps {
+        for (index, pause) in steps {
             now += Duration::from_millis(pause);
-            let rank = who % instances;
-            let gate = &mut gates[rank as usize];
-            if gate.is_open(per_second, Place { rank, of: instances }, offset, now) {
-                gate.start(now);
+            let rank = index % instances;
+            let limiter = &mut limiters[rank as usize];
+            if limiter.allows(per_second, InstanceRank { rank, count: instances }, offset, now) {
+                limiter.record_start(now);
                 starts.push(now);
             }
         }
@@ -45,8 +45,8 @@
 fn someone_may_start() {
     for offset in 0..50 {
         let open = (0..40).filter(|rank| {
-            let place = Place { rank: *rank, of: 40 };
-            StartGate::default().is_open(3.0, place, offset, Duration::ZERO)
+            let rank = InstanceRank { rank: *rank, count: 40 };
+            StartLimiter::default().allows(3.0, rank, offset, Duration::ZERO)
         });
         assert_eq!(open.count(), 3);
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -12,7 +12,7 @@
 
 /// Configuration with `cases` cases from a fixed seed.
 #[allow(dead_code)]
-pub fn fixed(cases: u32, seed: u64) -> Config {
+pub fn fixed_seed(cases: u32, seed: u64) -> Config {
     println!("proptest seed {seed}");
     Config { cases, failure_persistence: None, rng_seed: RngSeed::Fixed(seed), ..Config::default() }
 }
--- a/crates/policy/tests/compare_bounds.rs
+++ b/crates/policy/tests/compare_bounds.rs
@@ -11,10 +11,10 @@
 
 fn at_load(load: f64, duration_s: f64) -> Scenario {
     println!("seed {SEED}");
-    Scenario { seed: SEED, load, duration_s, greedy: None, zone_leaves: false }
+    Scenario { seed: SEED, load, duration_s, greedy: None, zone_outage: false }
 }
 
-fn waste(measures: &sim::Measures) -> f64 {
+fn waste_ratio(measures: &sim::Measures) -> f64 {
     measures.wasted_tokens as f64 / measures.needed_tokens as f64
 }
 
@@ -26,9 +26,12 @@
     for policy in Policy::BASELINES {
         let baseline = sim::run(&sim::A, policy, &scenario);
         let (we, they) = (ours.latency_s(0.95), baseline.latency_s(0.95));
-        println!("{policy:?}: p95 {they:.1} s, ours {we:.1} s; wasted {:.2}", waste(&baseline));
+        println!(
+            "{policy:?}: p95 {they:.1} s, ours {we:.1} s; wasted {:.2}",
+            waste_ratio(&baseline)
+        );
         assert!(they >= 1.5 * we, "{policy:?}: p95 {they:.1} s, ours {we:.1} s");
-        let (we, they) = (waste(&ours), waste(&baseline));
+        let (we, they) = (waste_ratio(&ours), waste_ratio(&baseline));
         assert!(we <= they / 2.0, "{policy:?}: wasted {they:.2}, ours {we:.2}");
     }
 }
@@ -47,9 +50,14 @@
 #[test]
 fn zone_leaves_without_refusals() {
     for deployment in [&sim::A, &sim::B] {
-        let scenario = Scenario { zone_leaves: true, ..at_load(0.6, 100.0) };
+        let scenario = Scenario { zone_outage: true, ..at_load(0.6, 100.0) };
         let ours = sim::run(deployment, Policy::Ours, &scenario);
         assert!(ours.calls_within_rate > 5_000, "{} calls", ours.calls_within_rate);
-        assert_eq!((ours.refused_within_rate, ours.to_zone_out), (0, 0), "{}", deployment.name);
+        assert_eq!(
+            (ours.refused_within_rate, ours.calls_to_disabled_zone),
+            (0, 0),
+            "{}",
+            deployment.name
+        );
     }
 }
--- a/crates/policy/tests/crash_containment.rs
+++ b/crates/policy/tests/crash_containment.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::fixed;
+use common::fixed_seed;
 use poplarspan_policy::Name;
 use poplarspan_policy::containment::*;
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(256, 13))]
+    #![proptest_config(fixed_seed(256, 13))]
 
     /// Guards against a third endpoint that is lost because instances exchange their tables late.
     /// The caller resends at random instances, as soon as it has an answer.
@@ -41,7 +41,7 @@
             net = later;
             for (_, from, to, records) in due {
                 tables[to].merge(&records, now);
-                tables[from].acknowledged(&names[to], &records);
+                tables[from].acknowledge(&names[to], &records);
             }
             for (from, table) in tables.iter().enumerate() {
                 for (to, peer) in names.iter().enumerate() {
@@ -52,7 +52,7 @@
                 }
             }
             let Some(i) = at else { continue };
-            if waiting && tables[i].is_settled(fingerprint) {
+            if waiting && tables[i].is_replicated(fingerprint) {
                 // The instance answers, and the caller resends elsewhere.
                 at = Some(rng.random_range(0..instances));
                 waiting = false;
@@ -60,8 +60,8 @@
             }
             let not = match tables[i].admission(fingerprint, now) {
                 Admission::Anywhere => Vec::new(),
-                Admission::OneMore(not) => not,
-                Admission::NotYet => continue,
+                Admission::Excluding(not) => not,
+                Admission::Pending => continue,
                 Admission::Refused => {
                     refused += 1;
                     at = Some(rng.random_range(0..instances));
@@ -75,7 +75,7 @@
             tables[i].record(crash(fingerprint, &endpoint, now), &peers, now);
             waiting = true;
         }
-        prop_assert!(crashed.len() <= MAX_ENDPOINTS, "crashed {crashed:?}");
+        prop_assert!(crashed.len() <= MAX_CRASHED_ENDPOINTS, "crashed {crashed:?}");
         prop_assert!(refused > 0);
     }
 
@@ -98,7 +98,7 @@
         right.merge(two, 2000);
         right.merge(one, 2000);
         prop_assert_eq!(left.records(), right.records());
-        let mut small = Containment::new(ContainmentConfig { max_records: 8, keep_ms: 500 });
+        let mut small = Containment::new(ContainmentConfig { max_records: 8, retention_ms: 500 });
         small.merge(&records, 2000);
         prop_assert!(small.records().len() <= 8);
         prop_assert!(small.records().iter().all(|c| c.at_ms > 1500));
@@ -112,13 +112,13 @@
     let (bad, good) = (Fingerprint([1; 32]), Fingerprint([2; 32]));
     for fingerprint in [bad, good] {
         table.record(crash(fingerprint, "a", 1), &[], 1);
-        assert_eq!(table.admission(fingerprint, 2), Admission::OneMore(vec!["a".into()]));
+        assert_eq!(table.admission(fingerprint, 2), Admission::Excluding(vec!["a".into()]));
     }
-    assert!(table.begin_suspect(&"b".into(), bad));
-    assert!(!table.begin_suspect(&"b".into(), good));
-    assert!(table.begin_suspect(&"c".into(), good));
+    assert!(table.reserve_endpoint(&"b".into(), bad));
+    assert!(!table.reserve_endpoint(&"b".into(), good));
+    assert!(table.reserve_endpoint(&"c".into(), good));
     table.record(crash(bad, "b", 3), &[], 3);
     assert_eq!(table.admission(bad, 4), Admission::Refused);
-    table.end_suspect("c", good);
-    assert_eq!(table.admission(good, 4), Admission::OneMore(vec!["a".into()]));
+    table.release_endpoint("c", good);
+    assert_eq!(table.admission(good, 4), Admission::Excluding(vec!["a".into()]));
 }
--- a/crates/policy/tests/endpoint_departures.rs
+++ b/crates/policy/tests/endpoint_departures.rs
@@ -2,51 +2,51 @@
 
 use poplarspan_policy::{
     Name,
-    departures::{Departures, Start},
+    departures::{Departures, EndpointRun},
 };
 
-fn start(name: &str, started_ms: Option<u64>) -> Start<'_> {
-    Start { name, started_ms }
+fn start(name: &str, started_ms: Option<u64>) -> EndpointRun<'_> {
+    EndpointRun { name, started_ms }
 }
 
 #[test]
 fn until_next_start() {
     let mut departures = Departures::default();
     let name: Name = "engine-1".into();
-    assert!(!departures.includes(start("engine-1", Some(7))));
-    departures.note(&name, Some(7));
-    assert!(departures.includes(start("engine-1", Some(7))));
-    assert!(!departures.includes(start("engine-2", Some(7))));
+    assert!(!departures.contains(start("engine-1", Some(7))));
+    departures.record(&name, Some(7));
+    assert!(departures.contains(start("engine-1", Some(7))));
+    assert!(!departures.contains(start("engine-2", Some(7))));
 
     // The same start, listed again or missing for a while, is still the one that leaves.
-    departures.follow(&[start("engine-1", Some(7)), start("engine-2", Some(7))]);
-    departures.follow(&[start("engine-2", Some(7))]);
-    departures.follow(&[start("engine-1", Some(7))]);
-    assert!(departures.includes(start("engine-1", Some(7))));
+    departures.reconcile(&[start("engine-1", Some(7)), start("engine-2", Some(7))]);
+    departures.reconcile(&[start("engine-2", Some(7))]);
+    departures.reconcile(&[start("engine-1", Some(7))]);
+    assert!(departures.contains(start("engine-1", Some(7))));
 
     // A new start under the old name is another endpoint.
-    assert!(!departures.includes(start("engine-1", Some(9))));
-    departures.follow(&[start("engine-1", Some(9))]);
-    assert!(!departures.includes(start("engine-1", Some(7))));
+    assert!(!departures.contains(start("engine-1", Some(9))));
+    departures.reconcile(&[start("engine-1", Some(9))]);
+    assert!(!departures.contains(start("engine-1", Some(7))));
 }
 
 #[test]
 fn without_start_times() {
     let mut departures = Departures::default();
-    departures.note(&"engine-1".into(), None);
-    departures.follow(&[start("engine-1", None)]);
-    assert!(departures.includes(start("engine-1", None)));
-    departures.follow(&[]);
-    departures.follow(&[start("engine-1", None)]);
-    assert!(!departures.includes(start("engine-1", None)));
+    departures.record(&"engine-1".into(), None);
+    departures.reconcile(&[start("engine-1", None)]);
+    assert!(departures.contains(start("engine-1", None)));
+    departures.reconcile(&[]);
+    departures.reconcile(&[start("engine-1", None)]);
+    assert!(!departures.contains(start("engine-1", None)));
 }
 
 #[test]
 fn bounded_memory() {
     let mut departures = Departures::default();
     for n in 0..10_000 {
-        departures.note(&format!("engine-{n}").into(), Some(n));
+        departures.record(&format!("engine-{n}").into(), Some(n));
     }
-    assert!(!departures.includes(start("engine-0", Some(0))));
-    assert!(departures.includes(start("engine-9999", Some(9_999))));
+    assert!(!departures.contains(start("engine-0", Some(0))));
+    assert!(departures.contains(start("engine-9999", Some(9_999))));
 }
--- a/crates/policy/tests/faded_loads.rs
+++ b/crates/policy/tests/faded_loads.rs
@@ -18,14 +18,14 @@
         leaving: false,
     });
     let (half_life, seen) = (Duration::from_millis(500), Duration::from_secs(1));
-    fleet.report(id, &LoadReport { running: 8, queued: 8, taken: seen });
-    fleet.began(id, seen);
-    fleet.fade(half_life, seen);
+    fleet.report(id, &LoadReport { running: 8, queued: 8, measured_at: seen });
+    fleet.call_started(id, seen);
+    fleet.decay_reports(half_life, seen);
     assert_eq!(fleet.load(id), 17.0);
-    fleet.fade(half_life, seen + half_life);
+    fleet.decay_reports(half_life, seen + half_life);
     assert_eq!(fleet.load(id), 9.0, "own calls count whole, those of others half");
-    fleet.fade(half_life, seen + 20 * half_life);
+    fleet.decay_reports(half_life, seen + 20 * half_life);
     assert!(fleet.load(id) < 1.1);
-    fleet.report(id, &LoadReport { running: 8, queued: 0, taken: seen + 20 * half_life });
+    fleet.report(id, &LoadReport { running: 8, queued: 0, measured_at: seen + 20 * half_life });
     assert!(fleet.load(id) >= 8.0, "a new report counts whole");
 }
--- a/crates/policy/tests/fair_shares.rs
+++ b/crates/policy/tests/fair_shares.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{fixed, ms};
+use common::{fixed_seed, ms};
 use poplarspan_policy::Name;
 use poplarspan_policy::fair::*;
 use proptest::prelude::*;
@@ -21,7 +21,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(64, 15))]
+    #![proptest_config(fixed_seed(64, 15))]
 
     /// Guards against a backlogged team that falls behind another by more than the bound of
     /// start-time fair queueing, whatever calls come, go and are settled at another cost.
@@ -176,12 +176,12 @@
     let mut limits = FixedLimit::new(1);
     queue.push(call("a", 1, "p", 1), ms(0)).unwrap();
     queue.push(call("a", 1, "p", 1), ms(0)).unwrap();
-    assert!(matches!(queue.push(call("a", 1, "p", 1), ms(0)), Err(Full::Team(_))));
+    assert!(matches!(queue.push(call("a", 1, "p", 1), ms(0)), Err(QueueFull::Team(_))));
     queue.push(call("b", 1, "p", 1), ms(0)).unwrap();
-    assert!(matches!(queue.push(call("c", 1, "p", 1), ms(0)), Err(Full::Queue(_))));
+    assert!(matches!(queue.push(call("c", 1, "p", 1), ms(0)), Err(QueueFull::Queue(_))));
     assert!(queue.pop(&mut limits, ms(0)).is_some());
     assert!(queue.pop(&mut limits, ms(0)).is_none());
-    limits.ended(1);
+    limits.release(1);
     assert!(queue.pop(&mut limits, ms(0)).is_some());
     assert_eq!(queue.remove_where(|call| &*call.team == "a" || &*call.team == "b").len(), 1);
 }
--- a/crates/policy/tests/placement_orders.rs
+++ b/crates/policy/tests/placement_orders.rs
@@ -6,19 +6,20 @@
 use poplarspan_policy::placement::*;
 
 fn host(name: &str, loaded: &[(&str, u32)]) -> Host {
-    let loaded = loaded.iter().map(|(m, n)| Loaded { model: (*m).into(), in_flight: *n }).collect();
-    Host { endpoint: name.into(), capacity: 10, max_models: 2, loaded, open: true }
+    let loaded =
+        loaded.iter().map(|(m, n)| LoadedModel { model: (*m).into(), in_flight: *n }).collect();
+    Host { endpoint: name.into(), capacity: 10, max_models: 2, loaded, available: true }
 }
 
-fn demand(calls: f64) -> [Demand; 1] {
-    [Demand { model: "m".into(), calls, bytes: 1e9 }]
+fn demand(calls: f64) -> [ModelDemand; 1] {
+    [ModelDemand { model: "m".into(), calls, bytes: 1e9 }]
 }
 
 fn planner() -> Placement {
     let cfg = PlacementConfig {
         store_bytes_per_s: 1e8,
         store_burst_bytes: 2e9,
-        settle: ms(5000),
+        scale_in_delay: ms(5000),
         ..PlacementConfig::default()
     };
     Placement::new(cfg, 3, ms(0))
@@ -33,8 +34,8 @@
     for now in 0..60 {
         for order in planner.plan(&demand(21.0), &hosts, ms(now * 1000)) {
             assert_eq!(order.action, Action::Load);
-            assert!(order.fence > fence);
-            fence = order.fence;
+            assert!(order.fencing_token > fence);
+            fence = order.fencing_token;
             loads.push((now, order.endpoint));
         }
     }
