--- a/crates/ledger/src/error.rs
+++ b/crates/ledger/src/error.rs
@@ -17,6 +17,6 @@
 /// Format number that each snapshot carries in its first field.
 pub(crate) const SNAPSHOT_FORMAT: u32 = 1;
 
-/// Exclusive bound on the generation, epoch and last claim number of a snapshot. It leaves enough
-/// room that these counters can be incremented without an overflow check.
+/// Exclusive bound on the generation, the epoch, and the last claim or order number of a snapshot. It
+/// leaves enough room to increment these counters without an overflow check.
 pub(crate) const MAX_COUNTER: u64 = u64::MAX / 2;
--- a/crates/ledger/src/names.rs
+++ b/crates/ledger/src/names.rs
@@ -6,7 +6,8 @@
 const MAX_PATH_PARTS: usize = 8;
 /// Maximum length of one part of a program's path.
 const MAX_PART_CHARS: usize = 64;
-/// Maximum length of the name of a team, key, instance or endpoint.
+/// Maximum length of all other names and ids, such as those of teams, idempotency keys, instances
+/// and publications.
 const MAX_NAME_BYTES: usize = 256;
 
 /// A program path or an idempotency key, qualified by its team.
--- a/crates/ledger/tests/random_commands.rs
+++ b/crates/ledger/tests/random_commands.rs
@@ -169,10 +169,10 @@
 fn begin() -> impl Strategy<Value = Begin> {
     let program = prop_oneof![5 => (0..PROGRAMS.len()).prop_map(Some), 1 => Just(None)];
     let turn = prop_oneof![1 => Just(None), 2 => (1..7_u32).prop_map(Some)];
-    let who = (any::<bool>(), program, turn, 0..12_u32, (0..3_u64, 0..3_u64));
-    let what = (any::<bool>(), 0..12_u64, prop::bool::weighted(0.1), 0..3_u64, 0..40_u64);
-    (who, what).prop_map(|((team, program, turn, key, (instance, incarnation)), what)| {
-        let (is_idempotent, reserve_tokens, key_generated, attempt, timeout_ms) = what;
+    let sender = (any::<bool>(), program, turn, 0..12_u32, (0..3_u64, 0..3_u64));
+    let options = (any::<bool>(), 0..12_u64, prop::bool::weighted(0.1), 0..3_u64, 0..40_u64);
+    (sender, options).prop_map(|((team, program, turn, key, (instance, incarnation)), options)| {
+        let (is_idempotent, reserve_tokens, key_generated, attempt, timeout_ms) = options;
         let limits =
             Limits { tokens: Some(60), turns: Some(20), lifetime_ms: Some(200), idle_ms: Some(40) };
         Begin {
