--- a/crates/server/examples/slopes/ledger.rs
+++ b/crates/server/examples/slopes/ledger.rs
@@ -12,14 +12,14 @@
 
 const PROGRAMS_PER_TEAM: u64 = 10;
 
-struct Machine {
+struct LedgerMachine {
     ledger: Ledger,
     index: u64,
     begin_bytes: usize,
     end_bytes: usize,
 }
 
-impl Machine {
+impl LedgerMachine {
     fn apply(&mut self, command: Command) -> (usize, ledger_answer::Answer) {
         self.index += 1;
         let now_ms = 1_780_000_000_000;
@@ -66,7 +66,7 @@
 /// with `resent` set the caller sends all earlier turns again, as chat callers do.
 pub(crate) fn run(programs: u64, turns: u64, bytes: u64, resent: u64) {
     let ledger = Ledger::new();
-    let mut machine = Machine { ledger, index: 0, begin_bytes: 0, end_bytes: 0 };
+    let mut machine = LedgerMachine { ledger, index: 0, begin_bytes: 0, end_bytes: 0 };
     let unbounded = Configure { team_bytes: Some(u64::MAX), ..Configure::default() };
     machine.apply(Command::Configure(unbounded));
     let base = resident();
--- a/crates/server/examples/slopes/log.rs
+++ b/crates/server/examples/slopes/log.rs
@@ -22,9 +22,9 @@
 const RUN: Duration = Duration::from_secs(5);
 
 /// Keeps nothing.
-struct Nothing;
+struct NullMachine;
 
-impl StateMachine for Nothing {
+impl StateMachine for NullMachine {
     fn apply(&mut self, _: u64, _: &[u8]) -> Bytes {
         Bytes::new()
     }
@@ -44,16 +44,16 @@
     bytes: AtomicU64,
 }
 
-type Nodes = Arc<Mutex<Vec<Weak<Node>>>>;
+type NodeLinks = Arc<Mutex<Vec<Weak<Node>>>>;
 
 /// Delivers within the process, and counts what would be sent.
-struct Port {
+struct LocalTransport {
     from: ReplicaId,
-    nodes: Nodes,
+    nodes: NodeLinks,
     counts: Arc<Counts>,
 }
 
-impl Transport for Port {
+impl Transport for LocalTransport {
     fn send(&self, to: ReplicaId, message: PeerMessage) {
         self.counts.messages.fetch_add(1, Ordering::Relaxed);
         self.counts.bytes.fetch_add(message.encode().len() as u64, Ordering::Relaxed);
@@ -78,18 +78,19 @@
         let folder = tempfile::tempdir().expect("folder");
         let groups: Vec<_> = (0..groups as u32).map(GroupId).collect();
         let voters: Vec<_> = (1..=REPLICAS).map(ReplicaId).collect();
-        let (links, counts) = (Nodes::default(), Arc::new(Counts::default()));
+        let (links, counts) = (NodeLinks::default(), Arc::new(Counts::default()));
         let mut nodes = Vec::new();
         for &id in &voters {
             let path = folder.path().join(id.0.to_string());
             FileStore::create(&path).expect("created");
             let store = FileStore::open(&path, StoreOptions::default()).expect("store");
             init_voters(&store, &groups, &voters).await.expect("voters");
-            let port = Port { from: id, nodes: links.clone(), counts: counts.clone() };
+            let transport =
+                LocalTransport { from: id, nodes: links.clone(), counts: counts.clone() };
             let cfg = NodeConfig { seed: id.0, ..NodeConfig::default() };
-            let mut builder = Node::builder(id, Box::new(store), Arc::new(port)).config(cfg);
+            let mut builder = Node::builder(id, Box::new(store), Arc::new(transport)).config(cfg);
             for group in &groups {
-                builder = builder.group(*group, Box::new(Nothing));
+                builder = builder.group(*group, Box::new(NullMachine));
             }
             let node = Arc::new(builder.start().await.expect("started"));
             links.lock().expect("no panic").push(Arc::downgrade(&node));
@@ -110,7 +111,7 @@
         })
     }
 
-    fn counted(&self) -> (u64, u64) {
+    fn totals(&self) -> (u64, u64) {
         let load = |n: &AtomicU64| n.load(Ordering::Relaxed);
         (load(&self.counts.messages), load(&self.counts.bytes))
     }
@@ -125,10 +126,10 @@
     block_on(async {
         let cluster = Cluster::start(groups).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let (before, cpu, start) = (cluster.counted(), cpu_all_threads(), Instant::now());
+        let (before, cpu, start) = (cluster.totals(), cpu_all_threads(), Instant::now());
         tokio::time::sleep(RUN).await;
         let (after, cpu, seconds) =
-            (cluster.counted(), cpu_all_threads() - cpu, start.elapsed().as_secs_f64());
+            (cluster.totals(), cpu_all_threads() - cpu, start.elapsed().as_secs_f64());
         let per = |n: u64| n as f64 / seconds / groups as f64;
         println!(
             "{groups} groups, {REPLICAS} replicas, idle: {:.1} messages/s and {:.0} bytes/s a \
@@ -146,7 +147,7 @@
         let cluster = Cluster::start(1).await;
         let group = cluster.leader(GroupId(0)).expect("a leader");
         let commits = Arc::new(AtomicU64::new(0));
-        let (before, cpu, start) = (cluster.counted(), cpu_all_threads(), Instant::now());
+        let (before, cpu, start) = (cluster.totals(), cpu_all_threads(), Instant::now());
         let tasks = (0..writers).map(|_| {
             let (group, commits) = (group.clone(), commits.clone());
             tokio::spawn(async move {
@@ -160,7 +161,7 @@
         for task in join_all(tasks).await {
             task.expect("no panic");
         }
-        let (after, cpu) = (cluster.counted(), cpu_all_threads() - cpu);
+        let (after, cpu) = (cluster.totals(), cpu_all_threads() - cpu);
         let commits = commits.load(Ordering::Relaxed);
         let each = |n: u64| n as f64 / commits as f64;
         println!(
--- a/crates/server/examples/slopes/rates.rs
+++ b/crates/server/examples/slopes/rates.rs
@@ -55,8 +55,8 @@
     let limit = Limit::new(calls_per_second as f64 / 0.9, burst as u32);
     let mut share = Share::new("instance-100".into(), limit, ShareConfig::default());
     let mut owner = OwnerBucket::new(limit, MIN_VALIDITY, burst as f64, Duration::ZERO);
-    let mut there: VecDeque<(Duration, Ask)> = VecDeque::new();
-    let mut back: VecDeque<(Duration, u64, Grant)> = VecDeque::new();
+    let mut requests: VecDeque<(Duration, Ask)> = VecDeque::new();
+    let mut replies: VecDeque<(Duration, u64, Grant)> = VecDeque::new();
     let (mut now, mut calls, mut waited, mut refused) = (Duration::ZERO, 0u64, 0u64, 0u64);
     let (mut sent, mut ask_total, mut grant_total, mut number) = (0u64, 0, 0, 0);
     while now < RUN {
@@ -73,18 +73,18 @@
         if let Some(ask) = share.poll(now) {
             sent += 1;
             ask_total += ask_bytes(&ask);
-            there.push_back((now + ONE_WAY, ask));
+            requests.push_back((now + ONE_WAY, ask));
         }
-        while there.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, ask) = there.pop_front().expect("not empty");
+        while requests.front().is_some_and(|(at, _)| *at <= now) {
+            let (_, ask) = requests.pop_front().expect("not empty");
             number += 1;
             let id = GrantId { session: 1_780_000_000_000_000, number };
             let grant = owner.request(id, &ask, now);
             grant_total += grant_bytes(&grant);
-            back.push_back((now + ONE_WAY, ask.id, grant));
+            replies.push_back((now + ONE_WAY, ask.id, grant));
         }
-        while back.front().is_some_and(|(at, ..)| *at <= now) {
-            let (_, ask, grant) = back.pop_front().expect("not empty");
+        while replies.front().is_some_and(|(at, ..)| *at <= now) {
+            let (_, ask, grant) = replies.pop_front().expect("not empty");
             share.on_grant(ask, &grant, now);
         }
     }
--- a/crates/server/src/admission/fleet.rs
+++ b/crates/server/src/admission/fleet.rs
@@ -25,18 +25,18 @@
 use super::{Admission, RateOwner, wire};
 use crate::{
     entry::{Code, Refusal},
-    membership::{Known, LEASE, Membership},
+    membership::{LEASE, Membership, Snapshot},
     peer::PeerClient,
 };
 
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause when nothing is due; asks are sent when a call makes them due.
-const IDLE_PAUSE: Duration = Duration::from_millis(250);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// A team without calls for this long is forgotten here.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+const IDLE_TEAM_TTL: Duration = Duration::from_secs(10);
 
 /// A team with calls at this instance.
-struct Active {
+struct ActiveTeam {
     team: Name,
     share: Share,
     /// Calls that wait, in order of their tickets.
@@ -48,37 +48,37 @@
 struct State {
     owners: Owners,
     // Sorted by team.
-    active: Vec<Active>,
+    active: Vec<ActiveTeam>,
     epoch: u64,
 }
 
 /// The rates of all teams, as far as this instance has calls of them or owns their buckets.
 pub(crate) struct FleetAdmission {
-    me: Name,
+    local_name: Name,
     membership: Arc<Membership>,
     client: PeerClient,
     start: Instant,
     state: Mutex<State>,
-    due: Notify,
-    this: Weak<Self>,
+    wake: Notify,
+    weak_self: Weak<Self>,
 }
 
 impl FleetAdmission {
     pub(crate) fn new(
-        me: Name,
+        local_name: Name,
         session: u64,
         membership: Arc<Membership>,
         client: PeerClient,
     ) -> Arc<Self> {
-        let owners = Owners::new(me.clone(), session, LEASE, MIN_VALIDITY);
-        Arc::new_cyclic(|this| Self {
-            me,
+        let owners = Owners::new(local_name.clone(), session, LEASE, MIN_VALIDITY);
+        Arc::new_cyclic(|weak_self| Self {
+            local_name,
             membership,
             client,
             start: Instant::now(),
             state: Mutex::new(State { owners, active: Vec::new(), epoch: 0 }),
-            due: Notify::new(),
-            this: this.clone(),
+            wake: Notify::new(),
+            weak_self: weak_self.clone(),
         })
     }
 
@@ -98,7 +98,7 @@
             let pause = self.poll();
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                () = self.due.notified() => {}
+                () = self.wake.notified() => {}
                 changed = changes.changed() => changed?,
             }
         }
@@ -106,14 +106,14 @@
 
     /// Takes note of a new view.
     fn observe_view(&self) {
-        let known = self.membership.load();
+        let snapshot = self.membership.load();
         let now = self.now();
         let mut state = self.state();
-        if known.view.epoch == state.epoch {
+        if snapshot.view.epoch == state.epoch {
             return;
         }
-        state.epoch = known.view.epoch;
-        let instances: Vec<Name> = known.view.members.iter().map(|m| m.name.clone()).collect();
+        state.epoch = snapshot.view.epoch;
+        let instances: Vec<Name> = snapshot.view.members.iter().map(|m| m.name.clone()).collect();
         for active in &mut state.active {
             let owner = owner_of(&active.team, &instances);
             if owner != active.owner.as_ref() {
@@ -121,21 +121,21 @@
                 active.share.on_new_owner(now);
             }
         }
-        state.owners.observe(&View { epoch: known.view.epoch, instances }, now);
+        state.owners.observe(&View { epoch: snapshot.view.epoch, instances }, now);
     }
 
     /// Asks the former owner for a bucket that this instance owns but may not use yet.
-    fn claim(&self, known: &Known, team: &Name) {
+    fn claim(&self, snapshot: &Snapshot, team: &Name) {
         let now = self.now();
         let Some((former, claim)) = self.state().owners.claim(team, now) else { return };
-        let Some(member) = known.view.member(&former) else { return };
-        let Some(this) = self.this.upgrade() else { return };
+        let Some(member) = snapshot.view.member(&former) else { return };
+        let Some(this) = self.weak_self.upgrade() else { return };
         tokio::spawn(this.claim_remote(member.address, claim));
     }
 
     async fn claim_remote(self: Arc<Self>, address: SocketAddr, claim: Claim) {
         let team = claim.team.clone();
-        let body = Some(rate_request::Body::Claim(wire::write_claim(&claim)));
+        let body = Some(rate_request::Body::Claim(wire::encode_claim(&claim)));
         let request = request::Body::Rate(peer::RateRequest { team: team.to_string(), body });
         let answer = self.client.call(address, request, ASK_TIMEOUT).await;
         // Without the bucket this instance waits until the former owner's grants have run out.
@@ -143,64 +143,64 @@
             return;
         };
         let rate_answer::Body::Transfer(transfer) = answer else { return };
-        let transfer = wire::read_transfer(claim, &transfer);
+        let transfer = wire::decode_transfer(claim, &transfer);
         let Some(limit) = limit(&self.membership.load().objects, &team) else { return };
         let now = self.now();
         let accepted = self.state().owners.accept(&transfer, limit, now);
         if accepted {
             log::debug!(team = &*team; "rate bucket taken over");
-            self.due.notify_one();
+            self.wake.notify_one();
         }
     }
 
     /// Sends the asks that are due, and returns the time until the next one.
     fn poll(&self) -> Duration {
-        let known = self.membership.load();
+        let snapshot = self.membership.load();
         let now = self.now();
         let mut asks = Vec::new();
-        let mut next = now + IDLE_PAUSE;
+        let mut next = now + MAX_POLL_INTERVAL;
         {
             let mut state = self.state();
             state.owners.prune(now);
             for active in &mut state.active {
                 let expired = active.share.expire(now);
-                active.decide(expired);
+                active.resolve(expired);
                 if let Some(ask) = active.share.poll(now) {
                     asks.push((active.team.clone(), active.owner.clone(), ask));
                 }
-                let due =
+                let next_due =
                     active.share.next_poll(now).into_iter().chain(active.share.next_deadline());
-                next = due.fold(next, Duration::min);
+                next = next_due.fold(next, Duration::min);
             }
-            state.active.retain(|a| !a.waiting.is_empty() || now < a.used_at + FORGET_AFTER);
+            state.active.retain(|a| !a.waiting.is_empty() || now < a.used_at + IDLE_TEAM_TTL);
         }
         for (team, owner, ask) in asks {
-            self.ask(&known, team, owner, ask);
+            self.ask(&snapshot, team, owner, ask);
         }
         // Never spins, whatever the shares say.
         next.saturating_sub(now).max(Duration::from_millis(1))
     }
 
-    fn ask(&self, known: &Known, team: Name, owner: Option<Name>, ask: Ask) {
+    fn ask(&self, snapshot: &Snapshot, team: Name, owner: Option<Name>, ask: Ask) {
         let Some(owner) = owner else { return };
-        if owner == self.me {
-            if let Ok(answer) = self.own_answer(known, &team, &ask) {
-                self.take_answer(&team, ask.id, answer);
+        if owner == self.local_name {
+            if let Ok(answer) = self.answer_as_owner(snapshot, &team, &ask) {
+                self.handle_answer(&team, ask.id, answer);
             }
             return;
         }
-        let Some(member) = known.view.member(&owner) else { return };
-        let Some(this) = self.this.upgrade() else { return };
+        let Some(member) = snapshot.view.member(&owner) else { return };
+        let Some(this) = self.weak_self.upgrade() else { return };
         tokio::spawn(this.ask_remote(team, member.address, ask));
     }
 
     async fn ask_remote(self: Arc<Self>, team: Name, address: SocketAddr, ask: Ask) {
         let id = ask.id;
-        let body = Some(rate_request::Body::Ask(wire::write_ask(&ask)));
+        let body = Some(rate_request::Body::Ask(wire::encode_ask(&ask)));
         let request = request::Body::Rate(peer::RateRequest { team: team.to_string(), body });
         match self.client.call(address, request, ASK_TIMEOUT).await {
             Ok(response::Body::Rate(peer::RateAnswer { body: Some(answer) })) => {
-                self.take_answer(&team, id, answer);
+                self.handle_answer(&team, id, answer);
             }
             Ok(_) => {}
             // The share asks again after its own timeout.
@@ -209,38 +209,38 @@
     }
 
     /// The answer of this instance as the owner of the team's bucket.
-    fn own_answer(
+    fn answer_as_owner(
         &self,
-        known: &Known,
+        snapshot: &Snapshot,
         team: &Name,
         ask: &Ask,
     ) -> Result<rate_answer::Body, peer::Failure> {
-        if !known.lease_valid() {
+        if !snapshot.lease_valid() {
             return Err(failure(FailureCode::Unavailable, "the owner has no lease"));
         }
-        let limit = limit(&known.objects, team)
+        let limit = limit(&snapshot.objects, team)
             .ok_or_else(|| failure(FailureCode::Invalid, "unknown team"))?;
         let now = self.now();
         let answer = self.state().owners.request(team, limit, ask, now);
         Ok(match answer {
-            Answer::Granted(grant) => rate_answer::Body::Grant(wire::write_grant(&grant)),
+            Answer::Granted(grant) => rate_answer::Body::Grant(wire::encode_grant(&grant)),
             Answer::NotOwner(_) => rate_answer::Body::NotOwner(peer::RateNotOwner {}),
             Answer::Starting { retry_after } => {
-                self.claim(known, team);
+                self.claim(snapshot, team);
                 let retry_after_us = retry_after.as_micros() as u64 + 1;
                 rate_answer::Body::Starting(peer::RateStarting { retry_after_us })
             }
         })
     }
 
-    fn take_answer(&self, team: &Name, ask: u64, answer: rate_answer::Body) {
+    fn handle_answer(&self, team: &Name, ask: u64, answer: rate_answer::Body) {
         let now = self.now();
         let mut state = self.state();
         let Ok(i) = state.active.binary_search_by(|a| a.team.cmp(team)) else { return };
         let active = &mut state.active[i];
-        let decided = match answer {
+        let resolved = match answer {
             rate_answer::Body::Grant(grant) => {
-                active.share.on_grant(ask, &wire::read_grant(&grant), now)
+                active.share.on_grant(ask, &wire::decode_grant(&grant), now)
             }
             rate_answer::Body::Starting(starting) => {
                 let wait = Duration::from_micros(starting.retry_after_us);
@@ -251,14 +251,19 @@
             | rate_answer::Body::Transfer(_)
             | rate_answer::Body::Kept(_) => return,
         };
-        active.decide(decided);
+        active.resolve(resolved);
         drop(state);
-        self.due.notify_one();
+        self.wake.notify_one();
     }
 
     /// Takes a token that is there, or a place among those that wait.
-    fn acquire(&self, known: &Known, team: &Name, deadline: Instant) -> Result<Acquired, Refusal> {
-        let limit = limit(&known.objects, team)
+    fn acquire(
+        &self,
+        snapshot: &Snapshot,
+        team: &Name,
+        deadline: Instant,
+    ) -> Result<Acquired, Refusal> {
+        let limit = limit(&snapshot.objects, team)
             .ok_or_else(|| Refusal::not_run(Code::Unauthorized, "unknown team"))?;
         let now = self.now();
         let deadline = deadline.saturating_duration_since(self.start);
@@ -267,9 +272,9 @@
             Ok(i) => i,
             Err(i) => {
                 let instances: Vec<Name> =
-                    known.view.members.iter().map(|m| m.name.clone()).collect();
-                let share = Share::new(self.me.clone(), limit, ShareConfig::default());
-                let active = Active {
+                    snapshot.view.members.iter().map(|m| m.name.clone()).collect();
+                let share = Share::new(self.local_name.clone(), limit, ShareConfig::default());
+                let active = ActiveTeam {
                     team: team.clone(),
                     share,
                     waiting: Vec::new(),
@@ -284,12 +289,12 @@
         active.used_at = now;
         active.share.set_limit(limit);
         match active.share.acquire(deadline, now) {
-            Admitted::Granted(permit) => Ok(Acquired::Now(permit)),
-            Admitted::Refused { retry_after } => Err(above_rate(retry_after)),
+            Admitted::Granted(permit) => Ok(Acquired::Immediate(permit)),
+            Admitted::Refused { retry_after } => Err(rate_limited(retry_after)),
             Admitted::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 active.waiting.push((ticket, tx));
-                Ok(Acquired::Later(ticket, rx))
+                Ok(Acquired::Queued(ticket, rx))
             }
         }
     }
@@ -314,15 +319,15 @@
         guard.ticket = None;
         match verdict {
             Ok(Verdict::Granted(permit)) => Ok(permit),
-            Ok(Verdict::Refused { retry_after }) => Err(above_rate(retry_after)),
+            Ok(Verdict::Refused { retry_after }) => Err(rate_limited(retry_after)),
             Err(_) => Err(Refusal::not_run(Code::ShuttingDown, "the instance is stopping")),
         }
     }
 }
 
 enum Acquired {
-    Now(Permit),
-    Later(Ticket, oneshot::Receiver<Verdict>),
+    Immediate(Permit),
+    Queued(Ticket, oneshot::Receiver<Verdict>),
 }
 
 /// Gives up the place of a call whose caller has gone.
@@ -340,9 +345,9 @@
     }
 }
 
-impl Active {
-    fn decide(&mut self, decided: Vec<(Ticket, Verdict)>) {
-        for (ticket, verdict) in decided {
+impl ActiveTeam {
+    fn resolve(&mut self, resolved: Vec<(Ticket, Verdict)>) {
+        for (ticket, verdict) in resolved {
             if let Some(i) = self.waiting.iter().position(|(t, _)| *t == ticket) {
                 let (_, tx) = self.waiting.remove(i);
                 // A caller that has gone just now leaves a used token behind.
@@ -360,13 +365,13 @@
     ) -> BoxFuture<'a, Result<(), Refusal>> {
         Box::pin(async move {
             loop {
-                let known = self.membership.load();
-                let permit = match self.acquire(&known, team, deadline)? {
-                    Acquired::Now(permit) => permit,
-                    Acquired::Later(ticket, rx) => {
+                let snapshot = self.membership.load();
+                let permit = match self.acquire(&snapshot, team, deadline)? {
+                    Acquired::Immediate(permit) => permit,
+                    Acquired::Queued(ticket, rx) => {
                         // The bucket may be this instance's own: then the answer is here at once.
                         self.poll();
-                        self.due.notify_one();
+                        self.wake.notify_one();
                         self.wait(team, ticket, rx).await?
                     }
                 };
@@ -382,17 +387,17 @@
 impl RateOwner for FleetAdmission {
     fn request(&self, request: peer::RateRequest) -> Result<peer::RateAnswer, peer::Failure> {
         self.observe_view();
-        let known = self.membership.load();
+        let snapshot = self.membership.load();
         let team: Name = request.team.as_str().into();
         let body = match request.body {
             Some(rate_request::Body::Ask(ask)) => {
-                self.own_answer(&known, &team, &wire::read_ask(ask))?
+                self.answer_as_owner(&snapshot, &team, &wire::decode_ask(ask))?
             }
             Some(rate_request::Body::Claim(claim)) => {
-                let claim = wire::read_claim(&team, claim);
+                let claim = wire::decode_claim(&team, claim);
                 let now = self.now();
                 match self.state().owners.release(&claim, now) {
-                    Some(transfer) => rate_answer::Body::Transfer(wire::write_transfer(&transfer)),
+                    Some(transfer) => rate_answer::Body::Transfer(wire::encode_transfer(&transfer)),
                     None => rate_answer::Body::Kept(peer::RateKept {}),
                 }
             }
@@ -407,7 +412,7 @@
     Some(Limit::new(rate.rate.per_second(), rate.burst))
 }
 
-fn above_rate(retry_after: Duration) -> Refusal {
+fn rate_limited(retry_after: Duration) -> Refusal {
     Refusal::not_run(Code::RateLimited, "the team is above its rate").retry_after(retry_after)
 }
 
--- a/crates/server/src/admission/wire.rs
+++ b/crates/server/src/admission/wire.rs
@@ -10,7 +10,7 @@
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-pub(super) fn write_ask(ask: &Ask) -> peer::RateAsk {
+pub(super) fn encode_ask(ask: &Ask) -> peer::RateAsk {
     let report = |r: &Report| peer::RateReport {
         session: r.grant.session,
         number: r.grant.number,
@@ -26,7 +26,7 @@
     }
 }
 
-pub(super) fn read_ask(ask: peer::RateAsk) -> Ask {
+pub(super) fn decode_ask(ask: peer::RateAsk) -> Ask {
     let report = |r: peer::RateReport| Report {
         grant: GrantId { session: r.session, number: r.number },
         used: r.used,
@@ -41,7 +41,7 @@
     }
 }
 
-pub(super) fn write_grant(grant: &Grant) -> peer::RateGrant {
+pub(super) fn encode_grant(grant: &Grant) -> peer::RateGrant {
     peer::RateGrant {
         session: grant.id.session,
         number: grant.id.number,
@@ -53,7 +53,7 @@
     }
 }
 
-pub(super) fn read_grant(grant: &peer::RateGrant) -> Grant {
+pub(super) fn decode_grant(grant: &peer::RateGrant) -> Grant {
     Grant {
         id: GrantId { session: grant.session, number: grant.number },
         tokens: grant.tokens,
@@ -63,16 +63,16 @@
     }
 }
 
-pub(super) fn write_claim(claim: &Claim) -> peer::RateClaim {
+pub(super) fn encode_claim(claim: &Claim) -> peer::RateClaim {
     peer::RateClaim { to: claim.to.to_string(), session: claim.session, epoch: claim.epoch }
 }
 
-pub(super) fn read_claim(team: &Name, claim: peer::RateClaim) -> Claim {
+pub(super) fn decode_claim(team: &Name, claim: peer::RateClaim) -> Claim {
     let (session, epoch) = (claim.session, claim.epoch);
     Claim { team: team.clone(), to: claim.to.into(), session, epoch }
 }
 
-pub(super) fn write_transfer(transfer: &Transfer) -> peer::RateTransfer {
+pub(super) fn encode_transfer(transfer: &Transfer) -> peer::RateTransfer {
     peer::RateTransfer {
         level_nano: transfer.level_nano,
         outstanding: transfer.outstanding,
@@ -81,7 +81,7 @@
     }
 }
 
-pub(super) fn read_transfer(claim: Claim, transfer: &peer::RateTransfer) -> Transfer {
+pub(super) fn decode_transfer(claim: Claim, transfer: &peer::RateTransfer) -> Transfer {
     Transfer {
         claim,
         level_nano: transfer.level_nano,
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -18,7 +18,7 @@
     /// Time in which a caller must have sent the whole body.
     pub body_timeout: Duration,
     /// Largest answer that is kept whole in memory, in bytes.
-    pub max_answer: usize,
+    pub max_response: usize,
     /// Bytes of bodies and kept answers that all open calls may hold together.
     pub max_held: usize,
 }
@@ -31,7 +31,7 @@
             max_connections: 20_000,
             head_timeout: Duration::from_secs(5),
             body_timeout: Duration::from_secs(30),
-            max_answer: 16 * 1024 * 1024,
+            max_response: 16 * 1024 * 1024,
             max_held: 512 * 1024 * 1024,
         }
     }
--- a/crates/server/src/control/node.rs
+++ b/crates/server/src/control/log_group.rs
@@ -90,9 +90,9 @@
 }
 
 /// A state machine that the log writes and that readers may look at.
-pub(crate) struct Shared<T>(pub(crate) Arc<Mutex<T>>);
+pub(crate) struct SharedState<T>(pub(crate) Arc<Mutex<T>>);
 
-impl StateMachine for Shared<Catalog> {
+impl StateMachine for SharedState<Catalog> {
     fn apply(&mut self, index: u64, data: &[u8]) -> Bytes {
         self.0.lock().expect("no panic while locked").apply(index, data)
     }
@@ -106,7 +106,7 @@
     }
 }
 
-impl StateMachine for Shared<Ledger> {
+impl StateMachine for SharedState<Ledger> {
     fn apply(&mut self, index: u64, data: &[u8]) -> Bytes {
         self.0.lock().expect("no panic while locked").apply(index, data)
     }
--- a/crates/server/src/control/mod.rs
+++ b/crates/server/src/control/mod.rs
@@ -6,7 +6,7 @@
 
 mod group;
 mod leases;
-mod node;
+mod log_group;
 mod orders;
 mod publish;
 mod replicas;
@@ -30,15 +30,15 @@
 };
 use prost::Message;
 
-use crate::membership::read_change;
+use crate::membership::decode_change;
 pub(crate) use group::{Group, ProposeError};
 use leases::Leases;
-pub(crate) use node::{LogGroup, Shared};
+pub(crate) use log_group::{LogGroup, SharedState};
 pub(crate) use orders::ReleaseOrders;
-pub(crate) use replicas::Replicas;
+pub(crate) use replicas::ReplicaAddresses;
 pub(crate) use service::Service;
 pub use start::init_data_folder;
-pub(crate) use start::{PROGRAM_GROUPS, Started, start};
+pub(crate) use start::{ControlReplica, PROGRAM_GROUPS, start};
 pub(crate) use sweep::Sweeper;
 
 /// One program group: its log and the state that the log builds.
@@ -54,7 +54,7 @@
     /// Program group `g` stands at index `g - 1`.
     pub(crate) programs: Vec<ProgramGroup>,
     pub(crate) leases: Mutex<Leases>,
-    pub(crate) replicas: Arc<Replicas>,
+    pub(crate) replicas: Arc<ReplicaAddresses>,
     /// Checked form of the catalog's current set.
     checked: Mutex<Option<(u64, Arc<ObjectSet>)>>,
 }
@@ -64,7 +64,7 @@
         catalog_log: Arc<dyn Group>,
         catalog: Arc<Mutex<Catalog>>,
         programs: Vec<ProgramGroup>,
-        replicas: Arc<Replicas>,
+        replicas: Arc<ReplicaAddresses>,
     ) -> Self {
         Self {
             catalog_log,
@@ -86,17 +86,17 @@
 
     /// Whether this replica may act for group 0 now. Starts the table of leases anew when it leads
     /// in a new term.
-    pub(crate) fn leads(&self) -> bool {
+    pub(crate) fn holds_leadership(&self) -> bool {
         let leadership = self.catalog_log.leadership();
-        let leads = leadership.is_leader && leadership.lease_valid;
-        self.leases().set_leadership(leads.then_some(leadership.term));
-        leads
+        let holds_leadership = leadership.is_leader && leadership.lease_valid;
+        self.leases().set_leadership(holds_leadership.then_some(leadership.term));
+        holds_leadership
     }
 
     /// Returns once this replica, as the leader of group 0, has applied everything that was
     /// committed before the call.
-    pub(crate) async fn lead_and_catch_up(&self) -> Result<(), peer::Failure> {
-        if !self.leads() {
+    pub(crate) async fn leader_read_barrier(&self) -> Result<(), peer::Failure> {
+        if !self.holds_leadership() {
             return Err(self.not_leader(&*self.catalog_log));
         }
         let barrier = self.catalog_log.read_barrier().await;
@@ -151,7 +151,7 @@
         };
         let records = objects
             .iter()
-            .map(|o| read_record(&o.kind, &o.name, &o.body))
+            .map(|o| decode_record(&o.kind, &o.name, &o.body))
             .collect::<anyhow::Result<Vec<_>>>()
             .map_err(|e| failed(FailureCode::Invalid, &e.to_string()))?;
         let set = ObjectSet::from_records(&records)
@@ -179,10 +179,10 @@
     }
 }
 
-fn read_record(kind: &str, name: &str, body: &Bytes) -> anyhow::Result<Record> {
+fn decode_record(kind: &str, name: &str, body: &Bytes) -> anyhow::Result<Record> {
     let change =
         peer::Change { kind: kind.to_owned(), name: name.to_owned(), body: Some(body.clone()) };
-    match read_change(&change)? {
+    match decode_change(&change)? {
         poplarspan_objects::Change::Upsert(record) => Ok(record),
         poplarspan_objects::Change::Remove { .. } => anyhow::bail!("not an object"),
     }
--- a/crates/server/src/control/orders.rs
+++ b/crates/server/src/control/orders.rs
@@ -20,11 +20,11 @@
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_ACKNOWLEDGEMENT_BYTES: usize = 4096;
 /// Orders in flight for one group.
-const BATCH: usize = 64;
+const MAX_ORDERS_IN_FLIGHT: usize = 64;
 
 /// An order as endpoints take it at `POST /orders`.
 #[derive(Serialize)]
-struct Document<'a> {
+struct OrderDocument<'a> {
     kind: &'static str,
     /// Rises with each order; an endpoint that checks it refuses lower numbers for the same program.
     fencing: u64,
@@ -60,14 +60,18 @@
     async fn deliver_all(&self, group: &ProgramGroup) {
         let orders: Vec<ReleaseOrder> = {
             let state = group.state.lock().expect("no panic while locked");
-            state.orders(0).take(BATCH).cloned().collect()
+            state.orders(0).take(MAX_ORDERS_IN_FLIGHT).cloned().collect()
         };
         if orders.is_empty() {
             return;
         }
-        let done = futures::future::join_all(orders.iter().map(|o| self.deliver(o))).await;
-        let numbers: Vec<u64> =
-            orders.iter().zip(done).filter(|(_, done)| *done).map(|(o, _)| o.number).collect();
+        let delivered = futures::future::join_all(orders.iter().map(|o| self.deliver(o))).await;
+        let numbers: Vec<u64> = orders
+            .iter()
+            .zip(delivered)
+            .filter(|(_, delivered)| *delivered)
+            .map(|(o, _)| o.number)
+            .collect();
         if numbers.is_empty() {
             return;
         }
@@ -80,12 +84,12 @@
 
     /// Delivers one order; true when the endpoint took it, or is no longer part of the fleet.
     async fn deliver(&self, order: &ReleaseOrder) -> bool {
-        let known = self.membership.load();
-        let Some(endpoint) = known.objects.endpoint(&order.endpoint) else {
-            return known.generation > 0;
+        let snapshot = self.membership.load();
+        let Some(endpoint) = snapshot.objects.endpoint(&order.endpoint) else {
+            return snapshot.generation > 0;
         };
         let program = order.program.as_deref().unwrap_or_default();
-        let document = Document {
+        let document = OrderDocument {
             kind: "release",
             fencing: order.number,
             program: format!("{}/{program}", order.team),
--- a/crates/server/src/control/publish.rs
+++ b/crates/server/src/control/publish.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{Control, failed};
-use crate::membership::{read_change, write_change};
+use crate::membership::{decode_change, encode_change};
 
 impl Control {
     /// Carries out a publication. The checks run again here, since the sender may be older.
@@ -15,12 +15,12 @@
         &self,
         publish: peer::Publish,
     ) -> Result<peer::PublishResult, peer::Failure> {
-        self.lead_and_catch_up().await?;
+        self.leader_read_barrier().await?;
         let operator = self.operator(&publish.operator_key)?;
         if publish.request_id.is_empty() {
             return Err(failed(FailureCode::Invalid, "the request id is empty"));
         }
-        let wanted = read_set(&publish.objects)?;
+        let target = decode_object_set(&publish.objects)?;
         let (generation, current) = self.current_objects()?;
         if generation < publish.expected_generation {
             // It must not be proposed: if another publication makes the expected generation before
@@ -34,7 +34,7 @@
         // With an older expected generation the publication fails, or it is the resend of an
         // earlier one: in both cases the changes are not used.
         let changes = if generation == publish.expected_generation {
-            current.diff(&wanted).iter().map(catalog_change).collect()
+            current.diff(&target).iter().map(catalog_change).collect()
         } else {
             Vec::new()
         };
@@ -43,7 +43,7 @@
             request_id: publish.request_id,
             operator,
             changes,
-            content_digest: wanted.content_digest().to_vec().into(),
+            content_digest: target.content_digest().to_vec().into(),
         };
         let answer = self.commit(catalog_command::Command::Publish(command)).await?;
         self.publish_result(answer)
@@ -79,18 +79,18 @@
 
     /// The current objects, for an operator.
     pub(crate) async fn objects(&self, key: &str) -> Result<peer::ObjectsReply, peer::Failure> {
-        self.lead_and_catch_up().await?;
+        self.leader_read_barrier().await?;
         self.operator(key)?;
         let (generation, objects) = self.current_objects()?;
         let all = ObjectSet::default().diff(&objects);
-        Ok(peer::ObjectsReply { generation, objects: all.iter().map(write_change).collect() })
+        Ok(peer::ObjectsReply { generation, objects: all.iter().map(encode_change).collect() })
     }
 }
 
-fn read_set(objects: &[peer::Change]) -> Result<ObjectSet, peer::Failure> {
+fn decode_object_set(objects: &[peer::Change]) -> Result<ObjectSet, peer::Failure> {
     let records = objects
         .iter()
-        .map(|change| match read_change(change)? {
+        .map(|change| match decode_change(change)? {
             Change::Upsert(record) => Ok(record),
             Change::Remove { .. } => anyhow::bail!("a published set holds no removals"),
         })
@@ -101,6 +101,6 @@
 }
 
 fn catalog_change(change: &Change) -> ledger::ObjectChange {
-    let peer::Change { kind, name, body } = write_change(change);
+    let peer::Change { kind, name, body } = encode_change(change);
     ledger::ObjectChange { kind, name, body }
 }
--- a/crates/server/src/control/service.rs
+++ b/crates/server/src/control/service.rs
@@ -15,7 +15,7 @@
 use super::{Control, failed, now_ms};
 use crate::{
     admission::RateOwner,
-    crashes::Crashes,
+    crashes::CrashRegistry,
     membership::Directory,
     peer::{PeerClient, PeerService, Role},
 };
@@ -25,7 +25,7 @@
     pub(crate) control: Option<Arc<Control>>,
     pub(crate) directory: Arc<Directory>,
     pub(crate) client: PeerClient,
-    pub(crate) crashes: Arc<Crashes>,
+    pub(crate) crashes: Arc<CrashRegistry>,
     pub(crate) rate_owner: Arc<dyn RateOwner>,
 }
 
@@ -59,7 +59,7 @@
         match body {
             Body::Peers(_) => return Ok(response::Body::Peers(self.peers())),
             Body::Crashes(reports) => {
-                return Ok(response::Body::Crashes(self.crashes.receive(reports)));
+                return Ok(response::Body::Crashes(self.crashes.merge_reports(reports)));
             }
             Body::Rate(rate) => return self.rate_owner.request(rate).map(response::Body::Rate),
             _ => {}
@@ -146,33 +146,41 @@
     }
 
     /// Grants a lease, with everything that the instance needs to act under it.
-    async fn heartbeat(&self, hb: peer::Heartbeat) -> Result<peer::LeaseGrant, peer::Failure> {
+    async fn heartbeat(
+        &self,
+        heartbeat: peer::Heartbeat,
+    ) -> Result<peer::LeaseGrant, peer::Failure> {
         // The instance counts its lease from when it sent the heartbeat, so a leadership that held
         // at any later moment is enough: a later leader waits out the lease. The barrier comes
         // before the changes are read, so that an instance without a disk never restarts from
         // older objects than were in force.
-        self.lead_and_catch_up().await?;
+        self.leader_read_barrier().await?;
         if self.catalog().groups() == 0 {
             // The number is part of the view, which is sent again only when its epoch changes.
             let message = "the number of program groups is not fixed yet";
             return Err(failed(FailureCode::Unavailable, message));
         }
-        self.register(&hb).await?;
+        self.register(&heartbeat).await?;
         // The grant is made before the changes are read, so that whatever is published later finds
         // this lease in the table.
-        let name: Name = hb.instance.as_str().into();
-        let granted = self.leases().grant(&name, hb.incarnation, hb.generation, hb.draining);
+        let name: Name = heartbeat.instance.as_str().into();
+        let granted = self.leases().grant(
+            &name,
+            heartbeat.incarnation,
+            heartbeat.generation,
+            heartbeat.draining,
+        );
         let duration = granted
             .ok_or_else(|| failed(FailureCode::Fenced, "the instance is being declared gone"))?;
-        let mut grant = self.grant_for(&hb);
+        let mut grant = self.grant_for(&heartbeat);
         grant.duration_ms = duration.as_millis() as u64;
         Ok(grant)
     }
 
-    fn grant_for(&self, hb: &peer::Heartbeat) -> peer::LeaseGrant {
+    fn grant_for(&self, heartbeat: &peer::Heartbeat) -> peer::LeaseGrant {
         let catalog = self.catalog();
         let mut grant = peer::LeaseGrant::default();
-        match catalog.changes_since(hb.generation) {
+        match catalog.changes_since(heartbeat.generation) {
             Changes::Deltas { generation, changes } => {
                 grant.generation = generation;
                 grant.changes = changes
@@ -193,7 +201,7 @@
                     .collect();
             }
         }
-        if catalog.epoch() != hb.epoch {
+        if catalog.epoch() != heartbeat.epoch {
             let view = catalog.view();
             let members = view.instances.into_iter().map(|i| peer::Member {
                 instance: i.instance,
@@ -211,18 +219,18 @@
         grant
     }
 
-    async fn register(&self, hb: &peer::Heartbeat) -> Result<(), peer::Failure> {
+    async fn register(&self, heartbeat: &peer::Heartbeat) -> Result<(), peer::Failure> {
         let register = ledger::RegisterInstance {
-            instance: hb.instance.clone(),
-            incarnation: hb.incarnation,
-            address: hb.peer_address.clone(),
-            zone: hb.zone.clone(),
-            replica: hb.replica,
+            instance: heartbeat.instance.clone(),
+            incarnation: heartbeat.incarnation,
+            address: heartbeat.peer_address.clone(),
+            zone: heartbeat.zone.clone(),
+            replica: heartbeat.replica,
         };
-        if let (Some(replica), Ok(address)) = (hb.replica, hb.peer_address.parse()) {
-            self.replicas.learn(replica, address);
+        if let (Some(replica), Ok(address)) = (heartbeat.replica, heartbeat.peer_address.parse()) {
+            self.replicas.set_reported(replica, address);
         }
-        if self.catalog().instance(&hb.instance) == Some(&register) {
+        if self.catalog().instance(&heartbeat.instance) == Some(&register) {
             return Ok(());
         }
         match self.commit(catalog_command::Command::RegisterInstance(register)).await? {
@@ -239,7 +247,7 @@
     }
 
     async fn leave(&self, leave: peer::Leave) -> Result<(), peer::Failure> {
-        if !self.leads() {
+        if !self.holds_leadership() {
             return Err(self.not_leader(&*self.catalog_log));
         }
         self.declare_gone(&leave.instance, leave.incarnation).await
@@ -251,7 +259,7 @@
         instance: &str,
         incarnation: u64,
     ) -> Result<(), peer::Failure> {
-        self.leases().end(instance, incarnation);
+        self.leases().revoke(instance, incarnation);
         let gone = ledger::InstanceGone { instance: instance.to_owned(), incarnation };
         self.commit(catalog_command::Command::InstanceGone(gone)).await?;
         self.leases().remove(instance, incarnation);
--- a/crates/server/src/control/start.rs
+++ b/crates/server/src/control/start.rs
@@ -13,7 +13,7 @@
 use poplarspan_ledger::{Catalog, Ledger};
 use poplarspan_proto::peer::AgreementBatch;
 
-use super::{Control, LogGroup, ProgramGroup, Replicas, Shared};
+use super::{Control, LogGroup, ProgramGroup, ReplicaAddresses, SharedState};
 use crate::peer::{AgreementSink, AgreementTransport, PeerClient};
 
 /// Program groups of a fleet.
@@ -51,7 +51,7 @@
 }
 
 /// An opened control replica.
-pub(crate) struct Started {
+pub(crate) struct ControlReplica {
     pub(crate) control: Arc<Control>,
     pub(crate) node: Arc<Node>,
     pub(crate) replica: u64,
@@ -59,7 +59,7 @@
     pub(crate) dir: DataDir,
 }
 
-impl Started {
+impl ControlReplica {
     /// Where messages of the replicated log go.
     pub(crate) fn sink(&self) -> Arc<dyn AgreementSink> {
         let (node, replicas) = (self.node.clone(), self.control.replicas.clone());
@@ -70,13 +70,13 @@
 /// Takes messages of the replicated log, and learns where their senders are.
 struct Inbox {
     node: Arc<Node>,
-    replicas: Arc<Replicas>,
+    replicas: Arc<ReplicaAddresses>,
 }
 
 impl AgreementSink for Inbox {
     fn deliver(&self, batch: AgreementBatch) {
         if let Ok(address) = batch.address.parse() {
-            self.replicas.learn_sender(batch.from, address);
+            self.replicas.add_sender(batch.from, address);
         }
         AgreementSink::deliver(&*self.node, batch);
     }
@@ -86,27 +86,27 @@
 pub(crate) async fn start(
     dir: DataDir,
     client: PeerClient,
-    replicas: Arc<Replicas>,
+    replicas: Arc<ReplicaAddresses>,
     address: SocketAddr,
-) -> Result<Started> {
+) -> Result<ControlReplica> {
     let store = FileStore::open(&dir.log_folder(), StoreOptions::default())
         .context("cannot open the replicated log")?;
-    let find = replicas.clone();
+    let addresses = replicas.clone();
     let transport = AgreementTransport::new(
         dir.replica(),
         dir.folder(),
         Some(address),
         client,
-        Arc::new(move |replica| find.address(replica)),
+        Arc::new(move |replica| addresses.address(replica)),
     );
     let catalog = Arc::new(Mutex::new(Catalog::new()));
     let mut builder = Node::builder(dir.replica(), Box::new(store), transport)
         .peers(dir.peers()?)
-        .group(CATALOG_GROUP, Box::new(Shared(catalog.clone())));
+        .group(CATALOG_GROUP, Box::new(SharedState(catalog.clone())));
     let mut states = Vec::new();
     for group in 1..=PROGRAM_GROUPS {
         let state = Arc::new(Mutex::new(Ledger::new()));
-        builder = builder.group(GroupId(group), Box::new(Shared(state.clone())));
+        builder = builder.group(GroupId(group), Box::new(SharedState(state.clone())));
         states.push((GroupId(group), state));
     }
     let node = Arc::new(builder.start().await.context("cannot start the replicated log")?);
@@ -120,5 +120,5 @@
         .collect::<Result<Vec<_>>>()?;
     let control = Control::new(log(CATALOG_GROUP)?, catalog, programs, replicas);
     let replica = dir.replica().0;
-    Ok(Started { control: Arc::new(control), node, replica, dir })
+    Ok(ControlReplica { control: Arc::new(control), node, replica, dir })
 }
--- a/crates/server/src/control/status.rs
+++ b/crates/server/src/control/status.rs
@@ -9,7 +9,7 @@
 impl Control {
     /// Describes instances, replicas and endpoints, as the leader of group 0 sees them.
     pub(crate) async fn status(&self, key: &str) -> Result<peer::StatusReply, peer::Failure> {
-        self.lead_and_catch_up().await?;
+        self.leader_read_barrier().await?;
         self.operator(key)?;
         let (generation, objects) = self.current_objects()?;
         let view = self.catalog().view();
@@ -38,7 +38,7 @@
             .into_iter()
             .map(|i| {
                 let lease = leases.get(&i.instance);
-                let left = lease.map(|l| l.until.saturating_duration_since(now));
+                let left = lease.map(|l| l.expires_at.saturating_duration_since(now));
                 peer::InstanceStatus {
                     generation: lease.map_or(0, |l| l.generation),
                     lease_remaining_ms: left.map_or(0, |d| d.as_millis() as u64),
--- a/crates/server/src/control/sweep.rs
+++ b/crates/server/src/control/sweep.rs
@@ -28,14 +28,14 @@
 impl Control {
     /// Learns the addresses of replicas that joined after this process was configured. Any replica
     /// may come to lead a group and has to reach them.
-    fn learn_replicas(&self, epoch: &mut u64) {
+    fn update_replica_addresses(&self, epoch: &mut u64) {
         let current = self.catalog().epoch();
         if std::mem::replace(epoch, current) == current {
             return;
         }
         for instance in self.catalog().view().instances {
             if let (Some(replica), Ok(address)) = (instance.replica, instance.address.parse()) {
-                self.replicas.learn_registered(replica, address);
+                self.replicas.set_registered(replica, address);
             }
         }
     }
@@ -50,9 +50,9 @@
         let mut epoch = 0;
         loop {
             ticks.tick().await;
-            self.control.learn_replicas(&mut epoch);
-            if self.control.leads() {
-                self.fix_groups().await?;
+            self.control.update_replica_addresses(&mut epoch);
+            if self.control.holds_leadership() {
+                self.fix_group_count().await?;
                 self.declare_expired().await?;
             }
             if Instant::now() >= expire_at {
@@ -64,21 +64,21 @@
 
     /// Tells the program groups of instances that are gone, until the task is ended. A task of its
     /// own: a group without a leader must not hold up what concerns the others.
-    pub(crate) async fn run_telling(self: Arc<Self>) -> anyhow::Result<()> {
+    pub(crate) async fn run_group_notifications(self: Arc<Self>) -> anyhow::Result<()> {
         let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut told = Vec::new();
+        let mut notified = Vec::new();
         loop {
             ticks.tick().await;
-            if self.control.leads() {
-                self.tell_groups(&mut told).await;
+            if self.control.holds_leadership() {
+                self.notify_groups(&mut notified).await;
             } else {
-                told.clear();
+                notified.clear();
             }
         }
     }
 
-    async fn fix_groups(&self) -> anyhow::Result<()> {
+    async fn fix_group_count(&self) -> anyhow::Result<()> {
         if self.control.catalog().groups() != 0 {
             return Ok(());
         }
@@ -107,21 +107,21 @@
 
     /// Tells every program group of the instances that are gone. A new leader of group 0 tells all
     /// of them again, since a former one may have died in between; telling twice changes nothing.
-    async fn tell_groups(&self, told: &mut Vec<(String, u64)>) {
+    async fn notify_groups(&self, notified: &mut Vec<(String, u64)>) {
         let gone = self.control.catalog().gone();
         for (instance, incarnation) in gone {
             let key = (instance, incarnation);
-            if told.contains(&key) {
+            if notified.contains(&key) {
                 continue;
             }
-            if self.tell(&key.0, key.1).await {
-                told.push(key);
+            if self.notify_group_leaders(&key.0, key.1).await {
+                notified.push(key);
             }
         }
     }
 
-    async fn tell(&self, instance: &str, incarnation: u64) -> bool {
-        let mut all = true;
+    async fn notify_group_leaders(&self, instance: &str, incarnation: u64) -> bool {
+        let mut all_notified = true;
         for group in 1..=self.control.programs.len() as u32 {
             let gone = ledger::InstanceGone { instance: instance.to_owned(), incarnation };
             let command = ledger_command::Command::InstanceGone(gone);
@@ -129,10 +129,10 @@
             if let Err(e) = self.ledger.command(group, command, deadline).await {
                 let error = e.to_string();
                 log::warn!(group, instance, error = error.as_str(); "cannot release claims");
-                all = false;
+                all_notified = false;
             }
         }
-        all
+        all_notified
     }
 
     /// Ends the programs that are past their limits, in the groups that this replica leads.
--- a/crates/server/src/control/voters.rs
+++ b/crates/server/src/control/voters.rs
@@ -8,7 +8,7 @@
 use super::{Control, Group, ProposeError, failed, group::VoterStep};
 use crate::peer::{CallError, PeerClient};
 
-const STEP_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Time in which the new replica must have caught up with a group.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(60);
 const CALL_TIMEOUT: Duration = Duration::from_secs(65);
@@ -21,7 +21,7 @@
         client: &PeerClient,
         request: peer::ReplaceVoter,
     ) -> Result<(), peer::Failure> {
-        if !self.leads() {
+        if !self.holds_leadership() {
             return Err(self.not_leader(&*self.catalog_log));
         }
         self.operator(&request.operator_key)?;
@@ -29,8 +29,8 @@
             .new_address
             .parse()
             .map_err(|_| failed(FailureCode::Invalid, "the address of the new replica"))?;
-        self.replicas.learn(request.new, address);
-        self.replace_in(&*self.catalog_log, request.old, request.new).await?;
+        self.replicas.set_reported(request.new, address);
+        self.replace_in_group(&*self.catalog_log, request.old, request.new).await?;
         for group in 1..=self.programs.len() as u32 {
             let change = peer::ChangeVoters { group, old: request.old, new: request.new };
             self.replace_remote(client, change).await?;
@@ -46,7 +46,7 @@
         change: peer::ChangeVoters,
     ) -> Result<(), peer::Failure> {
         let deadline = Instant::now() + CATCH_UP_TIMEOUT;
-        for turn in 0usize.. {
+        for attempt in 0usize.. {
             let failure = match self.change_voters(change).await {
                 Ok(()) => return Ok(()),
                 Err(failure) => failure,
@@ -56,7 +56,7 @@
             }
             // A replica that is not in the group yet does not know who leads it.
             let replicas = self.replicas.list();
-            let other = || replicas.get(turn % replicas.len().max(1)).map(|(_, a)| *a);
+            let other = || replicas.get(attempt % replicas.len().max(1)).map(|(_, a)| *a);
             if let Some(leader) = failure.leader_address.parse().ok().or_else(other) {
                 let body = request::Body::ChangeVoters(change);
                 match client.call(leader, body, CALL_TIMEOUT).await {
@@ -67,7 +67,7 @@
                     Ok(_) | Err(_) => {}
                 }
             }
-            sleep(STEP_PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
         unreachable!("the loop ends by a return")
     }
@@ -79,20 +79,25 @@
     ) -> Result<(), peer::Failure> {
         let group = (change.group as usize).checked_sub(1).and_then(|i| self.programs.get(i));
         let group = group.ok_or_else(|| failed(FailureCode::Invalid, "no such program group"))?;
-        self.replace_in(&*group.log, change.old, change.new).await
+        self.replace_in_group(&*group.log, change.old, change.new).await
     }
 
-    async fn replace_in(&self, log: &dyn Group, old: u64, new: u64) -> Result<(), peer::Failure> {
+    async fn replace_in_group(
+        &self,
+        log: &dyn Group,
+        old: u64,
+        new: u64,
+    ) -> Result<(), peer::Failure> {
         let deadline = Instant::now() + CATCH_UP_TIMEOUT;
         loop {
             let Some(step) = next_step(log, old, new).await else { return Ok(()) };
             if step == VoterStep::Remove(old) && log.leadership().leader == Some(old) {
                 // A leader is not removed; the caller goes on at the new one.
                 let replicas = log.replicas().await;
-                let heir =
+                let successor =
                     replicas.iter().find(|r| r.voter && r.replica != old && r.replica != new);
-                let heir = heir.map_or(new, |r| r.replica);
-                log.transfer(heir).await.map_err(|e| self.propose_failure(log, e))?;
+                let successor = successor.map_or(new, |r| r.replica);
+                log.transfer(successor).await.map_err(|e| self.propose_failure(log, e))?;
                 return Err(self.not_leader(log));
             }
             match log.change_voters(step).await {
@@ -102,7 +107,7 @@
                     if Instant::now() > deadline {
                         return Err(failed(FailureCode::Unavailable, &cause));
                     }
-                    sleep(STEP_PAUSE).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
                 Err(e) => return Err(self.propose_failure(log, e)),
             }
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -20,16 +20,16 @@
     control::now_ms,
     membership::Membership,
     peer::PeerClient,
-    schedule::{Chosen, FairScheduler, RunProbe, serving},
+    schedule::{EndpointRef, FairScheduler, RunProbe, serving_endpoints},
 };
 
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Records of crashed endpoints, shared with the other instances.
-pub(crate) struct Crashes {
-    me: Name,
+pub(crate) struct CrashRegistry {
+    local_name: Name,
     membership: Arc<Membership>,
     client: PeerClient,
     scheduler: Arc<FairScheduler>,
@@ -39,21 +39,21 @@
 }
 
 /// Reserves an endpoint for a request that has crashed another one.
-pub(crate) struct Suspect {
-    crashes: Arc<Crashes>,
+pub(crate) struct SuspectGuard {
+    crashes: Arc<CrashRegistry>,
     endpoint: Name,
     fingerprint: Fingerprint,
 }
 
-impl Drop for Suspect {
+impl Drop for SuspectGuard {
     fn drop(&mut self) {
         self.crashes.table().end_suspect(&self.endpoint, self.fingerprint);
     }
 }
 
-impl Crashes {
+impl CrashRegistry {
     pub(crate) fn new(
-        me: Name,
+        local_name: Name,
         membership: Arc<Membership>,
         client: PeerClient,
         scheduler: Arc<FairScheduler>,
@@ -61,7 +61,7 @@
     ) -> Arc<Self> {
         let table = Mutex::new(Containment::new(Default::default()));
         let changed = Notify::new();
-        Arc::new(Self { me, membership, client, scheduler, probe, table, changed })
+        Arc::new(Self { local_name, membership, client, scheduler, probe, table, changed })
     }
 
     fn table(&self) -> MutexGuard<'_, Containment> {
@@ -83,12 +83,16 @@
         self: &Arc<Self>,
         endpoint: &Name,
         fingerprint: Fingerprint,
-    ) -> Option<Suspect> {
+    ) -> Option<SuspectGuard> {
         let begun = self.table().begin_suspect(endpoint, fingerprint);
-        begun.then(|| Suspect { crashes: self.clone(), endpoint: endpoint.clone(), fingerprint })
+        begun.then(|| SuspectGuard {
+            crashes: self.clone(),
+            endpoint: endpoint.clone(),
+            fingerprint,
+        })
     }
 
-    /// The run of an endpoint as far as it is known, for [`Crashes::note_lost`].
+    /// The run of an endpoint as far as it is known, for [`CrashRegistry::report_lost_connection`].
     pub(crate) fn run_of(&self, endpoint: &Name) -> Option<u64> {
         self.scheduler.run_of(endpoint)
     }
@@ -97,14 +101,14 @@
     ///
     /// The order is the same at all instances, so that copies of the request that were sent to
     /// several instances in parallel crash one more endpoint together, and not one each.
-    pub(crate) fn order(&self, group: &str, fingerprint: Fingerprint) -> Vec<Name> {
+    pub(crate) fn candidate_order(&self, group: &str, fingerprint: Fingerprint) -> Vec<Name> {
         let rank = |name: &Name| {
             let mut hasher = blake3::Hasher::new_keyed(&fingerprint.0);
             hasher.update(name.as_bytes());
             *hasher.finalize().as_bytes()
         };
         let mut endpoints: Vec<Name> =
-            serving(&self.membership.load().objects, group).cloned().collect();
+            serving_endpoints(&self.membership.load().objects, group).cloned().collect();
         endpoints.sort_by_cached_key(rank);
         endpoints
     }
@@ -113,9 +117,9 @@
     /// every live instance knows, or the call is out of time.
     ///
     /// `before` is the run of the endpoint when the call was sent.
-    pub(crate) async fn note_lost(
+    pub(crate) async fn report_lost_connection(
         &self,
-        endpoint: &Chosen,
+        endpoint: &EndpointRef,
         before: Option<u64>,
         fingerprint: Fingerprint,
         deadline: Instant,
@@ -126,50 +130,55 @@
         }
         log::warn!(endpoint = &*endpoint.name; "endpoint crashed while it ran a request");
         metrics::counter!("poplarspan_endpoint_crashes_total").increment(1);
-        let known = self.membership.load();
-        let peers: Vec<Name> =
-            known.view.members.iter().map(|m| m.name.clone()).filter(|n| *n != self.me).collect();
+        let snapshot = self.membership.load();
+        let peers: Vec<Name> = snapshot
+            .view
+            .members
+            .iter()
+            .map(|m| m.name.clone())
+            .filter(|n| *n != self.local_name)
+            .collect();
         let at_ms = now_ms();
         let crash = Crash { fingerprint, endpoint: endpoint.name.clone(), at_ms };
         self.table().record(crash, &peers, at_ms);
         self.changed.notify_one();
         // An instance without a lease gets no new view, and so never sees who else has lost it.
         while !self.table().is_settled(fingerprint) && Instant::now() < deadline {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Takes records of another instance, and repeats them as acknowledgement.
-    pub(crate) fn receive(&self, reports: peer::CrashReports) -> peer::CrashReports {
-        let records: Vec<Crash> = reports.reports.iter().filter_map(read).collect();
+    pub(crate) fn merge_reports(&self, reports: peer::CrashReports) -> peer::CrashReports {
+        let records: Vec<Crash> = reports.reports.iter().filter_map(decode_report).collect();
         self.table().merge(&records, now_ms());
-        peer::CrashReports { reports: records.iter().map(write).collect() }
+        peer::CrashReports { reports: records.iter().map(encode_report).collect() }
     }
 
     /// Sends records until the others have acknowledged them.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut changes = self.membership.subscribe();
-        let mut greeted: Vec<(Name, u64)> = Vec::new();
+        let mut synced: Vec<(Name, u64)> = Vec::new();
         loop {
-            let known = self.membership.load();
-            let names: Vec<Name> = known.view.members.iter().map(|m| m.name.clone()).collect();
+            let snapshot = self.membership.load();
+            let names: Vec<Name> = snapshot.view.members.iter().map(|m| m.name.clone()).collect();
             self.table().observe_view(&names);
             let mut sends = Vec::new();
-            for member in known.view.members.iter().filter(|m| m.name != self.me) {
+            for member in snapshot.view.members.iter().filter(|m| m.name != self.local_name) {
                 let key = (member.name.clone(), member.incarnation);
                 // A new instance has no table yet.
-                let records = if greeted.contains(&key) {
+                let records = if synced.contains(&key) {
                     self.table().unacknowledged(&member.name)
                 } else {
                     self.table().records().to_vec()
                 };
                 sends.push(self.send(key, member.address, records));
             }
-            let told = futures::future::join_all(sends).await;
-            greeted.retain(|(name, _)| names.contains(name));
-            for key in told.into_iter().flatten() {
-                if !greeted.contains(&key) {
-                    greeted.push(key);
+            let acknowledged = futures::future::join_all(sends).await;
+            synced.retain(|(name, _)| names.contains(name));
+            for key in acknowledged.into_iter().flatten() {
+                if !synced.contains(&key) {
+                    synced.push(key);
                 }
             }
             tokio::select! {
@@ -190,10 +199,10 @@
         if records.is_empty() {
             return Some(key);
         }
-        let reports = peer::CrashReports { reports: records.iter().map(write).collect() };
+        let reports = peer::CrashReports { reports: records.iter().map(encode_report).collect() };
         match self.client.call(address, request::Body::Crashes(reports), CALL_TIMEOUT).await {
             Ok(response::Body::Crashes(stored)) => {
-                let stored: Vec<Crash> = stored.reports.iter().filter_map(read).collect();
+                let stored: Vec<Crash> = stored.reports.iter().filter_map(decode_report).collect();
                 self.table().acknowledged(&key.0, &stored);
                 Some(key)
             }
@@ -202,12 +211,12 @@
     }
 }
 
-fn read(report: &peer::CrashReport) -> Option<Crash> {
+fn decode_report(report: &peer::CrashReport) -> Option<Crash> {
     let fingerprint = Fingerprint(report.fingerprint[..].try_into().ok()?);
     Some(Crash { fingerprint, endpoint: report.endpoint.as_str().into(), at_ms: report.at_ms })
 }
 
-fn write(crash: &Crash) -> peer::CrashReport {
+fn encode_report(crash: &Crash) -> peer::CrashReport {
     peer::CrashReport {
         fingerprint: Bytes::copy_from_slice(&crash.fingerprint.0),
         endpoint: crash.endpoint.to_string(),
@@ -219,7 +228,7 @@
 ///
 /// Returns the endpoints that it must not run on again, or None when it may not run at all.
 pub(crate) async fn wait_admission(
-    crashes: &Crashes,
+    crashes: &CrashRegistry,
     fingerprint: Fingerprint,
     deadline: Instant,
 ) -> Option<Vec<Name>> {
@@ -228,8 +237,8 @@
             Admission::Anywhere => return Some(Vec::new()),
             Admission::OneMore(endpoints) => return Some(endpoints),
             Admission::Refused => return None,
-            Admission::NotYet if Instant::now() + POLL >= deadline => return None,
-            Admission::NotYet => tokio::time::sleep(POLL).await,
+            Admission::NotYet if Instant::now() + POLL_INTERVAL >= deadline => return None,
+            Admission::NotYet => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/server/src/dispatch/answer.rs
+++ b/crates/server/src/dispatch/response.rs
@@ -15,7 +15,7 @@
 
 /// Why an answer is not whole.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum AnswerError {
+pub(crate) enum ResponseError {
     #[error("the answer was cut short: {0}")]
     Truncated(String),
     #[error("the answer stopped making progress")]
@@ -25,7 +25,7 @@
 }
 
 /// Whether the end of the body can be told from a lost connection.
-pub(crate) fn has_end(response: &Response<Incoming>) -> bool {
+pub(crate) fn is_delimited(response: &Response<Incoming>) -> bool {
     let chunked = response.headers().contains_key(http::header::TRANSFER_ENCODING);
     chunked || response.body().size_hint().exact().is_some()
 }
@@ -35,17 +35,17 @@
     mut body: Incoming,
     max: usize,
     deadline: Instant,
-) -> Result<Bytes, AnswerError> {
-    let mut whole = BytesMut::new();
+) -> Result<Bytes, ResponseError> {
+    let mut buffer = BytesMut::new();
     loop {
-        let frame = timeout_at(deadline, body.frame()).await.map_err(|_| AnswerError::Silent)?;
-        let Some(frame) = frame else { return Ok(whole.freeze()) };
-        let frame = frame.map_err(|e| AnswerError::Truncated(e.to_string()))?;
+        let frame = timeout_at(deadline, body.frame()).await.map_err(|_| ResponseError::Silent)?;
+        let Some(frame) = frame else { return Ok(buffer.freeze()) };
+        let frame = frame.map_err(|e| ResponseError::Truncated(e.to_string()))?;
         if let Ok(chunk) = frame.into_data() {
-            if whole.len() + chunk.len() > max {
-                return Err(AnswerError::TooLarge(max));
+            if buffer.len() + chunk.len() > max {
+                return Err(ResponseError::TooLarge(max));
             }
-            whole.extend_from_slice(&chunk);
+            buffer.extend_from_slice(&chunk);
         }
     }
 }
@@ -54,11 +54,11 @@
 #[derive(Debug)]
 pub(crate) enum StreamEnd {
     /// The terminal event has arrived; it is in `last` and has not been passed on yet.
-    Whole { last: Bytes },
+    Complete { last: Bytes },
     /// The caller has gone; the connection must be closed, which cancels the call at the engine.
     CallerGone,
     /// The endpoint failed in the middle of the answer.
-    Failed(AnswerError),
+    Failed(ResponseError),
 }
 
 /// What was relayed.
@@ -66,7 +66,7 @@
 pub(crate) struct Relayed {
     pub(crate) end: StreamEnd,
     /// Everything that arrived, when it was asked for.
-    pub(crate) kept: BytesMut,
+    pub(crate) buffered: BytesMut,
     /// Events that arrived, which is the number of tokens as far as anyone can count them.
     pub(crate) events: u64,
 }
@@ -74,11 +74,11 @@
 /// Limits of one relayed answer.
 pub(crate) struct RelayLimits {
     /// Longest time between two chunks.
-    pub(crate) progress: Duration,
+    pub(crate) idle_timeout: Duration,
     /// End of the time that the call may take.
     pub(crate) deadline: Instant,
     /// Keep the whole answer, up to this many bytes; 0 keeps nothing.
-    pub(crate) keep: usize,
+    pub(crate) max_buffered: usize,
 }
 
 /// Relays a streamed answer, all but its terminal event.
@@ -87,48 +87,48 @@
     tx: &RelaySender,
     limits: RelayLimits,
 ) -> Relayed {
-    let mut relayed = Relayed { end: StreamEnd::CallerGone, kept: BytesMut::new(), events: 0 };
+    let mut relayed = Relayed { end: StreamEnd::CallerGone, buffered: BytesMut::new(), events: 0 };
     // Bytes since the last line end, since a chunk may split the terminal event.
     let mut line = BytesMut::new();
     loop {
-        let progress_until = (Instant::now() + limits.progress).min(limits.deadline);
+        let idle_deadline = (Instant::now() + limits.idle_timeout).min(limits.deadline);
         let frame = tokio::select! {
             () = tx.closed() => return relayed,
-            frame = timeout_at(progress_until, body.frame()) => frame,
+            frame = timeout_at(idle_deadline, body.frame()) => frame,
         };
         let chunk = match frame {
-            Err(_) => return relayed.failed(AnswerError::Silent),
+            Err(_) => return relayed.failed(ResponseError::Silent),
             Ok(None) => {
                 let cause = "no terminal event".to_owned();
-                return relayed.failed(AnswerError::Truncated(cause));
+                return relayed.failed(ResponseError::Truncated(cause));
             }
-            Ok(Some(Err(e))) => return relayed.failed(AnswerError::Truncated(e.to_string())),
+            Ok(Some(Err(e))) => return relayed.failed(ResponseError::Truncated(e.to_string())),
             Ok(Some(Ok(frame))) => match frame.into_data() {
                 Ok(chunk) => chunk,
                 Err(_) => continue,
             },
         };
-        if limits.keep > 0 {
-            if relayed.kept.len() + chunk.len() > limits.keep {
-                return relayed.failed(AnswerError::TooLarge(limits.keep));
+        if limits.max_buffered > 0 {
+            if relayed.buffered.len() + chunk.len() > limits.max_buffered {
+                return relayed.failed(ResponseError::TooLarge(limits.max_buffered));
             }
-            relayed.kept.extend_from_slice(&chunk);
+            relayed.buffered.extend_from_slice(&chunk);
         }
         relayed.events += count_events(&chunk);
-        if ends_stream(&mut line, &chunk) {
+        if is_stream_end(&mut line, &chunk) {
             // The terminal event is no token.
             relayed.events = relayed.events.saturating_sub(1);
-            relayed.end = StreamEnd::Whole { last: chunk };
+            relayed.end = StreamEnd::Complete { last: chunk };
             return relayed;
         }
-        if tx.send(Chunk::More(chunk)).await.is_err() {
+        if tx.send(Chunk::Data(chunk)).await.is_err() {
             return relayed;
         }
     }
 }
 
 impl Relayed {
-    fn failed(mut self, error: AnswerError) -> Self {
+    fn failed(mut self, error: ResponseError) -> Self {
         self.end = StreamEnd::Failed(error);
         self
     }
@@ -139,7 +139,7 @@
 }
 
 /// Whether the terminal event has arrived. `line` holds the start of an unfinished line.
-fn ends_stream(line: &mut BytesMut, chunk: &[u8]) -> bool {
+fn is_stream_end(line: &mut BytesMut, chunk: &[u8]) -> bool {
     let mut rest = chunk;
     while let Some(end) = rest.iter().position(|&b| b == b'\n') {
         let done = if line.is_empty() {
--- a/crates/server/src/entry/attempt.rs
+++ b/crates/server/src/entry/attempt.rs
@@ -16,16 +16,18 @@
 use super::{
     auth::{self, Credential},
     call::ProgramCall,
-    handler::Entry,
+    handler::EntryHandler,
     program::{Claim, is_event_stream},
     record::completion_tokens,
-    refusal::{Code, Ran, Refusal},
+    refusal::{Code, Executed, Refusal},
 };
 use crate::{
-    crashes::{Suspect, wait_admission},
-    dispatch::{AnswerError, Exchange, REQUEST_ID_HEADER, Reuse, SendError, collect, has_end},
-    membership::{Known, LEASE, Membership},
-    schedule::{CallSpec, Chosen, DispatchOutcome, Slot},
+    crashes::{SuspectGuard, wait_admission},
+    dispatch::{
+        Exchange, REQUEST_ID_HEADER, ResponseError, Reuse, SendError, collect, is_delimited,
+    },
+    membership::{LEASE, Membership, Snapshot},
+    schedule::{CallSpec, DispatchOutcome, EndpointRef, Slot},
     telemetry,
 };
 
@@ -39,15 +41,15 @@
 const ENGINE_PRIORITY_HEADER: HeaderName = HeaderName::from_static("x-priority");
 /// Longest time in which the record of a crash reaches the other instances: after that an instance
 /// without the record has lost its lease.
-const RECORD_DELAY: Duration = LEASE;
+const CRASH_REPORT_DELAY: Duration = LEASE;
 /// Time for the head of an answer on a connection that was used before.
 const REUSED_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(250);
-const SUSPECT_PAUSE: Duration = Duration::from_millis(20);
-const COME_BACK: Duration = Duration::from_secs(1);
+const MIN_REUSED_HEAD_TIMEOUT: Duration = Duration::from_millis(250);
+const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Headers that belong to one connection, or that only concern this system.
-const NOT_FORWARDED: [&str; 12] = [
+const STRIPPED_HEADERS: [&str; 12] = [
     "connection",
     "content-length",
     "host",
@@ -64,18 +66,18 @@
 
 /// A request as it goes to an endpoint.
 #[derive(Clone, Debug)]
-pub(crate) struct Parts {
+pub(crate) struct RequestParts {
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Parts {
+impl RequestParts {
     /// Prepares a caller's request: without the key and the headers of the caller's connection.
     pub(crate) fn new(method: Method, path: String, mut headers: HeaderMap, body: Bytes) -> Self {
-        auth::strip(&mut headers);
-        for name in NOT_FORWARDED {
+        auth::remove_credentials(&mut headers);
+        for name in STRIPPED_HEADERS {
             headers.remove(name);
         }
         Self { method, path, headers, body }
@@ -118,8 +120,8 @@
 }
 
 /// A call that is ready to be sent.
-pub(crate) struct Prepared {
-    pub(crate) parts: Parts,
+pub(crate) struct PreparedCall {
+    pub(crate) parts: RequestParts,
     /// None on open routes.
     pub(crate) credential: Option<Credential>,
     pub(crate) spec: Arc<CallSpec>,
@@ -129,7 +131,7 @@
     pub(crate) deadline: Instant,
 }
 
-impl Prepared {
+impl PreparedCall {
     /// Identifies the request among those that crash endpoints.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         Fingerprint::new(&self.parts.path, &self.parts.body)
@@ -137,14 +139,14 @@
 }
 
 /// A whole answer.
-pub(crate) struct Answer {
+pub(crate) struct FullResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
 /// An answer whose head has arrived, at an endpoint that keeps the place of the call.
-pub(crate) struct Begun {
+pub(crate) struct PendingResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
@@ -154,102 +156,111 @@
     pub(crate) first_byte: Duration,
     /// Run of the endpoint when the call was sent.
     pub(crate) run: Option<u64>,
-    pub(crate) _suspect: Option<Suspect>,
+    pub(crate) _suspect: Option<SuspectGuard>,
 }
 
 /// A place at an endpoint, and the reservation of a request that has crashed another one.
-pub(crate) struct Place {
+pub(crate) struct Placement {
     pub(crate) slot: Slot,
-    suspect: Option<Suspect>,
+    suspect: Option<SuspectGuard>,
 }
 
 /// How one attempt went wrong.
-struct Failed {
-    ran: Ran,
+struct AttemptFailure {
+    ran: Executed,
     cause: String,
     outcome: DispatchOutcome,
     /// The connection was lost while the endpoint had the request.
     may_have_crashed: bool,
     /// The endpoint may be tried again over another connection.
-    may_return: bool,
+    same_endpoint_allowed: bool,
 }
 
-impl Failed {
+impl AttemptFailure {
     fn from_send(error: &SendError) -> Self {
         let (ran, outcome) = match error {
-            SendError::NotPermitted => (Ran::No, DispatchOutcome::Abandoned),
-            SendError::NotSent(_) => (Ran::No, DispatchOutcome::Failed),
-            SendError::Lost(_) | SendError::Silent => (Ran::Unknown, DispatchOutcome::Failed),
+            SendError::NotPermitted => (Executed::No, DispatchOutcome::Abandoned),
+            SendError::NotSent(_) => (Executed::No, DispatchOutcome::Failed),
+            SendError::Lost(_) | SendError::Silent => (Executed::Unknown, DispatchOutcome::Failed),
             // The connection was at fault, and the endpoint may be well.
-            SendError::SilentReused => (Ran::Unknown, DispatchOutcome::Abandoned),
-            SendError::Crossed => (Ran::Unknown, DispatchOutcome::Failed),
+            SendError::SilentReused => (Executed::Unknown, DispatchOutcome::Abandoned),
+            SendError::Crossed => (Executed::Unknown, DispatchOutcome::Failed),
         };
         let may_have_crashed = matches!(error, SendError::Lost(_));
-        let may_return = matches!(error, SendError::SilentReused);
-        Self { ran, cause: error.to_string(), outcome, may_have_crashed, may_return }
+        let same_endpoint_allowed = matches!(error, SendError::SilentReused);
+        Self { ran, cause: error.to_string(), outcome, may_have_crashed, same_endpoint_allowed }
     }
 
-    fn from_answer(error: &AnswerError) -> Self {
-        let may_have_crashed = matches!(error, AnswerError::Truncated(_));
-        let (ran, outcome) = (Ran::Yes, DispatchOutcome::Failed);
-        Self { ran, cause: error.to_string(), outcome, may_have_crashed, may_return: false }
+    fn from_response(error: &ResponseError) -> Self {
+        let may_have_crashed = matches!(error, ResponseError::Truncated(_));
+        let (ran, outcome) = (Executed::Yes, DispatchOutcome::Failed);
+        Self {
+            ran,
+            cause: error.to_string(),
+            outcome,
+            may_have_crashed,
+            same_endpoint_allowed: false,
+        }
     }
 }
 
 /// The attempts of one call so far.
 pub(crate) struct Attempts<'a> {
-    entry: &'a Entry,
-    call: &'a Prepared,
+    entry: &'a EntryHandler,
+    call: &'a PreparedCall,
     tried: Vec<Name>,
     /// Attempts that have failed.
-    sent: usize,
+    failures: usize,
     /// What is known of all attempts together.
-    ran: Ran,
+    ran: Executed,
     last_cause: String,
     /// The claim under which the call runs, if the ledger records it.
     pub(crate) claim: Option<Claim>,
 }
 
 impl<'a> Attempts<'a> {
-    pub(crate) fn new(entry: &'a Entry, call: &'a Prepared) -> Self {
+    pub(crate) fn new(entry: &'a EntryHandler, call: &'a PreparedCall) -> Self {
         if let Some(team) = &call.spec.team {
             entry.retries().attempted(team);
         }
-        let (ran, last_cause) = (Ran::No, String::new());
-        Self { entry, call, tried: Vec::new(), sent: 0, ran, last_cause, claim: None }
+        let (ran, last_cause) = (Executed::No, String::new());
+        Self { entry, call, tried: Vec::new(), failures: 0, ran, last_cause, claim: None }
     }
 
     /// Waits for a place at an endpoint that was not tried yet.
-    pub(crate) async fn place(&self) -> Result<Place, Refusal> {
+    pub(crate) async fn acquire(&self) -> Result<Placement, Refusal> {
         let crashes = &self.entry.crashes;
         if crashes.is_empty() {
-            return Ok(Place { slot: self.slot(&self.tried).await?, suspect: None });
+            return Ok(Placement { slot: self.acquire_slot(&self.tried).await?, suspect: None });
         }
         let fingerprint = self.call.fingerprint();
         let mut skipped = Vec::new();
         loop {
             let crashed = wait_admission(crashes, fingerprint, self.call.deadline).await;
-            let crashed = crashed.ok_or_else(|| self.crashes_endpoints())?;
+            let crashed = crashed.ok_or_else(|| self.crash_refusal())?;
             if crashed.is_empty() {
-                return Ok(Place { slot: self.slot(&self.tried).await?, suspect: None });
+                return Ok(Placement {
+                    slot: self.acquire_slot(&self.tried).await?,
+                    suspect: None,
+                });
             }
-            let unreached = self.tried.last().filter(|name| !crashed.contains(name));
-            if unreached.is_some() && !self.settled(fingerprint, &crashed).await {
+            let unsettled = self.tried.last().filter(|name| !crashed.contains(name));
+            if unsettled.is_some() && !self.crash_reports_settled(fingerprint, &crashed).await {
                 continue;
             }
-            let passed: Vec<&Name> = self.tried.iter().chain(&crashed).chain(&skipped).collect();
-            let mut order = crashes.order(&self.call.spec.group, fingerprint);
-            let Some(at) = order.iter().position(|name| !passed.contains(&name)) else {
+            let excluded: Vec<&Name> = self.tried.iter().chain(&crashed).chain(&skipped).collect();
+            let mut candidates = crashes.candidate_order(&self.call.spec.group, fingerprint);
+            let Some(at) = candidates.iter().position(|name| !excluded.contains(&name)) else {
                 let message = "no endpoint is left for this call";
                 let refusal = Refusal::not_run(Code::Unavailable, message);
-                return Err(self.with_ran(refusal.retry_after(COME_BACK)));
+                return Err(self.with_ran(refusal.retry_after(DEFAULT_RETRY_AFTER)));
             };
-            let chosen = order.remove(at);
-            let slot = match self.slot(&order).await {
+            let endpoint = candidates.remove(at);
+            let slot = match self.acquire_slot(&candidates).await {
                 Ok(slot) => slot,
                 Err(refusal) if refusal.code == Code::Unavailable => {
                     // It does not answer, for as long as its record may have been on the way.
-                    skipped.push(chosen);
+                    skipped.push(endpoint);
                     continue;
                 }
                 Err(refusal) => return Err(refusal),
@@ -257,42 +268,42 @@
             // Two requests that have crashed endpoints never run side by side: if the endpoint
             // crashes again, it must be clear which of them did it.
             if let Some(suspect) = crashes.begin_suspect(&slot.endpoint.name, fingerprint) {
-                return Ok(Place { slot, suspect: Some(suspect) });
+                return Ok(Placement { slot, suspect: Some(suspect) });
             }
             drop(slot);
-            tokio::time::sleep(SUSPECT_PAUSE).await;
+            tokio::time::sleep(SUSPECT_POLL_INTERVAL).await;
         }
     }
 
     /// Waits until another instance that saw the same endpoint crash has had time to say so; false
     /// as soon as one has.
-    async fn settled(&self, fingerprint: Fingerprint, crashed: &[Name]) -> bool {
-        let until = self.call.deadline.min(Instant::now() + RECORD_DELAY);
+    async fn crash_reports_settled(&self, fingerprint: Fingerprint, crashed: &[Name]) -> bool {
+        let until = self.call.deadline.min(Instant::now() + CRASH_REPORT_DELAY);
         while Instant::now() < until {
             match self.entry.crashes.admission(fingerprint) {
                 Admission::OneMore(endpoints) if endpoints.len() == crashed.len() => {}
                 _ => return false,
             }
-            tokio::time::sleep(SUSPECT_PAUSE).await;
+            tokio::time::sleep(SUSPECT_POLL_INTERVAL).await;
         }
         true
     }
 
-    async fn slot(&self, avoid: &[Name]) -> Result<Slot, Refusal> {
+    async fn acquire_slot(&self, avoid: &[Name]) -> Result<Slot, Refusal> {
         let started = Instant::now();
-        let placed = self.entry.scheduler.acquire(&self.call.spec, avoid).await;
-        telemetry::waited(self.call.spec.team.as_ref(), started.elapsed());
-        placed.map_err(|refusal| self.with_ran(refusal))
+        let assigned = self.entry.scheduler.acquire(&self.call.spec, avoid).await;
+        telemetry::record_queue_time(self.call.spec.team.as_ref(), started.elapsed());
+        assigned.map_err(|refusal| self.with_ran(refusal))
     }
 
-    fn crashes_endpoints(&self) -> Refusal {
+    fn crash_refusal(&self) -> Refusal {
         let message = "this request has crashed the endpoints that ran it";
         Refusal::with_ran(Code::RequestCrashesEndpoints, self.ran, message)
     }
 
     /// Says of a refusal what is known of the attempts before it.
     pub(crate) fn with_ran(&self, mut refusal: Refusal) -> Refusal {
-        if self.ran != Ran::No {
+        if self.ran != Executed::No {
             refusal.ran = self.ran;
             refusal.code = Code::EndpointFailed;
             refusal.message = self.last_cause.clone().into();
@@ -301,17 +312,20 @@
     }
 
     /// Sends the call to the endpoint of `slot`. `Ok(None)` means that it may be tried elsewhere.
-    pub(crate) async fn send(&mut self, place: Place) -> Result<Option<Begun>, Refusal> {
-        let Place { slot, suspect } = place;
+    pub(crate) async fn send(
+        &mut self,
+        placement: Placement,
+    ) -> Result<Option<PendingResponse>, Refusal> {
+        let Placement { slot, suspect } = placement;
         if !self.entry.may_dispatch(self.call, &slot.endpoint).map_err(|r| self.with_ran(r))? {
-            let failed = Failed {
-                ran: Ran::No,
+            let failure = AttemptFailure {
+                ran: Executed::No,
                 cause: "the endpoint has left".to_owned(),
                 outcome: DispatchOutcome::Abandoned,
                 may_have_crashed: false,
-                may_return: false,
+                same_endpoint_allowed: false,
             };
-            return self.failed(slot, None, failed).await.map(|()| None);
+            return self.handle_failure(slot, None, failure).await.map(|()| None);
         }
         let claim = self.claim.as_ref().map(|c| c.number);
         let request = self.call.parts.request(&slot, &self.call.request_id, claim);
@@ -324,99 +338,118 @@
         let may_send = self.entry.permission(self.call, &slot.endpoint);
         let sent = pool.send_watched(address, request, fresh, deadline, until, may_send).await;
         match sent {
-            Ok(exchange) => self.head(exchange, slot, run, suspect).await,
-            Err(e) => self.failed(slot, run, Failed::from_send(&e)).await.map(|()| None),
+            Ok(exchange) => self.handle_head(exchange, slot, run, suspect).await,
+            Err(e) => {
+                self.handle_failure(slot, run, AttemptFailure::from_send(&e)).await.map(|()| None)
+            }
         }
     }
 
-    async fn head(
+    async fn handle_head(
         &mut self,
         exchange: Exchange,
         slot: Slot,
         run: Option<u64>,
-        suspect: Option<Suspect>,
-    ) -> Result<Option<Begun>, Refusal> {
+        suspect: Option<SuspectGuard>,
+    ) -> Result<Option<PendingResponse>, Refusal> {
         let (response, reuse) = exchange.into_parts();
-        let has_end = has_end(&response);
+        let is_delimited = is_delimited(&response);
         let (head, body) = response.into_parts();
         let refused =
             matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
         if refused && self.call.idempotent {
-            let failed = Failed {
-                ran: Ran::Unknown,
+            let failure = AttemptFailure {
+                ran: Executed::Unknown,
                 cause: format!("the endpoint refused with status {}", head.status),
                 outcome: DispatchOutcome::Refused,
                 may_have_crashed: false,
-                may_return: false,
+                same_endpoint_allowed: false,
             };
-            return self.failed(slot, run, failed).await.map(|()| None);
+            return self.handle_failure(slot, run, failure).await.map(|()| None);
         }
-        if !has_end && !is_event_stream(&head.headers) {
+        if !is_delimited && !is_event_stream(&head.headers) {
             let cause = "nothing tells the end of the answer from a lost connection";
-            let error = AnswerError::Truncated(cause.to_owned());
-            return self.failed(slot, run, Failed::from_answer(&error)).await.map(|()| None);
+            let error = ResponseError::Truncated(cause.to_owned());
+            return self
+                .handle_failure(slot, run, AttemptFailure::from_response(&error))
+                .await
+                .map(|()| None);
         }
         let mut headers = head.headers;
-        for name in NOT_FORWARDED {
+        for name in STRIPPED_HEADERS {
             headers.remove(name);
         }
         let first_byte = slot.elapsed();
         let status = head.status;
-        Ok(Some(Begun { status, headers, body, reuse, slot, first_byte, run, _suspect: suspect }))
+        Ok(Some(PendingResponse {
+            status,
+            headers,
+            body,
+            reuse,
+            slot,
+            first_byte,
+            run,
+            _suspect: suspect,
+        }))
     }
 
     /// Reads the answer whole. `Ok(None)` means that the call may be tried elsewhere.
-    pub(crate) async fn collect(&mut self, begun: Begun) -> Result<Option<Answer>, Refusal> {
-        let max = self.entry.limits.max_answer;
-        match collect(begun.body, max, self.call.deadline).await {
+    pub(crate) async fn collect(
+        &mut self,
+        pending: PendingResponse,
+    ) -> Result<Option<FullResponse>, Refusal> {
+        let max = self.entry.limits.max_response;
+        match collect(pending.body, max, self.call.deadline).await {
             Ok(body) => {
-                begun.reuse.finish();
+                pending.reuse.finish();
                 let tokens = completion_tokens(&body).map(|n| n + self.call.spec.prompt_tokens);
-                let first_byte = begun.first_byte;
-                begun.slot.finish(DispatchOutcome::Answered { first_byte, tokens });
-                Ok(Some(Answer { status: begun.status, headers: begun.headers, body }))
+                let first_byte = pending.first_byte;
+                pending.slot.finish(DispatchOutcome::Answered { first_byte, tokens });
+                Ok(Some(FullResponse { status: pending.status, headers: pending.headers, body }))
             }
             Err(e) => {
-                let failed = Failed::from_answer(&e);
-                self.failed(begun.slot, begun.run, failed).await.map(|()| None)
+                let failure = AttemptFailure::from_response(&e);
+                self.handle_failure(pending.slot, pending.run, failure).await.map(|()| None)
             }
         }
     }
 
     /// Notes a failure; an error when the call may not be tried again.
-    async fn failed(
+    async fn handle_failure(
         &mut self,
         slot: Slot,
         run: Option<u64>,
-        failed: Failed,
+        failure: AttemptFailure,
     ) -> Result<(), Refusal> {
-        let chosen = slot.endpoint.clone();
-        let endpoint = chosen.name.clone();
+        let endpoint = slot.endpoint.clone();
         log::warn!(
-            endpoint = &*endpoint,
+            endpoint = &*endpoint.name,
             request_id = self.call.request_id.to_str().unwrap_or_default(),
-            cause = failed.cause.as_str();
+            cause = failure.cause.as_str();
             "attempt failed"
         );
-        metrics::counter!("poplarspan_failed_attempts_total", "endpoint" => endpoint.to_string())
-            .increment(1);
-        slot.finish(failed.outcome);
-        if !failed.may_return {
-            self.tried.push(endpoint);
+        let label = endpoint.name.to_string();
+        metrics::counter!("poplarspan_failed_attempts_total", "endpoint" => label).increment(1);
+        slot.finish(failure.outcome);
+        if !failure.same_endpoint_allowed {
+            self.tried.push(endpoint.name.clone());
         }
-        self.sent += 1;
-        if failed.ran != Ran::No && self.ran != Ran::Yes {
-            self.ran = failed.ran;
+        self.failures += 1;
+        if failure.ran != Executed::No && self.ran != Executed::Yes {
+            self.ran = failure.ran;
         }
-        self.last_cause = failed.cause;
-        if failed.may_have_crashed {
+        self.last_cause = failure.cause;
+        if failure.may_have_crashed {
             let call = self.call;
             let fingerprint = call.fingerprint();
-            self.entry.crashes.note_lost(&chosen, run, fingerprint, call.deadline).await;
+            self.entry
+                .crashes
+                .report_lost_connection(&endpoint, run, fingerprint, call.deadline)
+                .await;
         }
-        let may_repeat = failed.ran == Ran::No || self.call.idempotent;
+        let may_retry = failure.ran == Executed::No || self.call.idempotent;
         let in_time = Instant::now() < self.call.deadline;
-        if may_repeat && in_time && self.sent < MAX_ATTEMPTS && self.take_retry() {
+        if may_retry && in_time && self.failures < MAX_ATTEMPTS && self.take_retry() {
             return Ok(());
         }
         Err(self.refusal())
@@ -437,13 +470,13 @@
         let cause = self.last_cause.clone();
         let in_time = Instant::now() < self.call.deadline;
         let code = match (self.call.idempotent, self.ran) {
-            (false, Ran::Unknown | Ran::Yes) => Code::OutcomeUnknown,
+            (false, Executed::Unknown | Executed::Yes) => Code::OutcomeUnknown,
             _ if !in_time => Code::Deadline,
             _ => Code::EndpointFailed,
         };
         let refusal = Refusal::with_ran(code, self.ran, cause);
-        if self.ran == Ran::No || self.call.idempotent {
-            return refusal.retry_after(COME_BACK);
+        if self.ran == Executed::No || self.call.idempotent {
+            return refusal.retry_after(DEFAULT_RETRY_AFTER);
         }
         refusal
     }
@@ -454,19 +487,19 @@
     let now = Instant::now();
     let half = deadline.saturating_duration_since(now) / 2;
     // Shortly before the deadline a working connection must not be given up for a moment's delay.
-    deadline.min(now + half.max(SHORTEST_PATIENCE))
+    deadline.min(now + half.max(MIN_REUSED_HEAD_TIMEOUT))
 }
 
-impl Entry {
+impl EntryHandler {
     /// Checks that the call may still run, and returns whether it may go to this endpoint.
     ///
     /// The call may have waited, and the process may have been frozen, since it was accepted.
-    fn may_dispatch(&self, call: &Prepared, endpoint: &Chosen) -> Result<bool, Refusal> {
+    fn may_dispatch(&self, call: &PreparedCall, endpoint: &EndpointRef) -> Result<bool, Refusal> {
         may_dispatch(&self.membership, call.credential.as_ref(), endpoint)
     }
 
     /// The same check, made when the first byte is about to leave.
-    fn permission(&self, call: &Prepared, endpoint: &Chosen) -> Permission {
+    fn permission(&self, call: &PreparedCall, endpoint: &EndpointRef) -> Permission {
         let (membership, credential) = (self.membership.clone(), call.credential.clone());
         let endpoint = endpoint.clone();
         Arc::new(move || {
@@ -478,26 +511,26 @@
 fn may_dispatch(
     membership: &Membership,
     credential: Option<&Credential>,
-    endpoint: &Chosen,
+    endpoint: &EndpointRef,
 ) -> Result<bool, Refusal> {
-    let known = membership.load();
+    let snapshot = membership.load();
     if let Some(credential) = credential {
-        check_lease(&known)?;
-        if !credential.holds(&known.objects) {
+        check_lease(&snapshot)?;
+        if !credential.is_valid(&snapshot.objects) {
             return Err(Refusal::not_run(Code::Unauthorized, "the key was withdrawn"));
         }
     }
-    Ok(known.objects.endpoint(&endpoint.name).is_some_and(|e| {
-        let zone_in = known.objects.zone(&e.zone).is_some_and(|z| z.state == ZoneState::In);
+    Ok(snapshot.objects.endpoint(&endpoint.name).is_some_and(|e| {
+        let zone_in = snapshot.objects.zone(&e.zone).is_some_and(|z| z.state == ZoneState::In);
         !e.leaving && zone_in && e.address == endpoint.address
     }))
 }
 
 /// Refuses when this instance may not act on its objects.
-pub(crate) fn check_lease(known: &Known) -> Result<(), Refusal> {
-    if known.lease_valid() {
+pub(crate) fn check_lease(snapshot: &Snapshot) -> Result<(), Refusal> {
+    if snapshot.lease_valid() {
         return Ok(());
     }
     Err(Refusal::not_run(Code::NoLease, "this instance is cut off from the control replicas")
-        .retry_after(COME_BACK))
+        .retry_after(DEFAULT_RETRY_AFTER))
 }
--- a/crates/server/src/entry/auth.rs
+++ b/crates/server/src/entry/auth.rs
@@ -20,7 +20,7 @@
 
 impl Credential {
     /// Finds the team whose key the call carries.
-    pub(crate) fn find(headers: &HeaderMap, objects: &ObjectSet) -> Result<Self, Refusal> {
+    pub(crate) fn from_headers(headers: &HeaderMap, objects: &ObjectSet) -> Result<Self, Refusal> {
         let refused = || Refusal::not_run(Code::Unauthorized, "a valid key is required");
         let secret = secret(headers).ok_or_else(refused)?;
         if secret.len() > MAX_KEY_BYTES {
@@ -32,7 +32,7 @@
     }
 
     /// Whether the key still belongs to the same team.
-    pub(crate) fn holds(&self, objects: &ObjectSet) -> bool {
+    pub(crate) fn is_valid(&self, objects: &ObjectSet) -> bool {
         objects.key_by_digest(&self.digest).is_some_and(|key| key.team == self.team)
     }
 }
@@ -51,7 +51,7 @@
 }
 
 /// Removes everything that could tell an endpoint the key.
-pub(crate) fn strip(headers: &mut HeaderMap) {
+pub(crate) fn remove_credentials(headers: &mut HeaderMap) {
     headers.remove(header::AUTHORIZATION);
     headers.remove(KEY_HEADER);
     headers.remove(header::PROXY_AUTHORIZATION);
--- a/crates/server/src/entry/body.rs
+++ b/crates/server/src/entry/body.rs
@@ -14,13 +14,13 @@
 use super::refusal::{Code, Refusal};
 
 /// Body of an answer: known whole, or relayed as it arrives.
-pub(crate) type AnswerBody = Either<Full<Bytes>, RelayBody>;
+pub(crate) type ResponseBody = Either<Full<Bytes>, RelayBody>;
 
 /// Chunks that a slow caller may leave waiting before the endpoint is no longer read.
 const RELAY_QUEUE: usize = 16;
 
 /// An answer was cut short. The connection to the caller is closed without the final chunk, so that
-/// the caller cannot take the answer for whole.
+/// the caller cannot take the answer for buffer.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer of the endpoint ended early")]
 pub(crate) struct Truncated;
@@ -28,29 +28,29 @@
 /// The receiving half of a relayed answer.
 pub(crate) struct RelayBody {
     rx: mpsc::Receiver<Chunk>,
-    whole: bool,
+    complete: bool,
 }
 
 /// A piece of a relayed answer.
 #[derive(Debug)]
 pub(crate) enum Chunk {
     /// More follows.
-    More(Bytes),
+    Data(Bytes),
     /// The answer is whole with this.
-    Last(Bytes),
+    Final(Bytes),
 }
 
 /// The sending half of a relayed answer.
 pub(crate) type RelaySender = mpsc::Sender<Chunk>;
 
 /// Creates a relayed answer.
-pub(crate) fn relay() -> (RelaySender, AnswerBody) {
+pub(crate) fn relay() -> (RelaySender, ResponseBody) {
     let (tx, rx) = mpsc::channel(RELAY_QUEUE);
-    (tx, Either::Right(RelayBody { rx, whole: false }))
+    (tx, Either::Right(RelayBody { rx, complete: false }))
 }
 
-/// Creates an answer that is known whole.
-pub(crate) fn full(buf: impl Into<Bytes>) -> AnswerBody {
+/// Creates an answer that is known buffer.
+pub(crate) fn full(buf: impl Into<Bytes>) -> ResponseBody {
     Either::Left(Full::new(buf.into()))
 }
 
@@ -62,14 +62,14 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
-        if self.whole {
+        if self.complete {
             return Poll::Ready(None);
         }
         // A sender that ends without the last chunk, for whatever reason, has cut the answer short.
         match std::task::ready!(self.rx.poll_recv(cx)) {
-            Some(Chunk::More(chunk)) => Poll::Ready(Some(Ok(Frame::data(chunk)))),
-            Some(Chunk::Last(chunk)) => {
-                self.whole = true;
+            Some(Chunk::Data(chunk)) => Poll::Ready(Some(Ok(Frame::data(chunk)))),
+            Some(Chunk::Final(chunk)) => {
+                self.complete = true;
                 Poll::Ready(Some(Ok(Frame::data(chunk))))
             }
             None => Poll::Ready(Some(Err(Truncated))),
@@ -101,27 +101,27 @@
         return Err(too_large());
     }
     let collect = async {
-        let mut whole = BytesMut::new();
+        let mut buffer = BytesMut::new();
         let mut first: Option<Bytes> = None;
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|e| {
                 Refusal::not_run(Code::BadRequest, format!("the body cannot be read: {e}"))
             })?;
             let Ok(chunk) = frame.into_data() else { continue };
-            if first.as_ref().map_or(whole.len(), Bytes::len) + chunk.len() > max {
+            if first.as_ref().map_or(buffer.len(), Bytes::len) + chunk.len() > max {
                 return Err(too_large());
             }
             match first.take() {
                 // Most bodies come in one chunk, which needs no copy.
-                None if whole.is_empty() => first = Some(chunk),
-                None => whole.extend_from_slice(&chunk),
+                None if buffer.is_empty() => first = Some(chunk),
+                None => buffer.extend_from_slice(&chunk),
                 Some(start) => {
-                    whole.extend_from_slice(&start);
-                    whole.extend_from_slice(&chunk);
+                    buffer.extend_from_slice(&start);
+                    buffer.extend_from_slice(&chunk);
                 }
             }
         }
-        Ok(first.unwrap_or_else(|| whole.freeze()))
+        Ok(first.unwrap_or_else(|| buffer.freeze()))
     };
     tokio::time::timeout(timeout, collect).await.unwrap_or_else(|_| {
         Err(Refusal::not_run(Code::BadRequest, "the body did not arrive in time"))
--- a/crates/server/src/entry/own.rs
+++ b/crates/server/src/entry/builtin.rs
@@ -18,10 +18,10 @@
 use super::{
     attempt::check_lease,
     auth::Credential,
-    body::{self, AnswerBody},
+    body::{self, ResponseBody},
     call::check_program,
-    handler::Entry,
-    program::{begin_refused, unavailable},
+    handler::EntryHandler,
+    program::{refusal_for, unavailable},
     refusal::{Code, Refusal},
 };
 
@@ -29,7 +29,7 @@
 const HISTORY_PAGE_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Paths that this system answers itself.
-pub(crate) enum OwnPath {
+pub(crate) enum BuiltinPath {
     /// `GET /v1/models`
     Models,
     /// `POST /v1/programs/{id}/finish`
@@ -38,7 +38,7 @@
     History(String),
 }
 
-impl OwnPath {
+impl BuiltinPath {
     /// Finds the path, if it is one of these.
     pub(crate) fn find(path: &str) -> Option<Self> {
         if path == "/v1/models" {
@@ -52,23 +52,23 @@
     }
 }
 
-impl Entry {
+impl EntryHandler {
     /// Answers the paths that belong to this system itself.
-    pub(crate) async fn answer_own(
+    pub(crate) async fn respond_builtin(
         &self,
-        own: OwnPath,
+        path: BuiltinPath,
         request: &Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
-        let known = self.membership.load();
-        check_lease(&known)?;
-        let credential = Credential::find(request.headers(), &known.objects)?;
-        match own {
-            OwnPath::Models => json(&Models::new(&known.objects)),
-            OwnPath::Finish(program) if request.method() == Method::POST => {
+    ) -> Result<Response<ResponseBody>, Refusal> {
+        let snapshot = self.membership.load();
+        check_lease(&snapshot)?;
+        let credential = Credential::from_headers(request.headers(), &snapshot.objects)?;
+        match path {
+            BuiltinPath::Models => json(&Models::new(&snapshot.objects)),
+            BuiltinPath::Finish(program) if request.method() == Method::POST => {
                 check_program(&program)?;
                 self.finish(&credential.team, &program).await
             }
-            OwnPath::History(program) if request.method() == Method::GET => {
+            BuiltinPath::History(program) if request.method() == Method::GET => {
                 check_program(&program)?;
                 self.history(&credential.team, &program, request.uri().query()).await
             }
@@ -76,7 +76,7 @@
         }
     }
 
-    async fn finish(&self, team: &Name, program: &str) -> Result<Response<AnswerBody>, Refusal> {
+    async fn finish(&self, team: &Name, program: &str) -> Result<Response<ResponseBody>, Refusal> {
         let group = self.group(team, program)?;
         let finish = ledger::Finish { team: team.to_string(), program: program.to_owned() };
         let command = ledger_command::Command::Finish(finish);
@@ -85,7 +85,7 @@
             Ok(ledger_answer::Answer::Finished(_)) => {
                 json(&Finished { program, state: "finished" })
             }
-            Ok(other) => Err(begin_refused(&other)),
+            Ok(other) => Err(refusal_for(&other)),
             Err(e) => Err(unavailable(&e.to_string())),
         }
     }
@@ -95,7 +95,7 @@
         team: &Name,
         program: &str,
         query: Option<&str>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let from_turn = query
             .and_then(|q| q.split('&').find_map(|pair| pair.strip_prefix("from_turn=")))
             .map_or(Ok(1), str::parse)
@@ -129,7 +129,7 @@
     }
 }
 
-fn json<T: Serialize>(value: &T) -> Result<Response<AnswerBody>, Refusal> {
+fn json<T: Serialize>(value: &T) -> Result<Response<ResponseBody>, Refusal> {
     let buf = serde_json::to_vec(value).map_err(|e| unavailable(&e.to_string()))?;
     let mut response = Response::new(body::full(buf));
     let kind = HeaderValue::from_static("application/json");
--- a/crates/server/src/entry/call.rs
+++ b/crates/server/src/entry/call.rs
@@ -45,8 +45,10 @@
         headers: &HeaderMap,
         timeout: Duration,
     ) -> Result<Self, Refusal> {
-        let wait = match text(headers, DEADLINE_HEADER)? {
-            Some(value) => Duration::from_millis(number(DEADLINE_HEADER, value)?).min(MAX_DEADLINE),
+        let wait = match header_text(headers, DEADLINE_HEADER)? {
+            Some(value) => {
+                Duration::from_millis(parse_number(DEADLINE_HEADER, value)?).min(MAX_DEADLINE)
+            }
             None => timeout,
         };
         Ok(Self {
@@ -59,21 +61,21 @@
 }
 
 fn program(headers: &HeaderMap) -> Result<Option<ProgramCall>, Refusal> {
-    let Some(program) = text(headers, PROGRAM_HEADER)? else {
+    let Some(program) = header_text(headers, PROGRAM_HEADER)? else {
         if headers.contains_key(TURN_HEADER) || headers.contains_key(PARENT_HEADER) {
-            return Err(bad(PROGRAM_HEADER, "is missing"));
+            return Err(bad_header(PROGRAM_HEADER, "is missing"));
         }
         return Ok(None);
     };
-    let path = match text(headers, PARENT_HEADER)? {
+    let path = match header_text(headers, PARENT_HEADER)? {
         Some(parent) => format!("{parent}/{program}"),
         None => program.to_owned(),
     };
     check_program(&path)?;
-    let turn = match text(headers, TURN_HEADER)? {
+    let turn = match header_text(headers, TURN_HEADER)? {
         Some(value) => Some(
-            u32::try_from(number(TURN_HEADER, value)?)
-                .map_err(|_| bad(TURN_HEADER, "is out of range"))?,
+            u32::try_from(parse_number(TURN_HEADER, value)?)
+                .map_err(|_| bad_header(TURN_HEADER, "is out of range"))?,
         ),
         None => None,
     };
@@ -84,12 +86,12 @@
 pub(crate) fn check_program(path: &str) -> Result<(), Refusal> {
     let parts = path.split('/');
     if parts.clone().count() > MAX_PROGRAM_DEPTH {
-        return Err(bad(PROGRAM_HEADER, "has more than 8 levels"));
+        return Err(bad_header(PROGRAM_HEADER, "has more than 8 levels"));
     }
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':');
     for part in parts {
         if part.is_empty() || part.len() > MAX_PART_BYTES || !part.bytes().all(allowed) {
-            return Err(bad(
+            return Err(bad_header(
                 PROGRAM_HEADER,
                 "needs parts of 1 to 64 letters, digits, '-', '_', '.' or ':'",
             ));
@@ -99,26 +101,26 @@
 }
 
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
-    let Some(key) = text(headers, IDEMPOTENCY_HEADER)? else { return Ok(None) };
+    let Some(key) = header_text(headers, IDEMPOTENCY_HEADER)? else { return Ok(None) };
     if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
-        return Err(bad(IDEMPOTENCY_HEADER, "must have 1 to 255 characters"));
+        return Err(bad_header(IDEMPOTENCY_HEADER, "must have 1 to 255 characters"));
     }
     Ok(Some(key.to_owned()))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Refusal> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, Refusal> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.next().is_some() {
-        return Err(bad(name, "occurs more than once"));
+        return Err(bad_header(name, "occurs more than once"));
     }
-    value.to_str().map(Some).map_err(|_| bad(name, "must be plain ASCII"))
+    value.to_str().map(Some).map_err(|_| bad_header(name, "must be plain ASCII"))
 }
 
-fn number(name: &'static str, value: &str) -> Result<u64, Refusal> {
-    value.parse().map_err(|_| bad(name, "must be a whole number"))
+fn parse_number(name: &'static str, value: &str) -> Result<u64, Refusal> {
+    value.parse().map_err(|_| bad_header(name, "must be a whole number"))
 }
 
-fn bad(name: &str, problem: &str) -> Refusal {
+fn bad_header(name: &str, problem: &str) -> Refusal {
     Refusal::not_run(Code::BadRequest, format!("header {name} {problem}"))
 }
--- a/crates/server/src/entry/chat.rs
+++ b/crates/server/src/entry/chat.rs
@@ -39,12 +39,13 @@
 impl<'a> ChatRequest<'a> {
     /// Reads a body in the chat completions shape.
     pub(crate) fn read(body: &'a [u8]) -> Result<Self, Refusal> {
-        let bad = |problem: String| {
+        let bad_request = |problem: String| {
             Refusal::not_run(Code::BadRequest, format!("the body is no chat request: {problem}"))
         };
-        let fields: Fields<'_> = serde_json::from_slice(body).map_err(|e| bad(e.to_string()))?;
+        let fields: Fields<'_> =
+            serde_json::from_slice(body).map_err(|e| bad_request(e.to_string()))?;
         if fields.messages.is_empty() {
-            return Err(bad("`messages` is missing or empty".to_owned()));
+            return Err(bad_request("`messages` is missing or empty".to_owned()));
         }
         let total: usize = fields.messages.iter().map(|m| m.get().len()).sum();
         Ok(Self {
@@ -68,7 +69,7 @@
 
 /// The body with only those messages that follow the last one of the assistant; None when there is
 /// no such message, or the body has another shape.
-pub(crate) fn since_last_answer(body: &[u8]) -> Option<Bytes> {
+pub(crate) fn after_last_assistant_message(body: &[u8]) -> Option<Bytes> {
     #[derive(Deserialize)]
     struct Role<'a> {
         #[serde(borrow)]
@@ -76,12 +77,12 @@
     }
     let fields: BTreeMap<Cow<'_, str>, &RawValue> = serde_json::from_slice(body).ok()?;
     let messages: Vec<&RawValue> = serde_json::from_str(fields.get("messages")?.get()).ok()?;
-    let is_answer = |m: &&RawValue| {
+    let is_assistant = |m: &&RawValue| {
         serde_json::from_str::<Role<'_>>(m.get()).is_ok_and(|r| r.role == "assistant")
     };
-    let last = messages.iter().rposition(is_answer)?;
+    let last = messages.iter().rposition(is_assistant)?;
     let tail = serde_json::value::to_raw_value(&messages[last + 1..]).ok()?;
-    let mut kept = fields;
-    kept.insert(Cow::Borrowed("messages"), &tail);
-    serde_json::to_vec(&kept).ok().map(Bytes::from)
+    let mut shortened = fields;
+    shortened.insert(Cow::Borrowed("messages"), &tail);
+    serde_json::to_vec(&shortened).ok().map(Bytes::from)
 }
--- a/crates/server/src/entry/handler.rs
+++ b/crates/server/src/entry/handler.rs
@@ -20,18 +20,18 @@
 };
 
 use super::{
-    attempt::{Attempts, Parts, Prepared, check_lease},
+    attempt::{Attempts, PreparedCall, RequestParts, check_lease},
     auth::Credential,
-    body::{self, AnswerBody},
+    body::{self, ResponseBody},
+    builtin::BuiltinPath,
     call::CallHead,
-    chat::{ChatRequest, since_last_answer},
-    own::OwnPath,
-    refusal::{Code, Ran, Refusal},
+    chat::{ChatRequest, after_last_assistant_message},
+    refusal::{Code, Executed, Refusal},
 };
 use crate::{
     admission::Admission,
     config::Limits,
-    crashes::Crashes,
+    crashes::CrashRegistry,
     dispatch::{Pool, REQUEST_ID_HEADER},
     membership::Membership,
     programs::Ledger,
@@ -40,13 +40,13 @@
 };
 
 /// Unit in which the memory of open calls is counted.
-pub(crate) const HELD_UNIT_BYTES: usize = 1024;
+pub(crate) const MEMORY_UNIT_BYTES: usize = 1024;
 
 /// When a call may come back while no objects are known; about the time of a few heartbeats.
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Everything that serving a call needs.
-pub(crate) struct Entry {
+pub(crate) struct EntryHandler {
     pub(crate) instance: poplarspan_objects::Name,
     pub(crate) membership: Arc<Membership>,
     pub(crate) limits: Limits,
@@ -54,30 +54,30 @@
     pub(crate) admission: Arc<dyn Admission>,
     pub(crate) scheduler: Arc<dyn Scheduler>,
     pub(crate) ledger: Arc<dyn Ledger>,
-    pub(crate) crashes: Arc<Crashes>,
+    pub(crate) crashes: Arc<CrashRegistry>,
     pub(crate) retry_budget: Mutex<RetryBudget>,
     pub(crate) incarnation: Arc<std::sync::atomic::AtomicU64>,
     pub(crate) attempts: std::sync::atomic::AtomicU64,
-    pub(crate) held: Arc<Semaphore>,
+    pub(crate) memory: Arc<Semaphore>,
     pub(crate) draining: Arc<AtomicBool>,
 }
 
 /// A call whose caller, route and body have been checked.
-pub(crate) struct Accepted {
-    pub(crate) prepared: Prepared,
+pub(crate) struct AcceptedCall {
+    pub(crate) prepared: PreparedCall,
     pub(crate) head: CallHead,
     pub(crate) stream: bool,
     /// Memory that the call holds.
-    pub(crate) _held: OwnedSemaphorePermit,
+    pub(crate) _memory: OwnedSemaphorePermit,
 }
 
-impl Accepted {
+impl AcceptedCall {
     /// What the history of the program keeps of the request. A caller repeats the conversation so
     /// far in every turn, and the earlier turns are in the history already.
-    pub(crate) fn kept_request(&self) -> Bytes {
+    pub(crate) fn history_request(&self) -> Bytes {
         let body = &self.prepared.parts.body;
         let is_chat_turn = self.head.program.is_some() && self.prepared.spec.max_output_tokens > 0;
-        let shortened = if is_chat_turn { since_last_answer(body) } else { None };
+        let shortened = if is_chat_turn { after_last_assistant_message(body) } else { None };
         shortened.unwrap_or_else(|| body.clone())
     }
 
@@ -86,7 +86,7 @@
     }
 }
 
-impl Entry {
+impl EntryHandler {
     pub(crate) fn retries(&self) -> MutexGuard<'_, RetryBudget> {
         self.retry_budget.lock().expect("no panic while locked")
     }
@@ -95,17 +95,17 @@
     pub(crate) async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let started = Instant::now();
         let id = request_id();
-        let mut response = match self.clone().answer(&id, request).await {
+        let mut response = match self.clone().respond(&id, request).await {
             Ok(response) => response,
             Err(refusal) => {
-                self.note_refusal(&id, &refusal);
+                self.log_refusal(&id, &refusal);
                 refusal.into_response()
             }
         };
-        telemetry::answered(response.status(), started.elapsed());
+        telemetry::record_response(response.status(), started.elapsed());
         response.headers_mut().insert(REQUEST_ID_HEADER, id);
         if self.draining.load(Ordering::Relaxed) && response.version() < http::Version::HTTP_2 {
             // Makes callers on kept connections go to another instance.
@@ -114,20 +114,20 @@
         response
     }
 
-    async fn answer(
+    async fn respond(
         self: Arc<Self>,
         id: &HeaderValue,
         request: Request<Incoming>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         if self.membership.load().generation == 0 {
             // Without objects it is not known which paths and keys there are.
             let refusal = Refusal::not_run(Code::Unavailable, "no objects are known yet");
-            return Err(refusal.retry_after(COME_BACK));
+            return Err(refusal.retry_after(DEFAULT_RETRY_AFTER));
         }
-        if let Some(own) = OwnPath::find(request.uri().path()) {
-            return self.answer_own(own, &request).await;
+        if let Some(path) = BuiltinPath::find(request.uri().path()) {
+            return self.respond_builtin(path, &request).await;
         }
-        let accepted = self.accept(id, request).await?;
+        let accepted = self.validate(id, request).await?;
         if let Some(team) = accepted.team() {
             self.admission.admit(team, accepted.prepared.deadline).await?;
         }
@@ -140,36 +140,37 @@
     }
 
     /// Checks the caller, the route and the body.
-    async fn accept(
+    async fn validate(
         &self,
         id: &HeaderValue,
         request: Request<Incoming>,
-    ) -> Result<Accepted, Refusal> {
-        let known = self.membership.load();
+    ) -> Result<AcceptedCall, Refusal> {
+        let snapshot = self.membership.load();
         let (head, incoming) = request.into_parts();
-        let route = known
+        let route = snapshot
             .objects
             .route_for(head.uri.path())
             .ok_or_else(|| Refusal::not_run(Code::NotFound, "no route for this path"))?;
         let credential = if route.open {
             None
         } else {
-            check_lease(&known)?;
-            Some(Credential::find(&head.headers, &known.objects)?)
+            check_lease(&snapshot)?;
+            Some(Credential::from_headers(&head.headers, &snapshot.objects)?)
         };
         let call = CallHead::read(&head.method, &head.headers, route.timeout)?;
         let max = (route.max_body.bytes() as usize).min(self.limits.max_body);
         let body = body::read(incoming, max, self.limits.body_timeout).await?;
-        let held = self.hold(body.len())?;
+        let memory = self.reserve_memory(body.len())?;
         let path = head.uri.path_and_query().map_or("/", |p| p.as_str()).to_owned();
-        let (spec, stream) = spec(&known.objects, route, &call, credential.as_ref(), &body)?;
+        let (spec, stream) =
+            call_spec(&snapshot.objects, route, &call, credential.as_ref(), &body)?;
         let idempotent = !route.is_non_idempotent(head.method.as_str());
         if call.program.is_some() && credential.is_none() {
             let message = "a program needs a route with a key";
             return Err(Refusal::not_run(Code::BadRequest, message));
         }
-        let prepared = Prepared {
-            parts: Parts::new(head.method, path, head.headers, body)
+        let prepared = PreparedCall {
+            parts: RequestParts::new(head.method, path, head.headers, body)
                 .with_program(credential.as_ref(), call.program.as_ref()),
             credential,
             spec: Arc::new(spec),
@@ -177,34 +178,34 @@
             request_id: id.clone(),
             deadline: call.deadline,
         };
-        Ok(Accepted { prepared, head: call, stream, _held: held })
+        Ok(AcceptedCall { prepared, head: call, stream, _memory: memory })
     }
 
     /// Counts the memory of a call; refuses when all calls together hold too much.
-    fn hold(&self, bytes: usize) -> Result<OwnedSemaphorePermit, Refusal> {
-        let units = bytes.div_ceil(HELD_UNIT_BYTES).max(1) as u32;
-        self.held.clone().try_acquire_many_owned(units).map_err(|_| {
+    fn reserve_memory(&self, bytes: usize) -> Result<OwnedSemaphorePermit, Refusal> {
+        let units = bytes.div_ceil(MEMORY_UNIT_BYTES).max(1) as u32;
+        self.memory.clone().try_acquire_many_owned(units).map_err(|_| {
             Refusal::not_run(Code::Overloaded, "the instance holds too many bodies")
                 .retry_after(std::time::Duration::from_secs(1))
         })
     }
 
     /// Runs an idempotent call that belongs to no program and whose answer is not streamed.
-    async fn run_plain(&self, accepted: &Accepted) -> Result<Response<AnswerBody>, Refusal> {
+    async fn run_plain(&self, accepted: &AcceptedCall) -> Result<Response<ResponseBody>, Refusal> {
         let mut attempts = Attempts::new(self, &accepted.prepared);
         loop {
-            let place = attempts.place().await?;
-            if let Some(answer) = attempts.exchange(place).await? {
-                return Ok(whole_response(answer.status, answer.headers, answer.body));
+            let placement = attempts.acquire().await?;
+            if let Some(answer) = attempts.exchange(placement).await? {
+                return Ok(build_response(answer.status, answer.headers, answer.body));
             }
         }
     }
 
-    fn note_refusal(&self, id: &HeaderValue, refusal: &Refusal) {
-        telemetry::refused(refusal.code.as_str());
+    fn log_refusal(&self, id: &HeaderValue, refusal: &Refusal) {
+        telemetry::record_refusal(refusal.code.as_str());
         let quiet = matches!(refusal.code, Code::Unauthorized | Code::NotFound | Code::BadRequest);
         let level =
-            if quiet || refusal.ran == Ran::No { log::Level::Debug } else { log::Level::Warn };
+            if quiet || refusal.ran == Executed::No { log::Level::Debug } else { log::Level::Warn };
         log::log!(
             level,
             request_id = id.to_str().unwrap_or_default(),
@@ -217,11 +218,11 @@
 }
 
 /// Builds the answer to the caller from a whole answer of an endpoint.
-pub(crate) fn whole_response(
+pub(crate) fn build_response(
     status: http::StatusCode,
     headers: HeaderMap,
     body: Bytes,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let mut response = Response::new(body::full(body));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -229,7 +230,7 @@
 }
 
 /// What the scheduler needs to know of the call, and whether its answer is streamed.
-fn spec(
+fn call_spec(
     objects: &ObjectSet,
     route: &Route,
     call: &CallHead,
--- a/crates/server/src/entry/listener.rs
+++ b/crates/server/src/entry/listener.rs
@@ -17,36 +17,36 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    handler::{Entry, HELD_UNIT_BYTES},
+    handler::{EntryHandler, MEMORY_UNIT_BYTES},
     refusal::{Code, Refusal},
 };
 use crate::config::Limits;
 
 const MAX_STREAMS_PER_CONNECTION: u32 = 256;
 /// Pause after a failed accept, for instance when the process is out of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Connections above the limit that are told so at the same time; further ones are only closed.
-const MAX_TURNED_AWAY: usize = 64;
-const TURN_AWAY_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_CONCURRENT_REJECTIONS: usize = 64;
+const REJECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Start of every HTTP/2 connection.
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-const PREFACE_POLL: Duration = Duration::from_millis(10);
+const PREFACE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Serves callers on one address.
 pub(crate) struct Listener {
     socket: TcpListener,
-    entry: Arc<Entry>,
+    entry: Arc<EntryHandler>,
     limits: Limits,
-    slots: Arc<Semaphore>,
-    turned_away: Arc<Semaphore>,
+    connections: Arc<Semaphore>,
+    rejections: Arc<Semaphore>,
 }
 
 impl Listener {
-    pub(crate) fn new(socket: TcpListener, entry: Arc<Entry>, limits: Limits) -> Self {
-        let slots = Arc::new(Semaphore::new(limits.max_connections));
-        let turned_away = Arc::new(Semaphore::new(MAX_TURNED_AWAY));
-        Self { socket, entry, limits, slots, turned_away }
+    pub(crate) fn new(socket: TcpListener, entry: Arc<EntryHandler>, limits: Limits) -> Self {
+        let connections = Arc::new(Semaphore::new(limits.max_connections));
+        let rejections = Arc::new(Semaphore::new(MAX_CONCURRENT_REJECTIONS));
+        Self { socket, entry, limits, connections, rejections }
     }
 
     /// Accepts until `stop`, then waits for the open calls, at most `drain_timeout`. Returns the
@@ -64,36 +64,36 @@
                 () = stop.cancelled() => break,
             };
             match accepted {
-                Ok((stream, _)) => match self.slots.clone().try_acquire_owned() {
+                Ok((stream, _)) => match self.connections.clone().try_acquire_owned() {
                     Ok(permit) => self.serve(&server, &graceful, &stop, stream, permit),
-                    Err(_) => self.turn_away(stream),
+                    Err(_) => self.reject(stream),
                 },
                 Err(e) => {
                     let error = e.to_string();
                     log::warn!(error = error.as_str(); "cannot accept a connection");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
         drop(self.socket);
         let open = graceful.count();
         log::info!(open; "no longer accepting; waiting for open calls");
-        let all = (self.limits.max_held / HELD_UNIT_BYTES) as u32;
+        let all_memory = (self.limits.max_held / MEMORY_UNIT_BYTES) as u32;
         let drained = async {
             graceful.shutdown().await;
             // Recorded calls whose callers have gone go on without a connection.
-            let _ = self.entry.held.acquire_many(all).await;
+            let _ = self.entry.memory.acquire_many(all_memory).await;
         };
         match tokio::time::timeout(drain_timeout, drained).await {
             Ok(()) => Ok(0),
-            Err(_) => Ok(self.limits.max_connections - self.slots.available_permits()),
+            Err(_) => Ok(self.limits.max_connections - self.connections.available_permits()),
         }
     }
 
     /// Tells a caller that there are too many connections, and closes this one.
-    fn turn_away(&self, mut stream: TcpStream) {
+    fn reject(&self, mut stream: TcpStream) {
         metrics::counter!("poplarspan_turned_away_connections_total").increment(1);
-        let Ok(permit) = self.turned_away.clone().try_acquire_owned() else { return };
+        let Ok(permit) = self.rejections.clone().try_acquire_owned() else { return };
         let refusal = Refusal::not_run(Code::Overloaded, "the instance has too many connections");
         let body = refusal.to_json();
         let head = format!(
@@ -102,7 +102,7 @@
             body.len()
         );
         tokio::spawn(async move {
-            let tell = async {
+            let respond = async {
                 stream.write_all(head.as_bytes()).await?;
                 stream.write_all(&body).await?;
                 stream.shutdown().await?;
@@ -110,7 +110,7 @@
                 tokio::io::copy(&mut stream, &mut tokio::io::sink()).await
             };
             // A caller that does not listen needs no answer.
-            let _ = tokio::time::timeout(TURN_AWAY_TIMEOUT, tell).await;
+            let _ = tokio::time::timeout(REJECT_TIMEOUT, respond).await;
             drop(permit);
         });
     }
@@ -151,13 +151,13 @@
         let (server, watcher, stop) = (server.clone(), graceful.watcher(), stop.clone());
         let head_timeout = self.limits.head_timeout;
         tokio::spawn(async move {
-            let begun = tokio::select! {
+            let started = tokio::select! {
                 // First, since a caller that has sent something is answered.
                 biased;
-                begun = tokio::time::timeout(head_timeout, begins(&stream)) => begun,
+                started = tokio::time::timeout(head_timeout, wait_for_preface(&stream)) => started,
                 () = stop.cancelled() => return,
             };
-            if !matches!(begun, Ok(true)) {
+            if !matches!(started, Ok(true)) {
                 return;
             }
             let connection = server.serve_connection(TokioIo::new(stream), service).into_owned();
@@ -173,13 +173,13 @@
 
 /// Waits until it is clear which protocol the caller speaks; false when it hangs up before. The
 /// server itself would wait for that without a limit.
-async fn begins(stream: &TcpStream) -> bool {
+async fn wait_for_preface(stream: &TcpStream) -> bool {
     let mut start = [0; PREFACE.len()];
     loop {
         match stream.peek(&mut start).await {
             Ok(0) | Err(_) => return false,
             Ok(len) if len < PREFACE.len() && start[..len] == PREFACE[..len] => {
-                tokio::time::sleep(PREFACE_POLL).await;
+                tokio::time::sleep(PREFACE_POLL_INTERVAL).await;
             }
             Ok(_) => return true,
         }
--- a/crates/server/src/entry/mod.rs
+++ b/crates/server/src/entry/mod.rs
@@ -6,17 +6,17 @@
 mod attempt;
 mod auth;
 mod body;
+mod builtin;
 mod call;
 mod chat;
 mod handler;
 mod listener;
-mod own;
 mod program;
 mod record;
 mod refusal;
 mod stream;
 
 pub(crate) use body::{Chunk, RelaySender};
-pub(crate) use handler::{Entry, HELD_UNIT_BYTES};
+pub(crate) use handler::{EntryHandler, MEMORY_UNIT_BYTES};
 pub(crate) use listener::Listener;
 pub(crate) use refusal::{Code, Refusal};
--- a/crates/server/src/entry/program.rs
+++ b/crates/server/src/entry/program.rs
@@ -16,18 +16,18 @@
 use tokio::{sync::oneshot, time::Instant};
 
 use super::{
-    attempt::{Answer, Attempts, Begun, Place},
-    body::AnswerBody,
-    handler::{Accepted, Entry, whole_response},
+    attempt::{Attempts, FullResponse, PendingResponse, Placement},
+    body::ResponseBody,
+    handler::{AcceptedCall, EntryHandler, build_response},
     record::{RECORD_TIMEOUT, completion_tokens, encode_headers, replay},
-    refusal::{Code, Ran, Refusal},
+    refusal::{Code, Executed, Refusal},
 };
 use crate::{programs::LedgerError, schedule::Slot};
 
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How long a call waits for an earlier turn of its program, or for another copy of itself.
-const LONGEST_ORDER_WAIT: Duration = Duration::from_secs(5);
-const ORDER_POLL: Duration = Duration::from_millis(50);
+const MAX_ORDER_WAIT: Duration = Duration::from_secs(5);
+const ORDER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Bytes of a streamed answer for each token, with the event around it.
 const ANSWER_BYTES_PER_TOKEN: u64 = 256;
 const SERVICE_ANSWER_BYTES: u64 = 64 * 1024;
@@ -39,12 +39,12 @@
     pub(crate) call: CallId,
     pub(crate) number: u64,
     /// Endpoints that the ledger knows to be used under this claim.
-    named: Vec<Name>,
+    recorded_endpoints: Vec<Name>,
     deadline: Instant,
 }
 
 /// Where the answer of a call goes.
-type Caller = oneshot::Sender<Result<Response<AnswerBody>, Refusal>>;
+type ResponseSender = oneshot::Sender<Result<Response<ResponseBody>, Refusal>>;
 
 /// Ends a call that has not begun; nobody reads this.
 fn caller_gone() -> Refusal {
@@ -52,23 +52,23 @@
 }
 
 /// What the ledger says to the begin of a call.
-enum BeginAnswer {
+enum BeginOutcome {
     Granted(Claim),
     Replay(ledger::Answer),
     /// Another call must end first.
     Wait,
 }
 
-impl Entry {
+impl EntryHandler {
     /// Runs a call under a claim of the ledger.
     ///
     /// It runs in a task of its own: a caller that hangs up must not leave the claim open, since
     /// its resend would then find the call running for ever.
     pub(crate) async fn run_recorded(
         self: Arc<Self>,
-        accepted: Accepted,
+        accepted: AcceptedCall,
         stream: bool,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let (mut caller, answer) = oneshot::channel();
         tokio::spawn(async move {
             let result = self.run_claimed(accepted, stream, &mut caller).await;
@@ -77,46 +77,46 @@
         });
         answer.await.unwrap_or_else(|_| {
             let message = "the instance failed while it ran the call";
-            Err(Refusal::with_ran(Code::Unavailable, Ran::Unknown, message))
+            Err(Refusal::with_ran(Code::Unavailable, Executed::Unknown, message))
         })
     }
 
     async fn run_claimed(
         self: Arc<Self>,
-        accepted: Accepted,
+        accepted: AcceptedCall,
         stream: bool,
-        caller: &mut Caller,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+        caller: &mut ResponseSender,
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let begin = self.begin_command(&accepted)?;
-        let wait_until = accepted.prepared.deadline.min(Instant::now() + LONGEST_ORDER_WAIT);
+        let wait_until = accepted.prepared.deadline.min(Instant::now() + MAX_ORDER_WAIT);
         let mut attempts = Attempts::new(&self, &accepted.prepared);
-        let (claim, place) = loop {
-            let place = tokio::select! {
-                place = attempts.place() => place?,
+        let (claim, placement) = loop {
+            let placement = tokio::select! {
+                placement = attempts.acquire() => placement?,
                 () = caller.closed() => return Err(caller_gone()),
             };
-            match self.begin(&accepted, begin.clone(), &place.slot, wait_until).await? {
-                BeginAnswer::Granted(claim) => break (claim, place),
-                BeginAnswer::Replay(answer) => return replay(answer),
-                BeginAnswer::Wait => {
-                    drop(place);
-                    tokio::time::sleep(ORDER_POLL).await;
+            match self.begin(&accepted, begin.clone(), &placement.slot, wait_until).await? {
+                BeginOutcome::Granted(claim) => break (claim, placement),
+                BeginOutcome::Replay(answer) => return replay(answer),
+                BeginOutcome::Wait => {
+                    drop(placement);
+                    tokio::time::sleep(ORDER_POLL_INTERVAL).await;
                 }
             }
         };
         attempts.claim = Some(claim.clone());
         if !stream {
-            let answer = self.exchange_recorded(&mut attempts, claim.clone(), place).await;
+            let answer = self.exchange_recorded(&mut attempts, claim.clone(), placement).await;
             drop(attempts);
             return self.conclude(&accepted, claim, answer).await;
         }
-        match self.attempt_recorded(&mut attempts, claim.clone(), place).await {
-            Ok((claim, begun)) if is_event_stream(&begun.headers) => {
+        match self.attempt_recorded(&mut attempts, claim.clone(), placement).await {
+            Ok((claim, pending)) if is_event_stream(&pending.headers) => {
                 drop(attempts);
-                Ok(self.relay(accepted, begun, Some(claim)))
+                Ok(self.relay(accepted, pending, Some(claim)))
             }
-            Ok((claim, begun)) => {
-                let answer = self.collect_recorded(&mut attempts, claim.clone(), begun).await;
+            Ok((claim, pending)) => {
+                let answer = self.collect_recorded(&mut attempts, claim.clone(), pending).await;
                 drop(attempts);
                 self.conclude(&accepted, claim, answer).await
             }
@@ -132,17 +132,17 @@
         &self,
         attempts: &mut Attempts<'_>,
         mut claim: Claim,
-        mut place: Place,
-    ) -> Result<(Claim, Begun), Refusal> {
+        mut placement: Placement,
+    ) -> Result<(Claim, PendingResponse), Refusal> {
         loop {
-            if !claim.named.contains(&place.slot.endpoint.name) {
-                let named = self.name_endpoint(&mut claim, &place.slot).await;
-                named.map_err(|refusal| attempts.with_ran(refusal))?;
+            if !claim.recorded_endpoints.contains(&placement.slot.endpoint.name) {
+                let recorded = self.record_dispatch(&mut claim, &placement.slot).await;
+                recorded.map_err(|refusal| attempts.with_ran(refusal))?;
             }
-            if let Some(begun) = attempts.send(place).await? {
-                return Ok((claim, begun));
+            if let Some(pending) = attempts.send(placement).await? {
+                return Ok((claim, pending));
             }
-            place = attempts.place().await?;
+            placement = attempts.acquire().await?;
         }
     }
 
@@ -151,17 +151,17 @@
         &self,
         attempts: &mut Attempts<'_>,
         mut claim: Claim,
-        mut place: Place,
-    ) -> Result<Answer, Refusal> {
+        mut placement: Placement,
+    ) -> Result<FullResponse, Refusal> {
         loop {
-            if !claim.named.contains(&place.slot.endpoint.name) {
-                let named = self.name_endpoint(&mut claim, &place.slot).await;
-                named.map_err(|refusal| attempts.with_ran(refusal))?;
+            if !claim.recorded_endpoints.contains(&placement.slot.endpoint.name) {
+                let recorded = self.record_dispatch(&mut claim, &placement.slot).await;
+                recorded.map_err(|refusal| attempts.with_ran(refusal))?;
             }
-            if let Some(answer) = attempts.exchange(place).await? {
+            if let Some(answer) = attempts.exchange(placement).await? {
                 return Ok(answer);
             }
-            place = attempts.place().await?;
+            placement = attempts.acquire().await?;
         }
     }
 
@@ -169,24 +169,24 @@
         &self,
         attempts: &mut Attempts<'_>,
         mut claim: Claim,
-        mut begun: Begun,
-    ) -> Result<Answer, Refusal> {
+        mut pending: PendingResponse,
+    ) -> Result<FullResponse, Refusal> {
         loop {
-            if let Some(answer) = attempts.collect(begun).await? {
+            if let Some(answer) = attempts.collect(pending).await? {
                 return Ok(answer);
             }
-            let place = attempts.place().await?;
-            (claim, begun) = self.attempt_recorded(attempts, claim, place).await?;
+            let placement = attempts.acquire().await?;
+            (claim, pending) = self.attempt_recorded(attempts, claim, placement).await?;
         }
     }
 
     /// Records how the call ended, and only then answers the caller.
     async fn conclude(
         self: &Arc<Self>,
-        accepted: &Accepted,
+        accepted: &AcceptedCall,
         claim: Claim,
-        outcome: Result<Answer, Refusal>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+        outcome: Result<FullResponse, Refusal>,
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let (end, result) = match outcome {
             Ok(answer) => {
                 let spec = &accepted.prepared.spec;
@@ -197,10 +197,10 @@
                     body: answer.body.clone(),
                     cost_tokens: spec.prompt_tokens + tokens,
                 };
-                let response = whole_response(answer.status, answer.headers, answer.body);
+                let response = build_response(answer.status, answer.headers, answer.body);
                 (end::Outcome::Answered(record), Ok(response))
             }
-            Err(refusal) if refusal.ran == Ran::No => {
+            Err(refusal) if refusal.ran == Executed::No => {
                 (end::Outcome::NotRun(ledger::NotRun {}), Err(refusal))
             }
             Err(refusal) => {
@@ -215,16 +215,16 @@
         }
     }
 
-    fn begin_command(&self, accepted: &Accepted) -> Result<Begin, Refusal> {
+    fn begin_command(&self, accepted: &AcceptedCall) -> Result<Begin, Refusal> {
         let prepared = &accepted.prepared;
         let Some(credential) = &prepared.credential else {
             let message = "a call that must run at most once needs a route with a key";
             return Err(Refusal::not_run(Code::BadRequest, message));
         };
         let spec = &prepared.spec;
-        let known = self.membership.load();
-        let budget = known.objects.team(&credential.team).and_then(|t| t.budget.clone());
-        let budget = budget.and_then(|name| known.objects.budget(&name).cloned());
+        let snapshot = self.membership.load();
+        let budget = snapshot.objects.team(&credential.team).and_then(|t| t.budget.clone());
+        let budget = budget.and_then(|name| snapshot.objects.budget(&name).cloned());
         let key = accepted.head.idempotency_key.clone();
         let is_chat = spec.max_output_tokens > 0;
         Ok(Begin {
@@ -255,7 +255,7 @@
             }),
             attempt: self.attempts.fetch_add(1, Ordering::Relaxed),
             endpoint: String::new(),
-            request: accepted.kept_request(),
+            request: accepted.history_request(),
             timeout_ms: (prepared.deadline.saturating_duration_since(Instant::now())
                 + RECORD_TIMEOUT)
                 .as_millis() as u64,
@@ -264,11 +264,11 @@
 
     async fn begin(
         self: &Arc<Self>,
-        accepted: &Accepted,
+        accepted: &AcceptedCall,
         mut begin: Begin,
         slot: &Slot,
         wait_until: Instant,
-    ) -> Result<BeginAnswer, Refusal> {
+    ) -> Result<BeginOutcome, Refusal> {
         let groups = self.ledger.groups();
         if groups == 0 {
             return Err(unavailable("the program groups are not known yet"));
@@ -289,28 +289,29 @@
         let command = ledger_command::Command::Begin(begin.clone());
         let answer = self.ledger.command(group, command, accepted.prepared.deadline).await;
         if let Err(LedgerError::Unknown(_)) = &answer {
-            self.take_back(group, begin);
+            self.cancel_begin(group, begin);
         }
         let may_wait = Instant::now() < wait_until;
-        match answer.map_err(begin_failed)? {
+        match answer.map_err(ledger_unavailable)? {
             ledger_answer::Answer::Granted(granted) => {
                 call.turn = granted.turn;
-                let named = vec![slot.endpoint.name.clone()];
+                let recorded_endpoints = vec![slot.endpoint.name.clone()];
                 let deadline = accepted.prepared.deadline;
-                let claim = Claim { group, call, number: granted.claim, named, deadline };
-                Ok(BeginAnswer::Granted(claim))
+                let claim =
+                    Claim { group, call, number: granted.claim, recorded_endpoints, deadline };
+                Ok(BeginOutcome::Granted(claim))
             }
-            ledger_answer::Answer::Replay(answer) => Ok(BeginAnswer::Replay(answer)),
+            ledger_answer::Answer::Replay(answer) => Ok(BeginOutcome::Replay(answer)),
             ledger_answer::Answer::OutOfOrder(_) | ledger_answer::Answer::Running(_)
                 if may_wait =>
             {
-                Ok(BeginAnswer::Wait)
+                Ok(BeginOutcome::Wait)
             }
-            other => Err(begin_refused(&other)),
+            other => Err(refusal_for(&other)),
         }
     }
 
-    pub(crate) async fn name_endpoint(
+    pub(crate) async fn record_dispatch(
         &self,
         claim: &mut Claim,
         slot: &Slot,
@@ -321,14 +322,14 @@
             endpoint: slot.endpoint.name.to_string(),
         };
         let command = ledger_command::Command::Dispatch(dispatch);
-        let deadline = claim.deadline.min(Instant::now() + LONGEST_ORDER_WAIT);
+        let deadline = claim.deadline.min(Instant::now() + MAX_ORDER_WAIT);
         match self.ledger.command(claim.group, command, deadline).await {
             Ok(ledger_answer::Answer::Recorded(_)) => {
-                claim.named.push(slot.endpoint.name.clone());
+                claim.recorded_endpoints.push(slot.endpoint.name.clone());
                 Ok(())
             }
-            Ok(other) => Err(begin_refused(&other)),
-            Err(e) => Err(begin_failed(e)),
+            Ok(other) => Err(refusal_for(&other)),
+            Err(e) => Err(ledger_unavailable(e)),
         }
     }
 }
@@ -345,7 +346,7 @@
 }
 
 /// Digest of everything that makes two calls the same call.
-fn body_digest(accepted: &Accepted) -> Bytes {
+fn body_digest(accepted: &AcceptedCall) -> Bytes {
     let parts = &accepted.prepared.parts;
     let mut hasher = blake3::Hasher::new();
     for part in [parts.method.as_str().as_bytes(), parts.path.as_bytes(), &parts.body] {
@@ -356,22 +357,22 @@
 }
 
 pub(crate) fn unavailable(message: &str) -> Refusal {
-    Refusal::not_run(Code::Unavailable, message.to_owned()).retry_after(COME_BACK)
+    Refusal::not_run(Code::Unavailable, message.to_owned()).retry_after(DEFAULT_RETRY_AFTER)
 }
 
 /// The call was not dispatched, whatever became of its begin: the claim, if there is one, is only
 /// used by this task, which gives up here.
-fn begin_failed(error: LedgerError) -> Refusal {
+fn ledger_unavailable(error: LedgerError) -> Refusal {
     unavailable(&error.to_string())
 }
 
-pub(crate) fn begin_refused(answer: &ledger_answer::Answer) -> Refusal {
+pub(crate) fn refusal_for(answer: &ledger_answer::Answer) -> Refusal {
     use ledger_answer::Answer;
     let not_run = |code, message: &'static str| Refusal::not_run(code, message);
     match answer {
         Answer::OutcomeUnknown(_) => Refusal::with_ran(
             Code::OutcomeUnknown,
-            Ran::Unknown,
+            Executed::Unknown,
             "the call was sent once, and its outcome cannot be known",
         ),
         Answer::BodyMismatch(_) => not_run(
@@ -380,14 +381,14 @@
         ),
         Answer::OutOfOrder(o) => {
             Refusal::not_run(Code::OutOfOrder, format!("the program's next turn is {}", o.expected))
-                .retry_after(COME_BACK)
+                .retry_after(DEFAULT_RETRY_AFTER)
         }
         Answer::Running(_) => Refusal::with_ran(
             Code::Conflict,
-            Ran::Unknown,
+            Executed::Unknown,
             "a call of this program, or a copy of this call, is still running",
         )
-        .retry_after(COME_BACK),
+        .retry_after(DEFAULT_RETRY_AFTER),
         Answer::BudgetExceeded(b) => Refusal::not_run(
             Code::BudgetExceeded,
             format!("the program has {} tokens of its budget left", b.remaining),
@@ -395,9 +396,10 @@
         Answer::TurnLimit(_) => not_run(Code::BudgetExceeded, "the program has used all its turns"),
         Answer::Ended(_) => not_run(Code::ProgramEnded, "the program has ended"),
         Answer::StoreFull(_) => not_run(Code::Overloaded, "the team's answers cannot all be kept")
-            .retry_after(COME_BACK),
+            .retry_after(DEFAULT_RETRY_AFTER),
         Answer::Fenced(_) | Answer::Stale(_) => {
-            not_run(Code::NoLease, "this instance was declared gone").retry_after(COME_BACK)
+            not_run(Code::NoLease, "this instance was declared gone")
+                .retry_after(DEFAULT_RETRY_AFTER)
         }
         Answer::NotFound(_) => not_run(Code::NotFound, "no such program"),
         Answer::Invalid(invalid) => Refusal::not_run(Code::BadRequest, invalid.message.clone()),
--- a/crates/server/src/entry/record.rs
+++ b/crates/server/src/entry/record.rs
@@ -8,19 +8,19 @@
 use tokio::time::Instant;
 
 use super::{
-    body::AnswerBody,
-    handler::{Entry, whole_response},
+    body::ResponseBody,
+    handler::{EntryHandler, build_response},
     program::{Claim, unavailable},
-    refusal::{Code, Ran, Refusal},
+    refusal::{Code, Executed, Refusal},
 };
 
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How long a caller waits for its answer to be recorded.
-const PATIENCE: Duration = Duration::from_secs(5);
+const RECORD_WAIT: Duration = Duration::from_secs(5);
 /// How long a command whose outcome matters is offered to the ledger.
 pub(crate) const RECORD_TIMEOUT: Duration = Duration::from_secs(60);
 
-impl Entry {
+impl EntryHandler {
     /// Commits the end of a call. When that takes too long it goes on in the background, and the
     /// caller is told that the call ran.
     pub(crate) async fn record(
@@ -36,27 +36,28 @@
             let command = ledger_command::Command::End(end);
             this.ledger.command(claim.group, command, deadline).await
         });
-        let lost = |cause: String| {
-            Refusal::with_ran(Code::Unavailable, Ran::Yes, cause).retry_after(COME_BACK)
+        let not_recorded = |cause: String| {
+            Refusal::with_ran(Code::Unavailable, Executed::Yes, cause)
+                .retry_after(DEFAULT_RETRY_AFTER)
         };
-        let patience = tokio::time::timeout(PATIENCE, recording).await;
-        match patience {
+        let recorded = tokio::time::timeout(RECORD_WAIT, recording).await;
+        match recorded {
             Ok(Ok(Ok(ledger_answer::Answer::Recorded(_)))) => Ok(()),
             Ok(Ok(Ok(ledger_answer::Answer::Stale(_)))) => Err(Refusal::with_ran(
                 Code::Conflict,
-                Ran::Yes,
+                Executed::Yes,
                 "the call was taken over by another instance",
             )
-            .retry_after(COME_BACK)),
-            Ok(Ok(Ok(_))) => Err(lost("unexpected answer of the ledger".to_owned())),
-            Ok(Ok(Err(e))) => Err(lost(e.to_string())),
-            Ok(Err(e)) => Err(lost(e.to_string())),
-            Err(_) => Err(lost("the answer is not recorded yet".to_owned())),
+            .retry_after(DEFAULT_RETRY_AFTER)),
+            Ok(Ok(Ok(_))) => Err(not_recorded("unexpected answer of the ledger".to_owned())),
+            Ok(Ok(Err(e))) => Err(not_recorded(e.to_string())),
+            Ok(Err(e)) => Err(not_recorded(e.to_string())),
+            Err(_) => Err(not_recorded("the answer is not recorded yet".to_owned())),
         }
     }
 
     /// Takes back a begin whose outcome is unknown, so that the call does not count as running.
-    pub(crate) fn take_back(self: &Arc<Self>, group: u32, begin: Begin) {
+    pub(crate) fn cancel_begin(self: &Arc<Self>, group: u32, begin: Begin) {
         let this = self.clone();
         let mut call = CallId {
             team: begin.team.clone(),
@@ -83,12 +84,12 @@
 }
 
 /// Answers with what was recorded for an earlier copy of the call.
-pub(crate) fn replay(answer: ledger::Answer) -> Result<Response<AnswerBody>, Refusal> {
+pub(crate) fn replay(answer: ledger::Answer) -> Result<Response<ResponseBody>, Refusal> {
     let status = u16::try_from(answer.status).ok().and_then(|s| StatusCode::from_u16(s).ok());
     let status = status.ok_or_else(|| unavailable("the recorded answer is malformed"))?;
     let mut headers = decode_headers(&answer.head);
     headers.insert("x-poplarspan-replay", HeaderValue::from_static("true"));
-    Ok(whole_response(status, headers, answer.body))
+    Ok(build_response(status, headers, answer.body))
 }
 
 /// Encodes headers for the ledger, which keeps them as they are.
--- a/crates/server/src/entry/refusal.rs
+++ b/crates/server/src/entry/refusal.rs
@@ -5,15 +5,15 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use serde::Serialize;
 
-use super::body::{self, AnswerBody};
+use super::body::{self, ResponseBody};
 
 /// When a caller may come back, where nothing better is known.
-const COME_BACK: Duration = Duration::from_secs(1);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Whether any part of the refused call was carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum Ran {
+pub(crate) enum Executed {
     /// Not a byte of it has left for an endpoint, and none will.
     No,
     /// It ran, but its answer is lost or not whole.
@@ -65,7 +65,7 @@
     }
 
     /// Whether the cause passes without a change of the call.
-    fn is_passing(self) -> bool {
+    fn is_transient(self) -> bool {
         matches!(
             self,
             Self::RateLimited
@@ -107,7 +107,7 @@
 pub(crate) struct Refusal {
     pub(crate) code: Code,
     pub(crate) message: Cow<'static, str>,
-    pub(crate) ran: Ran,
+    pub(crate) ran: Executed,
     pub(crate) retry_after: Option<Duration>,
 }
 
@@ -120,17 +120,21 @@
 struct Detail<'a> {
     code: Code,
     message: &'a str,
-    ran: Ran,
+    ran: Executed,
 }
 
 impl Refusal {
     /// A refusal of a call that did not run.
     pub(crate) fn not_run(code: Code, message: impl Into<Cow<'static, str>>) -> Self {
-        Self { code, message: message.into(), ran: Ran::No, retry_after: None }
+        Self { code, message: message.into(), ran: Executed::No, retry_after: None }
     }
 
     /// A refusal of a call that may have run, or did run.
-    pub(crate) fn with_ran(code: Code, ran: Ran, message: impl Into<Cow<'static, str>>) -> Self {
+    pub(crate) fn with_ran(
+        code: Code,
+        ran: Executed,
+        message: impl Into<Cow<'static, str>>,
+    ) -> Self {
         Self { code, message: message.into(), ran, retry_after: None }
     }
 
@@ -147,13 +151,13 @@
     }
 
     /// The answer to the caller.
-    pub(crate) fn into_response(self) -> Response<AnswerBody> {
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let mut response = Response::new(body::full(self.to_json()));
         *response.status_mut() = self.code.status();
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let may_return = self.ran == Ran::No && self.code.is_passing();
-        if let Some(wait) = self.retry_after.or_else(|| may_return.then_some(COME_BACK)) {
+        let may_return = self.ran == Executed::No && self.code.is_transient();
+        if let Some(wait) = self.retry_after.or_else(|| may_return.then_some(DEFAULT_RETRY_AFTER)) {
             // The header has whole seconds: rounded up, so that nobody comes back too early.
             let seconds = wait.as_millis().div_ceil(1000).max(1) as u64;
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
--- a/crates/server/src/entry/stream.rs
+++ b/crates/server/src/entry/stream.rs
@@ -9,40 +9,40 @@
 use tokio::time::{Duration, Instant, timeout};
 
 use super::{
-    attempt::{Attempts, Begun},
-    body::{self, AnswerBody, Chunk, RelaySender},
-    handler::{Accepted, Entry, whole_response},
+    attempt::{Attempts, PendingResponse},
+    body::{self, Chunk, RelaySender, ResponseBody},
+    handler::{AcceptedCall, EntryHandler, build_response},
     program::{Claim, is_event_stream},
     record::encode_headers,
     refusal::Refusal,
 };
 use crate::{
-    dispatch::{AnswerError, RelayLimits, Relayed, StreamEnd, relay_stream},
+    dispatch::{RelayLimits, Relayed, ResponseError, StreamEnd, relay_stream},
     schedule::DispatchOutcome,
     telemetry,
 };
 
 /// Longest time between two events of an engine.
-const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time for an engine to end its body after the terminal event.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-impl Entry {
+impl EntryHandler {
     /// Runs a streamed call that the ledger does not record.
     pub(crate) async fn run_stream(
         self: Arc<Self>,
-        accepted: Accepted,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+        accepted: AcceptedCall,
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let mut attempts = Attempts::new(&self, &accepted.prepared);
         loop {
-            let place = attempts.place().await?;
-            let Some(begun) = attempts.send(place).await? else { continue };
-            if is_event_stream(&begun.headers) {
+            let placement = attempts.acquire().await?;
+            let Some(pending) = attempts.send(placement).await? else { continue };
+            if is_event_stream(&pending.headers) {
                 drop(attempts);
-                return Ok(self.relay(accepted, begun, None));
+                return Ok(self.relay(accepted, pending, None));
             }
-            if let Some(answer) = attempts.collect(begun).await? {
-                return Ok(whole_response(answer.status, answer.headers, answer.body));
+            if let Some(answer) = attempts.collect(pending).await? {
+                return Ok(build_response(answer.status, answer.headers, answer.body));
             }
         }
     }
@@ -50,36 +50,37 @@
     /// Starts to relay an answer; it goes on in a task of its own.
     pub(crate) fn relay(
         self: Arc<Self>,
-        accepted: Accepted,
-        begun: Begun,
+        accepted: AcceptedCall,
+        pending: PendingResponse,
         claim: Option<Claim>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let (tx, answer) = body::relay();
         let mut response = Response::new(answer);
-        *response.status_mut() = begun.status;
-        *response.headers_mut() = begun.headers.clone();
-        tokio::spawn(self.relay_to_end(accepted, begun, claim, tx));
+        *response.status_mut() = pending.status;
+        *response.headers_mut() = pending.headers.clone();
+        tokio::spawn(self.relay_to_end(accepted, pending, claim, tx));
         response
     }
 
     async fn relay_to_end(
         self: Arc<Self>,
-        accepted: Accepted,
-        begun: Begun,
+        accepted: AcceptedCall,
+        pending: PendingResponse,
         claim: Option<Claim>,
         tx: RelaySender,
     ) {
-        let Begun { status, headers, mut body, reuse, slot, first_byte, run, _suspect } = begun;
+        let PendingResponse { status, headers, mut body, reuse, slot, first_byte, run, _suspect } =
+            pending;
         let started = Instant::now();
         let limits = RelayLimits {
-            progress: PROGRESS_TIMEOUT,
+            idle_timeout: STREAM_IDLE_TIMEOUT,
             deadline: accepted.prepared.deadline,
-            keep: if claim.is_some() { self.limits.max_answer } else { 0 },
+            max_buffered: if claim.is_some() { self.limits.max_response } else { 0 },
         };
         let relayed = relay_stream(&mut body, &tx, limits).await;
-        telemetry::streamed(accepted.team(), relayed.events, started.elapsed());
+        telemetry::record_stream(accepted.team(), relayed.events, started.elapsed());
         match &relayed.end {
-            StreamEnd::Whole { .. } => {
+            StreamEnd::Complete { .. } => {
                 if let Ok(None) = timeout(CLOSE_TIMEOUT, body.frame()).await {
                     reuse.finish();
                 }
@@ -95,12 +96,14 @@
             StreamEnd::Failed(e) => {
                 let (cause, endpoint) = (e.to_string(), slot.endpoint.name.to_string());
                 log::warn!(endpoint = endpoint.as_str(), cause = cause.as_str(); "stream failed");
-                let chosen = slot.endpoint.clone();
+                let endpoint = slot.endpoint.clone();
                 slot.finish(DispatchOutcome::Failed);
-                if let AnswerError::Truncated(_) = e {
+                if let ResponseError::Truncated(_) = e {
                     let call = &accepted.prepared;
                     let fingerprint = call.fingerprint();
-                    self.crashes.note_lost(&chosen, run, fingerprint, call.deadline).await;
+                    self.crashes
+                        .report_lost_connection(&endpoint, run, fingerprint, call.deadline)
+                        .await;
                 }
             }
         }
@@ -112,7 +115,7 @@
     /// Records the end of the stream, and only then passes on its last event.
     async fn end_stream(
         self: &Arc<Self>,
-        accepted: &Accepted,
+        accepted: &AcceptedCall,
         claim: Option<Claim>,
         (status, head): (u32, Bytes),
         relayed: Relayed,
@@ -120,10 +123,10 @@
     ) {
         let cost_tokens = accepted.prepared.spec.prompt_tokens + relayed.events;
         let outcome = match &relayed.end {
-            StreamEnd::Whole { .. } => end::Outcome::Answered(ledger::Answer {
+            StreamEnd::Complete { .. } => end::Outcome::Answered(ledger::Answer {
                 status,
                 head,
-                body: relayed.kept.freeze(),
+                body: relayed.buffered.freeze(),
                 cost_tokens,
             }),
             StreamEnd::CallerGone | StreamEnd::Failed(_) => {
@@ -135,9 +138,9 @@
             None => Ok(()),
         };
         // Without its last chunk the answer is not whole for the caller.
-        if let (StreamEnd::Whole { last }, Ok(())) = (relayed.end, recorded) {
+        if let (StreamEnd::Complete { last }, Ok(())) = (relayed.end, recorded) {
             // An error means that the caller has gone.
-            let _ = tx.send(Chunk::Last(last)).await;
+            let _ = tx.send(Chunk::Final(last)).await;
         }
     }
 }
--- a/crates/server/src/instance.rs
+++ b/crates/server/src/instance.rs
@@ -21,12 +21,12 @@
 use crate::{
     admission::FleetAdmission,
     config::InstanceConfig,
-    control::{self, Control, PROGRAM_GROUPS, ReleaseOrders, Replicas, Service, Sweeper},
-    crashes::Crashes,
+    control::{self, Control, PROGRAM_GROUPS, ReleaseOrders, ReplicaAddresses, Service, Sweeper},
+    crashes::CrashRegistry,
     dispatch::{Pool, PoolConfig, REQUEST_ID_HEADER},
-    entry::{Entry, HELD_UNIT_BYTES, Listener},
+    entry::{EntryHandler, Listener, MEMORY_UNIT_BYTES},
     membership::{
-        Directory, Heartbeats, Identity, Membership, SavedObjects, discover, new_incarnation,
+        Directory, HeartbeatTask, Identity, Membership, ObjectFile, discover, new_incarnation,
     },
     peer::{Credentials, PeerClient, PeerServer},
     probes::{self, Readiness},
@@ -56,14 +56,14 @@
     stop: CancellationToken,
     listener: JoinHandle<Result<usize>>,
     supervisor: Supervisor,
-    leave: Leave,
+    lease_release: LeaseRelease,
     client: PeerClient,
     /// The replicated log, and the lock on its folder.
     replica: Option<(Arc<Node>, DataDir)>,
 }
 
 /// What handing the lease back needs.
-struct Leave {
+struct LeaseRelease {
     name: poplarspan_objects::Name,
     incarnation: Arc<AtomicU64>,
     directory: Arc<Directory>,
@@ -103,9 +103,9 @@
         let entry_socket = listen(cfg.entry_address).await.context("entry address")?;
         let probe_socket = Arc::new(listen(cfg.probe_address).await.context("probe address")?);
 
-        let saved = cfg.data_dir.as_deref().map(SavedObjects::new);
-        let (generation, objects) = match &saved {
-            Some(saved) => saved.load()?,
+        let object_file = cfg.data_dir.as_deref().map(ObjectFile::new);
+        let (generation, objects) = match &object_file {
+            Some(object_file) => object_file.load()?,
             None => (0, ObjectSet::default()),
         };
         metrics::gauge!("poplarspan_generation").set(generation as f64);
@@ -131,7 +131,7 @@
             FleetAdmission::new(cfg.name.clone(), session, membership.clone(), client.clone());
 
         let scheduler = FairScheduler::new(cfg.name.clone(), cfg.zone.clone(), membership.clone());
-        let crashes = Crashes::new(
+        let crashes = CrashRegistry::new(
             cfg.name.clone(),
             membership.clone(),
             client.clone(),
@@ -158,18 +158,19 @@
             peer_address,
             replica: started.as_ref().map(|s| s.replica),
         };
-        let heartbeats = Arc::new(Heartbeats {
+        let heartbeats = Arc::new(HeartbeatTask {
             identity,
             membership: membership.clone(),
             directory: directory.clone(),
             client: client.clone(),
-            saved,
+            object_file,
             draining: draining.clone(),
             leaving: leaving.clone(),
         });
-        let (found, asker, seeds) = (directory.clone(), client.clone(), cfg.seeds.clone());
-        supervisor
-            .start("discovery", move || discover(found.clone(), asker.clone(), seeds.clone()));
+        let (found, peer_client, seeds) = (directory.clone(), client.clone(), cfg.seeds.clone());
+        supervisor.start("discovery", move || {
+            discover(found.clone(), peer_client.clone(), seeds.clone())
+        });
         supervisor.start("heartbeats", move || heartbeats.clone().run());
         if let Some(control) = control {
             start_control(&mut supervisor, control, &ledger, &membership, &pool);
@@ -182,13 +183,16 @@
         supervisor.start("crash records", move || records.clone().run());
         let rates = admission.clone();
         supervisor.start("rates", move || rates.clone().run());
-        let ready = Arc::new(Ready { membership: membership.clone(), draining: draining.clone() });
+        let ready = Arc::new(InstanceReadiness {
+            membership: membership.clone(),
+            draining: draining.clone(),
+        });
         let probe_address = probe_socket.local_addr()?;
         supervisor.start("probe port", move || {
             probes::serve(probe_socket.clone(), ready.clone(), metrics.clone())
         });
 
-        let entry = Arc::new(Entry {
+        let entry = Arc::new(EntryHandler {
             instance: cfg.name.clone(),
             membership: membership.clone(),
             limits: cfg.limits.clone(),
@@ -200,7 +204,7 @@
             retry_budget: Mutex::new(RetryBudget::new(Default::default())),
             incarnation: incarnation.clone(),
             attempts: AtomicU64::new(1),
-            held: Arc::new(Semaphore::new(cfg.limits.max_held / HELD_UNIT_BYTES)),
+            memory: Arc::new(Semaphore::new(cfg.limits.max_held / MEMORY_UNIT_BYTES)),
             draining: draining.clone(),
         });
         let entry_address = entry_socket.local_addr()?;
@@ -223,7 +227,13 @@
             stop,
             listener,
             supervisor,
-            leave: Leave { name: cfg.name, incarnation, directory, membership, leaving },
+            lease_release: LeaseRelease {
+                name: cfg.name,
+                incarnation,
+                directory,
+                membership,
+                leaving,
+            },
             client,
             replica: started.map(|s| (s.node, s.dir)),
         })
@@ -239,14 +249,14 @@
     cfg: &InstanceConfig,
     client: &PeerClient,
     peer_address: SocketAddr,
-) -> Result<Option<control::Started>> {
+) -> Result<Option<control::ControlReplica>> {
     let Some(path) = &cfg.data_dir else { return Ok(None) };
     let dir = DataDir::open(path)?;
-    let replicas = Arc::new(Replicas::default());
-    for known in &cfg.replicas {
-        replicas.configure(known.replica, known.address);
+    let replicas = Arc::new(ReplicaAddresses::default());
+    for replica in &cfg.replicas {
+        replicas.set_configured(replica.replica, replica.address);
     }
-    replicas.configure(dir.replica().0, peer_address);
+    replicas.set_configured(dir.replica().0, peer_address);
     Ok(Some(control::start(dir, client.clone(), replicas, peer_address).await?))
 }
 
@@ -262,27 +272,27 @@
         ledger: ledger.clone(),
         program_groups: PROGRAM_GROUPS,
     });
-    let telling = sweeper.clone();
+    let notifier = sweeper.clone();
     supervisor.start("sweeper", move || sweeper.clone().run());
-    supervisor.start("telling groups", move || telling.clone().run_telling());
+    supervisor.start("telling groups", move || notifier.clone().run_group_notifications());
     let orders =
         Arc::new(ReleaseOrders { control, membership: membership.clone(), pool: pool.clone() });
     supervisor.start("release orders", move || orders.clone().run());
 }
 
-struct Ready {
+struct InstanceReadiness {
     membership: Arc<Membership>,
     draining: Arc<AtomicBool>,
 }
 
-impl Readiness for Ready {
+impl Readiness for InstanceReadiness {
     fn not_ready(&self) -> Option<&'static str> {
-        let known = self.membership.load();
+        let snapshot = self.membership.load();
         if self.draining.load(Ordering::Relaxed) {
             Some("shutting down")
-        } else if known.generation == 0 {
+        } else if snapshot.generation == 0 {
             Some("no objects yet")
-        } else if !known.lease_valid() {
+        } else if !snapshot.lease_valid() {
             Some("no lease")
         } else {
             None
@@ -295,8 +305,10 @@
     pub async fn ready(&self) {
         // The lease is renewed without a change of the objects, so it is looked at again and again.
         const POLL: Duration = Duration::from_millis(20);
-        let ready =
-            Ready { membership: self.leave.membership.clone(), draining: self.draining.clone() };
+        let ready = InstanceReadiness {
+            membership: self.lease_release.membership.clone(),
+            draining: self.draining.clone(),
+        };
         while ready.not_ready().is_some() {
             tokio::time::sleep(POLL).await;
         }
@@ -324,13 +336,13 @@
         self.draining.store(true, Ordering::Relaxed);
         tokio::time::sleep(self.drain_grace).await;
         self.stop_accepting.cancel();
-        let cut = self.listener.await??;
-        if cut > 0 {
-            log::error!(connections = cut; "drain timeout: calls were cut");
+        let open = self.listener.await??;
+        if open > 0 {
+            log::error!(connections = open; "drain timeout: calls were cut");
         }
-        self.leave.leaving.store(true, Ordering::Relaxed);
-        self.leave.membership.release();
-        hand_back(&self.leave, &self.client).await;
+        self.lease_release.leaving.store(true, Ordering::Relaxed);
+        self.lease_release.membership.drop_lease();
+        release_lease(&self.lease_release, &self.client).await;
         if let Some((node, _)) = &self.replica {
             // Transfers leadership away first.
             node.shutdown().await;
@@ -339,15 +351,15 @@
         self.supervisor.join().await;
         self.client.close().await;
         log::info!("stopped");
-        Ok(cut)
+        Ok(open)
     }
 }
 
-async fn hand_back(leave: &Leave, client: &PeerClient) {
-    let Some(target) = leave.directory.leader() else { return };
+async fn release_lease(lease_release: &LeaseRelease, client: &PeerClient) {
+    let Some(target) = lease_release.directory.leader() else { return };
     let body = request::Body::Leave(peer::Leave {
-        instance: leave.name.to_string(),
-        incarnation: leave.incarnation.load(Ordering::Relaxed),
+        instance: lease_release.name.to_string(),
+        incarnation: lease_release.incarnation.load(Ordering::Relaxed),
     });
     match client.call(target, body, LEAVE_TIMEOUT).await {
         Ok(response::Body::Left(_)) => {}
--- a/crates/server/src/membership/discovery.rs
+++ b/crates/server/src/membership/discovery.rs
@@ -12,8 +12,8 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause while no control replica has answered yet.
-const FIRST_INTERVAL: Duration = Duration::from_millis(200);
-const INTERVAL: Duration = Duration::from_secs(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Where the control replicas are, as far as this instance knows.
 pub(crate) struct Directory {
@@ -62,7 +62,7 @@
     }
 
     /// Adds control replicas that a peer named.
-    pub(crate) fn learn(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub(crate) fn add_candidates(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let mut inner = self.inner.lock().expect("no panic while locked");
         for address in addresses {
             if !inner.candidates.contains(&address) {
@@ -72,7 +72,7 @@
     }
 
     /// Notes what a failed call tells about the leader.
-    pub(crate) fn note_failure(&self, error: &CallError) {
+    pub(crate) fn handle_failure(&self, error: &CallError) {
         match error {
             CallError::Failed(failure) if failure.code() == FailureCode::NotLeader => {
                 self.set_leader(failure.leader_address.parse().ok());
@@ -89,20 +89,21 @@
     client: PeerClient,
     seeds: Vec<SocketAddr>,
 ) -> anyhow::Result<()> {
-    for turn in 0usize.. {
-        let mut known = directory.candidates();
-        known.extend(&seeds);
-        if known.is_empty() {
+    for round in 0usize.. {
+        let mut targets = directory.candidates();
+        targets.extend(&seeds);
+        if targets.is_empty() {
             return Ok(());
         }
-        let target = known[turn % known.len()];
-        let asked = request::Body::Peers(peer::PeersRequest {});
-        let pause = match client.call(target, asked, CALL_TIMEOUT).await {
+        let target = targets[round % targets.len()];
+        let request = request::Body::Peers(peer::PeersRequest {});
+        let pause = match client.call(target, request, CALL_TIMEOUT).await {
             Ok(response::Body::Peers(reply)) => {
-                directory.learn(reply.replicas.iter().filter_map(|r| r.address.parse().ok()));
-                INTERVAL
+                directory
+                    .add_candidates(reply.replicas.iter().filter_map(|r| r.address.parse().ok()));
+                REFRESH_INTERVAL
             }
-            _ => FIRST_INTERVAL,
+            _ => RETRY_INTERVAL,
         };
         tokio::time::sleep(pause).await;
     }
--- a/crates/server/src/membership/heartbeat.rs
+++ b/crates/server/src/membership/heartbeat.rs
@@ -14,7 +14,7 @@
 use rand::Rng;
 use tokio::time::Instant;
 
-use super::{Directory, HEARTBEAT_INTERVAL, Known, Membership, SavedObjects};
+use super::{Directory, HEARTBEAT_INTERVAL, Membership, ObjectFile, Snapshot};
 use crate::peer::{CallError, PeerClient};
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
@@ -40,28 +40,28 @@
 }
 
 /// The heartbeat task.
-pub(crate) struct Heartbeats {
+pub(crate) struct HeartbeatTask {
     pub(crate) identity: Identity,
     pub(crate) membership: Arc<Membership>,
     pub(crate) directory: Arc<Directory>,
     pub(crate) client: PeerClient,
-    pub(crate) saved: Option<SavedObjects>,
+    pub(crate) object_file: Option<ObjectFile>,
     pub(crate) draining: Arc<AtomicBool>,
     /// Set before the lease is handed back: a later heartbeat would ask for a new one.
     pub(crate) leaving: Arc<AtomicBool>,
 }
 
-impl Heartbeats {
+impl HeartbeatTask {
     /// Sends heartbeats until the task is ended.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut failures = 0u32;
         while !self.leaving.load(Ordering::Relaxed) {
-            match self.beat().await {
+            match self.send_heartbeat().await {
                 Ok(true) => continue,
                 Ok(false) => failures = 0,
                 Err(e) => {
                     failures += 1;
-                    self.report(failures, &e);
+                    self.log_failure(failures, &e);
                 }
             }
             let spread = rand::rng().random_range(-JITTER..JITTER);
@@ -77,19 +77,19 @@
     }
 
     /// Sends one heartbeat; true when the leader has more changes ready.
-    async fn beat(&self) -> anyhow::Result<bool> {
+    async fn send_heartbeat(&self) -> anyhow::Result<bool> {
         let Some(target) = self.directory.target() else {
             anyhow::bail!("no control replica is known");
         };
         let sent = Instant::now();
-        let known = self.membership.load();
+        let snapshot = self.membership.load();
         let body = request::Body::Heartbeat(peer::Heartbeat {
             instance: self.identity.name.to_string(),
             incarnation: self.identity.incarnation.load(Ordering::Relaxed),
             zone: self.identity.zone.to_string(),
             peer_address: self.identity.peer_address.to_string(),
-            generation: known.generation,
-            epoch: known.view.epoch,
+            generation: snapshot.generation,
+            epoch: snapshot.view.epoch,
             draining: self.draining.load(Ordering::Relaxed),
             replica: self.identity.replica,
         });
@@ -97,57 +97,59 @@
             Ok(response::Body::Lease(grant)) => grant,
             Ok(_) => anyhow::bail!("unexpected answer to a heartbeat from {target}"),
             Err(e) => {
-                self.note_fencing(&e);
-                self.directory.note_failure(&e);
+                self.handle_fencing(&e);
+                self.directory.handle_failure(&e);
                 return Err(e.into());
             }
         };
         self.directory.set_leader(Some(target));
         let more = grant.more;
-        let newer = self.membership.read(sent, grant)?;
-        if newer.generation > known.generation {
+        let updated = self.membership.with_grant(sent, grant)?;
+        if updated.generation > snapshot.generation {
             // Saved before it is in force, so that a restart never goes back.
-            self.save(&newer).await?;
+            self.save(&updated).await?;
         }
-        self.accept(newer);
+        self.install(updated);
         Ok(more)
     }
 
     /// Goes on under a new incarnation after the old one was declared gone. Calls that the old one
     /// had open stay as the ledger has settled them.
-    fn note_fencing(&self, error: &CallError) {
+    fn handle_fencing(&self, error: &CallError) {
         if let CallError::Failed(failure) = error
             && failure.code() == FailureCode::Fenced
         {
-            self.membership.release();
+            self.membership.drop_lease();
             let incarnation = new_incarnation();
             self.identity.incarnation.store(incarnation, Ordering::Relaxed);
             log::warn!(incarnation; "declared gone; continuing under a new incarnation");
         }
     }
 
-    async fn save(&self, known: &Known) -> anyhow::Result<()> {
-        match &self.saved {
-            Some(saved) => saved.save(known.generation, known.objects.clone()).await,
+    async fn save(&self, snapshot: &Snapshot) -> anyhow::Result<()> {
+        match &self.object_file {
+            Some(object_file) => {
+                object_file.save(snapshot.generation, snapshot.objects.clone()).await
+            }
             None => Ok(()),
         }
     }
 
-    fn accept(&self, known: Known) {
-        let generation = known.generation;
-        let newer = generation > self.membership.load().generation;
+    fn install(&self, snapshot: Snapshot) {
+        let generation = snapshot.generation;
+        let updated = generation > self.membership.load().generation;
         // An instance that has handed its lease back must not get it again from a late answer.
         if self.leaving.load(Ordering::Relaxed) {
             return;
         }
-        self.membership.accept(known);
-        if newer {
+        self.membership.install(snapshot);
+        if updated {
             log::info!(generation; "objects in force");
             metrics::gauge!("poplarspan_generation").set(generation as f64);
         }
     }
 
-    fn report(&self, failures: u32, error: &anyhow::Error) {
+    fn log_failure(&self, failures: u32, error: &anyhow::Error) {
         metrics::counter!("poplarspan_heartbeat_failures_total").increment(1);
         // One line for each outage and one a while after, not three a second.
         if failures == 4 || failures.is_multiple_of(100) {
--- a/crates/server/src/membership/mod.rs
+++ b/crates/server/src/membership/mod.rs
@@ -6,7 +6,7 @@
 
 mod discovery;
 mod heartbeat;
-mod saved;
+mod object_file;
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,8 +17,8 @@
 use tokio::{sync::watch, time::Instant};
 
 pub(crate) use discovery::{Directory, discover};
-pub(crate) use heartbeat::{Heartbeats, Identity, new_incarnation};
-pub(crate) use saved::SavedObjects;
+pub(crate) use heartbeat::{HeartbeatTask, Identity, new_incarnation};
+pub(crate) use object_file::ObjectFile;
 
 /// Lease that the leader of group 0 grants with each heartbeat.
 pub(crate) const LEASE: Duration = Duration::from_secs(2);
@@ -53,23 +53,23 @@
 
 /// A consistent copy of what the instance knows.
 #[derive(Clone)]
-pub(crate) struct Known {
+pub(crate) struct Snapshot {
     pub(crate) objects: Arc<ObjectSet>,
     pub(crate) generation: u64,
     pub(crate) view: Arc<View>,
-    lease_until: Option<Instant>,
+    lease_expires_at: Option<Instant>,
 }
 
-impl Known {
+impl Snapshot {
     /// Whether calls that need a key may be served now.
     pub(crate) fn lease_valid(&self) -> bool {
-        self.lease_until.is_some_and(|until| Instant::now() < until)
+        self.lease_expires_at.is_some_and(|expires_at| Instant::now() < expires_at)
     }
 }
 
 /// Shared access to what the instance knows.
 pub(crate) struct Membership {
-    known: ArcSwap<Known>,
+    snapshot: ArcSwap<Snapshot>,
     /// Counts changes of objects and view.
     changes: watch::Sender<u64>,
 }
@@ -77,13 +77,13 @@
 impl Membership {
     /// Starts from the objects that were saved by an earlier run, if any, and without a lease.
     pub(crate) fn new(generation: u64, objects: ObjectSet) -> Self {
-        let known = Known {
+        let snapshot = Snapshot {
             objects: Arc::new(objects),
             generation,
             view: Arc::new(View::default()),
-            lease_until: None,
+            lease_expires_at: None,
         };
-        Self { known: ArcSwap::from_pointee(known), changes: watch::Sender::new(0) }
+        Self { snapshot: ArcSwap::from_pointee(snapshot), changes: watch::Sender::new(0) }
     }
 
     /// Tells of each change of the objects or the view.
@@ -91,57 +91,63 @@
         self.changes.subscribe()
     }
 
-    pub(crate) fn load(&self) -> Arc<Known> {
-        self.known.load_full()
+    pub(crate) fn load(&self) -> Arc<Snapshot> {
+        self.snapshot.load_full()
     }
 
     /// Gives the lease up, so that no further keyed call starts.
-    pub(crate) fn release(&self) {
-        let mut known = Known::clone(&self.known.load());
-        known.lease_until = None;
-        self.known.store(Arc::new(known));
+    pub(crate) fn drop_lease(&self) {
+        let mut snapshot = Snapshot::clone(&self.snapshot.load());
+        snapshot.lease_expires_at = None;
+        self.snapshot.store(Arc::new(snapshot));
     }
 
     /// Reads a grant that answers the heartbeat sent at `sent`: what is known once it is accepted.
-    pub(crate) fn read(&self, sent: Instant, grant: peer::LeaseGrant) -> anyhow::Result<Known> {
-        let mut known = Known::clone(&self.known.load());
-        if grant.generation < known.generation {
+    pub(crate) fn with_grant(
+        &self,
+        sent: Instant,
+        grant: peer::LeaseGrant,
+    ) -> anyhow::Result<Snapshot> {
+        let mut snapshot = Snapshot::clone(&self.snapshot.load());
+        if grant.generation < snapshot.generation {
             metrics::counter!("poplarspan_invariant_violations_total", "invariant" => "generation")
                 .increment(1);
             anyhow::bail!(
                 "the leader offers generation {} but {} is in force",
                 grant.generation,
-                known.generation
+                snapshot.generation
             );
         }
-        if grant.generation > known.generation {
+        if grant.generation > snapshot.generation {
             let changes =
-                grant.changes.iter().map(read_change).collect::<anyhow::Result<Vec<_>>>()?;
-            let base = if grant.full { ObjectSet::default() } else { (*known.objects).clone() };
+                grant.changes.iter().map(decode_change).collect::<anyhow::Result<Vec<_>>>()?;
+            let base = if grant.full { ObjectSet::default() } else { (*snapshot.objects).clone() };
             // Changes of several generations are merged: an object that was added and removed in
             // between appears as removed, and was never here.
             let changes: Vec<_> = changes.into_iter().filter(|c| applies_to(c, &base)).collect();
             let objects = base.apply(&changes).map_err(|e| anyhow::anyhow!("{e}"))?;
-            known.objects = Arc::new(objects);
-            known.generation = grant.generation;
+            snapshot.objects = Arc::new(objects);
+            snapshot.generation = grant.generation;
         }
         if let Some(view) = grant.view
-            && view.epoch >= known.view.epoch
+            && view.epoch >= snapshot.view.epoch
         {
-            known.view = Arc::new(read_view(view)?);
+            snapshot.view = Arc::new(decode_view(view)?);
         }
-        let until = sent + Duration::from_millis(grant.duration_ms);
-        known.lease_until = Some(known.lease_until.map_or(until, |old| old.max(until)));
-        Ok(known)
+        let expires_at = sent + Duration::from_millis(grant.duration_ms);
+        snapshot.lease_expires_at =
+            Some(snapshot.lease_expires_at.map_or(expires_at, |old| old.max(expires_at)));
+        Ok(snapshot)
     }
 
     /// Takes over what was read from a grant.
     ///
     /// Only the heartbeat task reads and accepts grants, so that no lock is needed.
-    pub(crate) fn accept(&self, known: Known) {
-        let old = self.known.load();
-        let changed = (old.generation, old.view.epoch) != (known.generation, known.view.epoch);
-        self.known.store(Arc::new(known));
+    pub(crate) fn install(&self, snapshot: Snapshot) {
+        let old = self.snapshot.load();
+        let changed =
+            (old.generation, old.view.epoch) != (snapshot.generation, snapshot.view.epoch);
+        self.snapshot.store(Arc::new(snapshot));
         if changed {
             self.changes.send_modify(|count| *count += 1);
         }
@@ -155,7 +161,7 @@
     }
 }
 
-fn read_view(view: peer::View) -> anyhow::Result<View> {
+fn decode_view(view: peer::View) -> anyhow::Result<View> {
     let members = view
         .members
         .into_iter()
@@ -173,7 +179,7 @@
 }
 
 /// Converts a change received from a peer.
-pub(crate) fn read_change(change: &peer::Change) -> anyhow::Result<Change> {
+pub(crate) fn decode_change(change: &peer::Change) -> anyhow::Result<Change> {
     let kind = change.kind.parse().map_err(|_| anyhow::anyhow!("unknown kind {}", change.kind))?;
     let name: Name = change.name.as_str().into();
     Ok(match &change.body {
@@ -183,7 +189,7 @@
 }
 
 /// Converts a change for a peer.
-pub(crate) fn write_change(change: &Change) -> peer::Change {
+pub(crate) fn encode_change(change: &Change) -> peer::Change {
     match change {
         Change::Upsert(record) => peer::Change {
             kind: record.kind.to_string(),
--- a/crates/server/src/membership/saved.rs
+++ b/crates/server/src/membership/object_file.rs
@@ -13,18 +13,18 @@
 use poplarspan_proto::peer;
 use prost::Message;
 
-use super::{read_change, write_change};
+use super::{decode_change, encode_change};
 
 const FILE_NAME: &str = "objects.pb";
 const CHECKSUM_BYTES: usize = 32;
 
 /// Reads and replaces the saved object set.
 #[derive(Clone)]
-pub(crate) struct SavedObjects {
+pub(crate) struct ObjectFile {
     folder: PathBuf,
 }
 
-impl SavedObjects {
+impl ObjectFile {
     pub(crate) fn new(folder: &Path) -> Self {
         Self { folder: folder.to_owned() }
     }
@@ -52,7 +52,7 @@
             path.display()
         );
         let reply = peer::ObjectsReply::decode(Bytes::copy_from_slice(body))?;
-        let changes = reply.objects.iter().map(read_change).collect::<Result<Vec<_>>>()?;
+        let changes = reply.objects.iter().map(decode_change).collect::<Result<Vec<_>>>()?;
         let objects = ObjectSet::default().apply(&changes).map_err(|e| anyhow::anyhow!("{e}"))?;
         Ok((reply.generation, objects))
     }
@@ -67,14 +67,15 @@
 fn write(folder: &Path, generation: u64, objects: &ObjectSet) -> Result<()> {
     let changes = ObjectSet::default().diff(objects);
     let reply =
-        peer::ObjectsReply { generation, objects: changes.iter().map(write_change).collect() };
+        peer::ObjectsReply { generation, objects: changes.iter().map(encode_change).collect() };
     let body = reply.encode_to_vec();
-    let next = folder.join(format!("{FILE_NAME}.new"));
-    let mut f = File::create(&next).with_context(|| format!("cannot create {}", next.display()))?;
+    let temporary = folder.join(format!("{FILE_NAME}.new"));
+    let mut f = File::create(&temporary)
+        .with_context(|| format!("cannot create {}", temporary.display()))?;
     f.write_all(blake3::hash(&body).as_bytes())?;
     f.write_all(&body)?;
     f.sync_all()?;
-    fs::rename(&next, folder.join(FILE_NAME))?;
+    fs::rename(&temporary, folder.join(FILE_NAME))?;
     File::open(folder)?.sync_all()?;
     Ok(())
 }
--- a/crates/server/src/programs/mod.rs
+++ b/crates/server/src/programs/mod.rs
@@ -26,7 +26,7 @@
 }
 
 /// Time after which an unanswered command is resent.
-pub(crate) const RESEND_AFTER: Duration = Duration::from_millis(100);
+pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Carries commands and queries to the program groups.
 pub(crate) trait Ledger: Send + Sync {
--- a/crates/server/src/programs/peer_ledger.rs
+++ b/crates/server/src/programs/peer_ledger.rs
@@ -15,7 +15,7 @@
 use prost::Message;
 use tokio::time::Instant;
 
-use super::{Ledger, LedgerError, RESEND_AFTER};
+use super::{Ledger, LedgerError, RESEND_INTERVAL};
 use crate::{
     membership::{Directory, Membership},
     peer::{CallError, PeerClient},
@@ -57,7 +57,7 @@
     async fn call(&self, call: LedgerCall, deadline: Instant) -> Result<Bytes, LedgerError> {
         let group = call.group;
         let mut may_have_run = false;
-        let mut last = String::from("no control replica is known");
+        let mut last_error = String::from("no control replica is known");
         for attempt in 0usize.. {
             let candidates = self.directory.candidates();
             let target = self.leader(group).or_else(|| {
@@ -70,20 +70,24 @@
                         return Ok(answer);
                     }
                     Err(e) => {
-                        may_have_run |= self.note(group, &e);
-                        last = e.to_string();
+                        may_have_run |= self.handle_error(group, &e);
+                        last_error = e.to_string();
                     }
                 }
             }
-            if Instant::now() + RESEND_AFTER >= deadline {
+            if Instant::now() + RESEND_INTERVAL >= deadline {
                 break;
             }
             // The first replica asked often names the leader, which is then asked at once.
             if attempt > 0 || self.leader(group).is_none() {
-                tokio::time::sleep(RESEND_AFTER).await;
+                tokio::time::sleep(RESEND_INTERVAL).await;
             }
         }
-        Err(if may_have_run { LedgerError::Unknown(last) } else { LedgerError::Unavailable(last) })
+        Err(if may_have_run {
+            LedgerError::Unknown(last_error)
+        } else {
+            LedgerError::Unavailable(last_error)
+        })
     }
 
     async fn call_once(
@@ -103,7 +107,7 @@
     }
 
     /// Notes what a failed call tells about the leader; true when the call may have been carried out.
-    fn note(&self, group: u32, error: &CallError) -> bool {
+    fn handle_error(&self, group: u32, error: &CallError) -> bool {
         match error {
             CallError::Failed(failure) => {
                 self.set_leader(group, failure.leader_address.parse().ok());
