--- a/crates/server/src/schedule/endpoints.rs
+++ b/crates/server/src/schedule/endpoints.rs
@@ -13,26 +13,26 @@
     },
 };
 
-use super::{CallSpec, Chosen, DispatchOutcome, SlotEnd, model_group, service_group};
-use crate::membership::{Known, LEASE};
+use super::{CallSpec, DispatchOutcome, EndpointRef, SlotEnd, model_group, service_group};
+use crate::membership::{LEASE, Snapshot};
 
 /// Tokens of one block of a prompt.
 pub(crate) const BLOCK_TOKENS: u32 = 64;
 /// Blocks that the prefix index holds: about 4 million tokens.
-const MAX_BLOCKS: usize = 65_536;
+const MAX_INDEXED_BLOCKS: usize = 65_536;
 /// Blocks that an engine's cache is assumed to hold until its load report says so.
 const ASSUMED_CACHE_BLOCKS: u32 = 8192;
 /// Prefill speed that is assumed for engines, in tokens a second.
-const PREFILL_PER_SECOND: f64 = 5000.0;
+const ASSUMED_PREFILL_PER_SECOND: f64 = 5000.0;
 /// Service time that is assumed until one has been measured, in seconds.
-const SERVICE_S: f64 = 0.5;
+const ASSUMED_SERVICE_S: f64 = 0.5;
 /// Failures in a row after which an endpoint gets no calls until it answers a load request.
-const UNHEALTHY_AFTER: u32 = 3;
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 /// Time after which a program's endpoint is forgotten; its cache entries have mostly gone by then.
-const FORGET_PROGRAM: Duration = Duration::from_secs(600);
-const MAX_PROGRAMS: usize = 32_768;
+const AFFINITY_TTL: Duration = Duration::from_secs(600);
+const MAX_AFFINITIES: usize = 32_768;
 
-struct KnownEndpoint {
+struct EndpointState {
     name: Name,
     id: EndpointId,
     address: SocketAddr,
@@ -41,7 +41,7 @@
     run: Option<u64>,
 }
 
-struct LastEndpoint {
+struct ProgramAffinity {
     program: Name,
     id: EndpointId,
     at: Duration,
@@ -54,9 +54,9 @@
     chooser: CostChooser,
     ramps: Ramps,
     // Sorted by name.
-    known: Vec<KnownEndpoint>,
+    endpoints: Vec<EndpointState>,
     // Sorted by program.
-    last: Vec<LastEndpoint>,
+    affinities: Vec<ProgramAffinity>,
     generation: u64,
     epoch: u64,
 }
@@ -72,34 +72,34 @@
 }
 
 impl Endpoints {
-    pub(super) fn new(me: Name, zone: Name) -> Self {
+    pub(super) fn new(local_name: Name, zone: Name) -> Self {
         Self {
             fleet: Fleet::new(),
-            prefixes: PrefixIndex::new(MAX_BLOCKS),
+            prefixes: PrefixIndex::new(MAX_INDEXED_BLOCKS),
             chooser: CostChooser::new(
                 zone,
                 CostConfig { group_fill: PRIORITY_FILL, ..Default::default() },
             ),
-            ramps: Ramps::new(me, LEASE),
-            known: Vec::new(),
-            last: Vec::new(),
+            ramps: Ramps::new(local_name, LEASE),
+            endpoints: Vec::new(),
+            affinities: Vec::new(),
             generation: 0,
             epoch: 0,
         }
     }
 
     /// Follows changes of the objects and the view. Returns whether anything changed.
-    pub(super) fn observe(&mut self, known: &Known, now: Duration) -> bool {
+    pub(super) fn update(&mut self, snapshot: &Snapshot, now: Duration) -> bool {
         let mut changed = false;
-        if known.view.epoch != self.epoch {
-            self.epoch = known.view.epoch;
-            let instances = known.view.members.iter().map(|m| m.name.clone()).collect();
+        if snapshot.view.epoch != self.epoch {
+            self.epoch = snapshot.view.epoch;
+            let instances = snapshot.view.members.iter().map(|m| m.name.clone()).collect();
             self.ramps.observe_view(&View { epoch: self.epoch, instances }, now);
             changed = true;
         }
-        if known.generation != self.generation {
-            self.generation = known.generation;
-            self.follow(&known.objects);
+        if snapshot.generation != self.generation {
+            self.generation = snapshot.generation;
+            self.apply_objects(&snapshot.objects);
             changed = true;
         }
         if changed {
@@ -108,9 +108,9 @@
         changed
     }
 
-    fn follow(&mut self, objects: &ObjectSet) {
+    fn apply_objects(&mut self, objects: &ObjectSet) {
         let gone: Vec<Name> = self
-            .known
+            .endpoints
             .iter()
             .filter(|k| objects.endpoint(&k.name).is_none())
             .map(|k| k.name.clone())
@@ -118,7 +118,7 @@
         for name in gone {
             self.fleet.remove(&name);
             self.ramps.remove(&name);
-            self.known.retain(|k| k.name != name);
+            self.endpoints.retain(|k| k.name != name);
         }
         for endpoint in objects.endpoints() {
             self.upsert(endpoint);
@@ -130,9 +130,10 @@
 
     fn upsert(&mut self, endpoint: &Endpoint) {
         let (groups, prefill) = match &endpoint.serves {
-            Serves::Models(models) => {
-                (models.iter().map(|m| model_group(m)).collect::<Vec<Name>>(), PREFILL_PER_SECOND)
-            }
+            Serves::Models(models) => (
+                models.iter().map(|m| model_group(m)).collect::<Vec<Name>>(),
+                ASSUMED_PREFILL_PER_SECOND,
+            ),
             Serves::Service(service) => (vec![service_group(service)], f64::INFINITY),
         };
         let ramp = RampSpec {
@@ -148,52 +149,52 @@
             groups,
             capacity: endpoint.capacity,
             prefill_per_second: prefill,
-            service_s: SERVICE_S,
+            service_s: ASSUMED_SERVICE_S,
             leaving: endpoint.leaving,
         };
         let id = self.fleet.upsert(spec);
         self.ramps.upsert(ramp);
-        match self.known.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
-            Ok(i) => self.known[i].address = endpoint.address,
+        match self.endpoints.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
+            Ok(i) => self.endpoints[i].address = endpoint.address,
             Err(i) => {
                 self.prefixes.declare(id, ASSUMED_CACHE_BLOCKS);
-                let known = KnownEndpoint {
+                let state = EndpointState {
                     name: endpoint.name.clone(),
                     id,
                     address: endpoint.address,
                     failures: 0,
                     run: None,
                 };
-                self.known.insert(i, known);
+                self.endpoints.insert(i, state);
             }
         }
     }
 
     /// Follows the ramps of cold endpoints; called every tick.
     pub(super) fn refresh_caps(&mut self, now: Duration) {
-        for known in &self.known {
-            let cap = self.ramps.cap(&known.name, now);
-            self.fleet.set_cap(known.id, cap.map(|c| c.own));
-            self.fleet.set_total(known.id, cap.map(|c| c.total));
+        for state in &self.endpoints {
+            let cap = self.ramps.cap(&state.name, now);
+            self.fleet.set_cap(state.id, cap.map(|c| c.own));
+            self.fleet.set_total(state.id, cap.map(|c| c.total));
         }
-        if self.last.len() > MAX_PROGRAMS {
-            self.last.retain(|l| now < l.at + FORGET_PROGRAM / 10);
+        if self.affinities.len() > MAX_AFFINITIES {
+            self.affinities.retain(|l| now < l.at + AFFINITY_TTL / 10);
         }
-        self.last.retain(|l| now < l.at + FORGET_PROGRAM);
+        self.affinities.retain(|l| now < l.at + AFFINITY_TTL);
     }
 
     /// Whether the group has room for a call of any team.
-    pub(super) fn has_room(&self, group: &str) -> bool {
+    pub(super) fn has_capacity(&self, group: &str) -> bool {
         self.fleet.room(group, 1) > 0
     }
 
     /// Whether a call may be sent to wait at the group's endpoints.
-    pub(super) fn may_wait_there(&self, group: &str) -> bool {
+    pub(super) fn may_queue_at_endpoints(&self, group: &str) -> bool {
         self.fleet.fill(group) < f64::from(PRIORITY_FILL)
     }
 
     /// Whether this instance has no call at the group's endpoints.
-    pub(super) fn is_absent(&self, group: &str) -> bool {
+    pub(super) fn has_no_own_calls(&self, group: &str) -> bool {
         let members = self.fleet.members(group).unwrap_or(&[]);
         members.iter().all(|id| self.fleet.own_in_flight(*id) == 0)
     }
@@ -206,30 +207,30 @@
     }
 
     /// Chooses an endpoint and counts the call there.
-    pub(super) fn place(
+    pub(super) fn assign(
         &mut self,
         spec: &CallSpec,
         tried: &[Name],
         now: Duration,
-    ) -> Result<Chosen, NoRoute> {
+    ) -> Result<EndpointRef, NoRoute> {
         let avoid: Vec<EndpointId> = tried.iter().filter_map(|t| self.fleet.id(t)).collect();
         let request = RouteRequest {
             group: &spec.group,
             blocks: &spec.blocks,
             block_tokens: BLOCK_TOKENS,
             prompt_tokens: u32::try_from(spec.prompt_tokens).unwrap_or(u32::MAX),
-            last: spec.program.as_ref().and_then(|p| self.last_endpoint(p)),
+            last: spec.program.as_ref().and_then(|p| self.affine_endpoint(p)),
             avoid: &avoid,
         };
         let mut rng = rand::rng();
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &request, &mut rng)?;
-        self.count(spec, &choice, now);
+        self.record_dispatch(spec, &choice, now);
         let name = self.fleet.spec(choice.endpoint).name.clone();
         let address = self.find(&name).expect("the fleet holds known endpoints").address;
-        Ok(Chosen { name, address })
+        Ok(EndpointRef { name, address })
     }
 
-    fn count(&mut self, spec: &CallSpec, choice: &Choice, now: Duration) {
+    fn record_dispatch(&mut self, spec: &CallSpec, choice: &Choice, now: Duration) {
         let id = choice.endpoint;
         self.fleet.began(id, now);
         self.prefixes.dispatched(id, &spec.blocks, now);
@@ -238,38 +239,39 @@
         metrics::counter!("poplarspan_cached_prompt_tokens_total")
             .increment(cached.min(spec.prompt_tokens));
         let Some(program) = &spec.program else { return };
-        match self.last.binary_search_by(|l| l.program.cmp(program)) {
-            Ok(i) => (self.last[i].id, self.last[i].at) = (id, now),
+        match self.affinities.binary_search_by(|l| l.program.cmp(program)) {
+            Ok(i) => (self.affinities[i].id, self.affinities[i].at) = (id, now),
             Err(i) => {
-                self.last.insert(i, LastEndpoint { program: program.clone(), id, at: now });
+                self.affinities
+                    .insert(i, ProgramAffinity { program: program.clone(), id, at: now });
             }
         }
     }
 
-    fn last_endpoint(&self, program: &Name) -> Option<EndpointId> {
-        let i = self.last.binary_search_by(|l| l.program.cmp(program)).ok()?;
-        Some(self.last[i].id)
+    fn affine_endpoint(&self, program: &Name) -> Option<EndpointId> {
+        let i = self.affinities.binary_search_by(|l| l.program.cmp(program)).ok()?;
+        Some(self.affinities[i].id)
     }
 
     /// Takes a call back from its endpoint.
     pub(super) fn end(&mut self, end: &SlotEnd<'_>, now: Duration) {
         let Ok(i) = self.position(&end.endpoint.name) else { return };
-        let id = self.known[i].id;
+        let id = self.endpoints[i].id;
         let answered = matches!(end.outcome, DispatchOutcome::Answered { .. });
         self.fleet.ended(id, answered.then_some(end.held), now);
         let name = &end.endpoint.name;
         match end.outcome {
             DispatchOutcome::Answered { first_byte, .. } => {
-                self.known[i].failures = 0;
-                self.note_outcome(name, Outcome::Answered(first_byte), now);
+                self.endpoints[i].failures = 0;
+                self.record_outcome(name, Outcome::Answered(first_byte), now);
             }
-            DispatchOutcome::Refused => self.note_outcome(name, Outcome::Refused, now),
-            DispatchOutcome::Failed => self.note_failure(i),
+            DispatchOutcome::Refused => self.record_outcome(name, Outcome::Refused, now),
+            DispatchOutcome::Failed => self.record_failure(i),
             DispatchOutcome::Abandoned => {}
         }
     }
 
-    fn note_outcome(&mut self, name: &Name, outcome: Outcome, now: Duration) {
+    fn record_outcome(&mut self, name: &Name, outcome: Outcome, now: Duration) {
         if self.ramps.observe_outcome(name, outcome, now) {
             log::warn!(endpoint = &**name; "endpoint looks cold; its load is ramped up again");
             metrics::counter!("poplarspan_cold_endpoints_total").increment(1);
@@ -277,33 +279,33 @@
         }
     }
 
-    fn note_failure(&mut self, i: usize) {
-        let known = &mut self.known[i];
-        known.failures += 1;
-        if known.failures == UNHEALTHY_AFTER {
-            log::warn!(endpoint = &*known.name; "endpoint fails; no calls until it answers again");
-            self.fleet.set_healthy(known.id, false);
+    fn record_failure(&mut self, i: usize) {
+        let state = &mut self.endpoints[i];
+        state.failures += 1;
+        if state.failures == MAX_CONSECUTIVE_FAILURES {
+            log::warn!(endpoint = &*state.name; "endpoint fails; no calls until it answers again");
+            self.fleet.set_healthy(state.id, false);
         }
     }
 
     /// Names and addresses of all endpoints, for load requests.
-    pub(super) fn list(&self) -> Vec<Chosen> {
-        let chosen = |k: &KnownEndpoint| Chosen { name: k.name.clone(), address: k.address };
-        self.known.iter().map(chosen).collect()
+    pub(super) fn list(&self) -> Vec<EndpointRef> {
+        let chosen = |k: &EndpointState| EndpointRef { name: k.name.clone(), address: k.address };
+        self.endpoints.iter().map(chosen).collect()
     }
 
     /// Takes note of a load report, or of its absence.
     pub(super) fn report(&mut self, name: &Name, report: Option<Report>, now: Duration) {
         let Ok(i) = self.position(name) else { return };
-        let Some(report) = report else { return self.note_failure(i) };
-        let known = &mut self.known[i];
-        if known.failures >= UNHEALTHY_AFTER {
+        let Some(report) = report else { return self.record_failure(i) };
+        let state = &mut self.endpoints[i];
+        if state.failures >= MAX_CONSECUTIVE_FAILURES {
             log::info!(endpoint = &**name; "endpoint answers again");
         }
-        known.failures = 0;
-        let id = known.id;
-        if known.run != Some(report.run) {
-            known.run = Some(report.run);
+        state.failures = 0;
+        let id = state.id;
+        if state.run != Some(report.run) {
+            state.run = Some(report.run);
             let blocks = report.cache_blocks.unwrap_or(ASSUMED_CACHE_BLOCKS);
             self.prefixes.declare(id, blocks);
         }
@@ -322,15 +324,15 @@
     /// Applies a cache event of an endpoint.
     pub(super) fn cache_event(&mut self, name: &Name, event: &CacheEvent) {
         if let Ok(i) = self.position(name) {
-            self.prefixes.event(self.known[i].id, event);
+            self.prefixes.event(self.endpoints[i].id, event);
         }
     }
 
     fn position(&self, name: &str) -> Result<usize, usize> {
-        self.known.binary_search_by(|k| (*k.name).cmp(name))
+        self.endpoints.binary_search_by(|k| (*k.name).cmp(name))
     }
 
-    fn find(&self, name: &str) -> Option<&KnownEndpoint> {
-        self.position(name).ok().map(|i| &self.known[i])
+    fn find(&self, name: &str) -> Option<&EndpointState> {
+        self.position(name).ok().map(|i| &self.endpoints[i])
     }
 }
--- a/crates/server/src/schedule/fair.rs
+++ b/crates/server/src/schedule/fair.rs
@@ -11,10 +11,10 @@
 use tokio::time::{Instant, MissedTickBehavior};
 
 use super::{
-    CallSpec, Chosen, DispatchOutcome, Placed, Release, Scheduler, Slot, SlotEnd,
+    Assignment, CallSpec, DispatchOutcome, EndpointRef, Release, Scheduler, Slot, SlotEnd,
     endpoints::{Endpoints, Report},
     model_group,
-    queues::{Decided, Queues},
+    queues::{Queues, Resolution},
     service_group,
 };
 use crate::{
@@ -22,8 +22,8 @@
     membership::Membership,
 };
 
-const TICK: Duration = Duration::from_millis(50);
-const COME_BACK: Duration = Duration::from_secs(1);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 struct State {
     endpoints: Endpoints,
@@ -35,23 +35,24 @@
     membership: Arc<Membership>,
     start: Instant,
     state: Mutex<State>,
-    this: Weak<Self>,
+    weak_self: Weak<Self>,
 }
 
 impl FairScheduler {
-    pub(crate) fn new(me: Name, zone: Name, membership: Arc<Membership>) -> Arc<Self> {
-        let state = State { endpoints: Endpoints::new(me, zone), queues: Queues::default() };
-        Arc::new_cyclic(|this| Self {
+    pub(crate) fn new(local_name: Name, zone: Name, membership: Arc<Membership>) -> Arc<Self> {
+        let state =
+            State { endpoints: Endpoints::new(local_name, zone), queues: Queues::default() };
+        Arc::new_cyclic(|weak_self| Self {
             membership,
             start: Instant::now(),
             state: Mutex::new(state),
-            this: this.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
     /// Follows ramps, deadlines and changes of the objects, until the task is ended.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut changes = self.membership.subscribe();
         loop {
@@ -60,19 +61,19 @@
                 changed = changes.changed() => changed?,
             }
             let now = self.now();
-            let decided = {
-                let mut state = self.locked(now);
+            let resolved = {
+                let mut state = self.updated_state(now);
                 state.endpoints.refresh_caps(now);
-                let mut decided = state.queues.expire(now);
+                let mut resolved = state.queues.expire(now);
                 let State { endpoints, queues } = &mut *state;
-                decided.extend(queues.give_up(endpoints, now));
+                resolved.extend(queues.refuse_unserved(endpoints, now));
                 for group in state.queues.waiting_groups() {
                     let State { endpoints, queues } = &mut *state;
-                    decided.extend(queues.serve(&group, endpoints, now));
+                    resolved.extend(queues.assign(&group, endpoints, now));
                 }
-                decided
+                resolved
             };
-            self.tell(decided);
+            self.notify(resolved);
         }
     }
 
@@ -81,33 +82,33 @@
     }
 
     /// The state, brought up to the objects in force.
-    fn locked(&self, now: Duration) -> MutexGuard<'_, State> {
+    fn updated_state(&self, now: Duration) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().expect("no panic while locked");
-        state.endpoints.observe(&self.membership.load(), now);
+        state.endpoints.update(&self.membership.load(), now);
         state
     }
 
     /// Endpoints to ask for their load.
-    pub(super) fn endpoints(&self) -> Vec<Chosen> {
-        self.locked(self.now()).endpoints.list()
+    pub(super) fn endpoints(&self) -> Vec<EndpointRef> {
+        self.updated_state(self.now()).endpoints.list()
     }
 
     /// The run of the endpoint's process that was seen last.
     pub(crate) fn run_of(&self, endpoint: &Name) -> Option<u64> {
-        self.locked(self.now()).endpoints.run_of(endpoint)
+        self.updated_state(self.now()).endpoints.run_of(endpoint)
     }
 
     /// Whether the endpoint serves models, and so has a prefix cache.
     pub(super) fn is_engine(&self, endpoint: &str) -> bool {
-        let known = self.membership.load();
-        let found = known.objects.endpoint(endpoint);
+        let snapshot = self.membership.load();
+        let found = snapshot.objects.endpoint(endpoint);
         found.is_some_and(|e| matches!(e.serves, Serves::Models(_)))
     }
 
     /// Takes note of a load report, or of its absence.
     pub(super) fn report(&self, endpoint: &Name, report: Option<Report>) {
         let now = self.now();
-        self.locked(now).endpoints.report(endpoint, report, now);
+        self.updated_state(now).endpoints.report(endpoint, report, now);
     }
 
     /// Applies cache events of an endpoint, each with its age.
@@ -117,7 +118,7 @@
         events: impl Iterator<Item = (Duration, CacheEvent)>,
     ) {
         let now = self.now();
-        let mut state = self.locked(now);
+        let mut state = self.updated_state(now);
         for (age, mut event) in events {
             event.taken = now.saturating_sub(age);
             state.endpoints.cache_event(endpoint, &event);
@@ -126,30 +127,30 @@
 
     /// Tells waiting calls of their places. Not under the lock, since a place that nobody takes is
     /// given back, which takes the lock.
-    fn tell(&self, decided: Vec<Decided>) {
-        for (placed, spec) in decided.into_iter().filter_map(Decided::tell) {
-            drop(self.slot(placed, &spec));
+    fn notify(&self, resolved: Vec<Resolution>) {
+        for (assignment, spec) in resolved.into_iter().filter_map(Resolution::notify) {
+            drop(self.slot(assignment, &spec));
         }
     }
 
-    fn slot(&self, placed: Placed, spec: &Arc<CallSpec>) -> Slot {
-        let release = self.this.upgrade().expect("called through an Arc");
-        Slot::new(placed, spec.clone(), release)
+    fn slot(&self, assignment: Assignment, spec: &Arc<CallSpec>) -> Slot {
+        let release = self.weak_self.upgrade().expect("called through an Arc");
+        Slot::new(assignment, spec.clone(), release)
     }
 
     /// Refuses at once when no endpoint of the group can ever take the call.
     fn check_served(&self, spec: &CallSpec, tried: &[Name]) -> Result<(), Refusal> {
-        let known = self.membership.load();
-        if serving(&known.objects, &spec.group).any(|name| !tried.contains(name)) {
+        let snapshot = self.membership.load();
+        if serving_endpoints(&snapshot.objects, &spec.group).any(|name| !tried.contains(name)) {
             return Ok(());
         }
         Err(Refusal::not_run(Code::Unavailable, "no endpoint can take this call")
-            .retry_after(COME_BACK))
+            .retry_after(DEFAULT_RETRY_AFTER))
     }
 }
 
 /// Endpoints that serve the group and may take new work.
-pub(crate) fn serving<'a>(
+pub(crate) fn serving_endpoints<'a>(
     objects: &'a ObjectSet,
     group: &'a str,
 ) -> impl Iterator<Item = &'a Name> {
@@ -166,13 +167,13 @@
 }
 
 /// Leaves the queue when the caller goes away.
-struct LeaveOnDrop<'a> {
+struct DequeueOnDrop<'a> {
     scheduler: &'a FairScheduler,
     group: &'a Name,
     id: Option<QueueId>,
 }
 
-impl Drop for LeaveOnDrop<'_> {
+impl Drop for DequeueOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id {
             let mut state = self.scheduler.state.lock().expect("no panic while locked");
@@ -191,28 +192,28 @@
             self.check_served(spec, tried)?;
             let now = self.now();
             let deadline = spec.deadline.saturating_duration_since(self.start);
-            let (id, mut rx, decided) = {
-                let mut state = self.locked(now);
+            let (id, mut rx, resolved) = {
+                let mut state = self.updated_state(now);
                 let State { endpoints, queues } = &mut *state;
                 let capacity = endpoints.capacity(&spec.group);
                 let (id, rx) = queues.push(spec, tried, capacity, deadline, now)?;
-                (id, rx, queues.serve(&spec.group, endpoints, now))
+                (id, rx, queues.assign(&spec.group, endpoints, now))
             };
-            self.tell(decided);
+            self.notify(resolved);
             // Mostly the place is there at once.
             let result = match rx.try_recv() {
                 Ok(result) => result,
                 Err(_) => {
-                    let mut guard =
-                        LeaveOnDrop { scheduler: self, group: &spec.group, id: Some(id) };
+                    let mut dequeue =
+                        DequeueOnDrop { scheduler: self, group: &spec.group, id: Some(id) };
                     let result = rx.await;
-                    guard.id = None;
+                    dequeue.id = None;
                     result.unwrap_or_else(|_| {
                         Err(Refusal::not_run(Code::ShuttingDown, "the instance is stopping"))
                     })
                 }
             };
-            result.map(|placed| self.slot(placed, spec))
+            result.map(|assignment| self.slot(assignment, spec))
         })
     }
 }
@@ -220,8 +221,8 @@
 impl Release for FairScheduler {
     fn release(&self, end: &SlotEnd<'_>) {
         let now = self.now();
-        let decided = {
-            let mut state = self.locked(now);
+        let resolved = {
+            let mut state = self.updated_state(now);
             let State { endpoints, queues } = &mut *state;
             endpoints.end(end, now);
             let actual = match end.outcome {
@@ -232,8 +233,8 @@
                 DispatchOutcome::Refused | DispatchOutcome::Failed => end.spec.prompt_tokens,
             };
             queues.settle(end.spec, actual, end.held, now);
-            queues.serve(&end.spec.group, endpoints, now)
+            queues.assign(&end.spec.group, endpoints, now)
         };
-        self.tell(decided);
+        self.notify(resolved);
     }
 }
--- a/crates/server/src/schedule/loads.rs
+++ b/crates/server/src/schedule/loads.rs
@@ -11,17 +11,17 @@
 use serde::{Deserialize, de::DeserializeOwned};
 use tokio::time::Instant;
 
-use super::{Chosen, FairScheduler, endpoints::Report};
+use super::{EndpointRef, FairScheduler, endpoints::Report};
 use crate::dispatch::{Pool, collect};
 
 /// Shortest time between two load requests to one endpoint.
-const INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Load requests that one instance sends in a second at most; with more endpoints than this allows,
 /// each is asked less often, and own calls in flight correct the older reports.
 const MAX_REQUESTS_PER_SECOND: f64 = 200.0;
-const TIMEOUT: Duration = Duration::from_millis(500);
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
-const CONCURRENT: usize = 32;
+const MAX_CONCURRENT_POLLS: usize = 32;
 
 /// Answer to `GET /load`.
 #[derive(Debug, Deserialize)]
@@ -84,34 +84,34 @@
     /// Polls until the task is ended.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         // Sequence of the last event of each endpoint, sorted by name.
-        let mut seen: Vec<(Name, u64)> = Vec::new();
+        let mut last_events: Vec<(Name, u64)> = Vec::new();
         loop {
             let started = Instant::now();
             let endpoints = self.scheduler.endpoints();
-            seen.retain(|(name, _)| endpoints.iter().any(|e| e.name == *name));
+            last_events.retain(|(name, _)| endpoints.iter().any(|e| e.name == *name));
             let count = endpoints.len();
             let polls = endpoints.into_iter().map(|endpoint| {
-                let after = match seen.binary_search_by(|(n, _)| n.cmp(&endpoint.name)) {
-                    Ok(i) => seen[i].1,
+                let after = match last_events.binary_search_by(|(n, _)| n.cmp(&endpoint.name)) {
+                    Ok(i) => last_events[i].1,
                     Err(_) => 0,
                 };
                 self.poll(endpoint, after)
             });
-            let done: Vec<_> =
-                futures::stream::iter(polls).buffer_unordered(CONCURRENT).collect().await;
-            for (name, last) in done {
-                match seen.binary_search_by(|(n, _)| n.cmp(&name)) {
-                    Ok(i) => seen[i].1 = last,
-                    Err(i) => seen.insert(i, (name, last)),
+            let results: Vec<_> =
+                futures::stream::iter(polls).buffer_unordered(MAX_CONCURRENT_POLLS).collect().await;
+            for (name, last) in results {
+                match last_events.binary_search_by(|(n, _)| n.cmp(&name)) {
+                    Ok(i) => last_events[i].1 = last,
+                    Err(i) => last_events.insert(i, (name, last)),
                 }
             }
-            let least = Duration::from_secs_f64(count as f64 / MAX_REQUESTS_PER_SECOND);
-            tokio::time::sleep_until(started + INTERVAL.max(least)).await;
+            let min_interval = Duration::from_secs_f64(count as f64 / MAX_REQUESTS_PER_SECOND);
+            tokio::time::sleep_until(started + POLL_INTERVAL.max(min_interval)).await;
         }
     }
 
     /// Asks one endpoint; returns its name and the sequence of its last event.
-    async fn poll(&self, endpoint: Chosen, after: u64) -> (Name, u64) {
+    async fn poll(&self, endpoint: EndpointRef, after: u64) -> (Name, u64) {
         let load: Option<LoadDocument> =
             get(&self.pool, &endpoint, Uri::from_static("/load"), false).await;
         // A plain service may take any path for a call to be executed.
@@ -151,7 +151,7 @@
     }
 
     /// The run, over a new connection; None when the endpoint does not answer.
-    pub(crate) async fn run_of(&self, endpoint: &Chosen) -> Option<u64> {
+    pub(crate) async fn run_of(&self, endpoint: &EndpointRef) -> Option<u64> {
         let load: LoadDocument = get(&self.pool, endpoint, Uri::from_static("/load"), true).await?;
         Some(load.run)
     }
@@ -159,7 +159,7 @@
 
 async fn get<T: DeserializeOwned>(
     pool: &Arc<Pool>,
-    endpoint: &Chosen,
+    endpoint: &EndpointRef,
     path: Uri,
     fresh: bool,
 ) -> Option<T> {
@@ -167,7 +167,7 @@
     *request.uri_mut() = path;
     let host = HeaderValue::from_str(&endpoint.address.to_string()).expect("plain ASCII");
     request.headers_mut().insert(header::HOST, host);
-    let deadline = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + POLL_TIMEOUT;
     let exchange = pool.send(endpoint.address, request, fresh, deadline).await.ok()?;
     let (response, reuse) = exchange.into_parts();
     let is_success = response.status().is_success();
--- a/crates/server/src/schedule/mod.rs
+++ b/crates/server/src/schedule/mod.rs
@@ -17,7 +17,7 @@
 use crate::entry::Refusal;
 
 pub(crate) use endpoints::BLOCK_TOKENS;
-pub(crate) use fair::{FairScheduler, serving};
+pub(crate) use fair::{FairScheduler, serving_endpoints};
 pub(crate) use loads::{LoadPoller, RunProbe};
 
 /// Which endpoints may serve a call.
@@ -102,15 +102,15 @@
 
 /// An endpoint that was chosen for a call.
 #[derive(Clone, Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct EndpointRef {
     pub(crate) name: Name,
     pub(crate) address: SocketAddr,
 }
 
 /// Where and how a call is to be dispatched.
 #[derive(Clone, Debug)]
-pub(crate) struct Placed {
-    pub(crate) endpoint: Chosen,
+pub(crate) struct Assignment {
+    pub(crate) endpoint: EndpointRef,
     /// Order among the calls that wait at an engine, lowest first; none for plain services.
     pub(crate) priority: Option<i64>,
 }
@@ -123,7 +123,7 @@
 
 /// What is known of a slot when it ends.
 pub(crate) struct SlotEnd<'a> {
-    pub(crate) endpoint: &'a Chosen,
+    pub(crate) endpoint: &'a EndpointRef,
     pub(crate) spec: &'a CallSpec,
     pub(crate) outcome: DispatchOutcome,
     pub(crate) held: Duration,
@@ -131,7 +131,7 @@
 
 /// A place at an endpoint. Dropping it gives the place back.
 pub(crate) struct Slot {
-    pub(crate) endpoint: Chosen,
+    pub(crate) endpoint: EndpointRef,
     pub(crate) priority: Option<i64>,
     spec: Arc<CallSpec>,
     release: Arc<dyn Release>,
@@ -140,9 +140,13 @@
 }
 
 impl Slot {
-    pub(crate) fn new(placed: Placed, spec: Arc<CallSpec>, release: Arc<dyn Release>) -> Self {
+    pub(crate) fn new(
+        assignment: Assignment,
+        spec: Arc<CallSpec>,
+        release: Arc<dyn Release>,
+    ) -> Self {
         let outcome = DispatchOutcome::Abandoned;
-        let Placed { endpoint, priority } = placed;
+        let Assignment { endpoint, priority } = assignment;
         Self { endpoint, priority, spec, release, outcome, since: Instant::now() }
     }
 
--- a/crates/server/src/schedule/queues.rs
+++ b/crates/server/src/schedule/queues.rs
@@ -12,37 +12,37 @@
 };
 use tokio::sync::oneshot;
 
-use super::{CallSpec, Placed, endpoints::Endpoints, is_model_group};
+use super::{Assignment, CallSpec, endpoints::Endpoints, is_model_group};
 use crate::entry::{Code, Refusal};
 
 /// Name under which calls on open routes share the queue.
-const OPEN_TEAM: &str = "";
+const OPEN_ROUTE_TEAM: &str = "";
 /// Weight of a new measurement in the average time that a call holds its place.
-const HELD_GAIN: f64 = 0.05;
+const HOLD_TIME_GAIN: f64 = 0.05;
 /// How long a call waits while no endpoint of its group answers.
-const OUTAGE_PATIENCE: Duration = Duration::from_secs(2);
-const COME_BACK: Duration = Duration::from_secs(1);
+const OUTAGE_TIMEOUT: Duration = Duration::from_secs(2);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A waiting call.
-pub(super) struct Waiting {
+pub(super) struct QueuedCall {
     pub(super) spec: Arc<CallSpec>,
     tried: Vec<Name>,
     since: Duration,
-    tx: oneshot::Sender<Result<Placed, Refusal>>,
+    tx: oneshot::Sender<Result<Assignment, Refusal>>,
 }
 
 /// A call that has its place, or its final answer.
-pub(super) struct Decided {
-    pub(super) waiting: Waiting,
-    pub(super) result: Result<Placed, Refusal>,
+pub(super) struct Resolution {
+    pub(super) queued: QueuedCall,
+    pub(super) result: Result<Assignment, Refusal>,
 }
 
-impl Decided {
+impl Resolution {
     /// Tells the waiting call. Returns the place when the caller has gone.
-    pub(super) fn tell(self) -> Option<(Placed, Arc<CallSpec>)> {
-        let spec = self.waiting.spec;
-        match self.waiting.tx.send(self.result) {
-            Err(Ok(placed)) => Some((placed, spec)),
+    pub(super) fn notify(self) -> Option<(Assignment, Arc<CallSpec>)> {
+        let spec = self.queued.spec;
+        match self.queued.tx.send(self.result) {
+            Err(Ok(assignment)) => Some((assignment, spec)),
             _ => None,
         }
     }
@@ -50,11 +50,11 @@
 
 struct GroupQueue {
     group: Name,
-    queue: FairQueue<Waiting>,
+    queue: FairQueue<QueuedCall>,
     /// None for groups of plain services, which honour no priorities.
     priorities: Option<Priorities>,
     /// Average time that a call holds its place, in seconds.
-    held_s: f64,
+    mean_hold_s: f64,
 }
 
 /// All queues, sorted by group.
@@ -64,13 +64,13 @@
 }
 
 /// Whether the queue may hand out a call, as decided before.
-struct Room {
-    is_there: bool,
+struct FixedCapacity {
+    available: bool,
 }
 
-impl InFlight for Room {
+impl InFlight for FixedCapacity {
     fn has_room(&self, _now: Duration) -> bool {
-        self.is_there
+        self.available
     }
 
     // The endpoints count the calls themselves.
@@ -87,12 +87,12 @@
         capacity: u32,
         deadline: Duration,
         now: Duration,
-    ) -> Result<(QueueId, oneshot::Receiver<Result<Placed, Refusal>>), Refusal> {
-        let at = self.find_or_add(&spec.group);
-        let group = &mut self.list[at];
-        let team = spec.team.clone().unwrap_or_else(|| OPEN_TEAM.into());
+    ) -> Result<(QueueId, oneshot::Receiver<Result<Assignment, Refusal>>), Refusal> {
+        let i = self.get_or_insert(&spec.group);
+        let group = &mut self.list[i];
+        let team = spec.team.clone().unwrap_or_else(|| OPEN_ROUTE_TEAM.into());
         if group.queue.team_len(&team) >= spec.max_queue as usize {
-            return Err(overloaded("the team's queue is full", COME_BACK));
+            return Err(overloaded("the team's queue is full", DEFAULT_RETRY_AFTER));
         }
         let wait = group.expected_wait(capacity);
         if now + wait > deadline {
@@ -105,101 +105,108 @@
             program: spec.program.clone(),
             cost: spec.cost(),
             deadline,
-            payload: Waiting { spec: spec.clone(), tried: tried.to_vec(), since: now, tx },
+            payload: QueuedCall { spec: spec.clone(), tried: tried.to_vec(), since: now, tx },
         };
         match group.queue.push(call, now) {
             Ok(id) => Ok((id, rx)),
-            Err(Full::Team(_) | Full::Queue(_)) => Err(overloaded("the queue is full", COME_BACK)),
+            Err(Full::Team(_) | Full::Queue(_)) => {
+                Err(overloaded("the queue is full", DEFAULT_RETRY_AFTER))
+            }
         }
     }
 
     /// Gives free places to waiting calls of a group.
-    pub(super) fn serve(
+    pub(super) fn assign(
         &mut self,
         group: &str,
         endpoints: &mut Endpoints,
         now: Duration,
-    ) -> Vec<Decided> {
-        let Ok(at) = self.position(group) else { return Vec::new() };
-        let GroupQueue { queue, priorities, .. } = &mut self.list[at];
-        let mut decided = Vec::new();
+    ) -> Vec<Resolution> {
+        let Ok(i) = self.position(group) else { return Vec::new() };
+        let GroupQueue { queue, priorities, .. } = &mut self.list[i];
+        let mut resolved = Vec::new();
         // Calls that no free endpoint may take, because they were already tried there.
-        let mut passed = Vec::new();
-        while let Some(entry) = next(queue, priorities.as_ref(), endpoints, group, now) {
-            let waiting = &entry.call.payload;
-            if waiting.tx.is_closed() {
+        let mut skipped = Vec::new();
+        while let Some(entry) = pop_next(queue, priorities.as_ref(), endpoints, group, now) {
+            let queued = &entry.call.payload;
+            if queued.tx.is_closed() {
                 settle(queue, &entry, 0, now);
                 continue;
             }
-            match endpoints.place(&waiting.spec, &waiting.tried, now) {
+            match endpoints.assign(&queued.spec, &queued.tried, now) {
                 Ok(endpoint) => {
                     let priority = priorities.as_mut().map(|p| prioritize(p, &entry.call, now));
-                    let result = Ok(Placed { endpoint, priority });
-                    decided.push(Decided { waiting: entry.call.payload, result });
+                    let result = Ok(Assignment { endpoint, priority });
+                    resolved.push(Resolution { queued: entry.call.payload, result });
                 }
                 Err(NoRoute::Full | NoRoute::NoneOpen) => {
-                    let fresh = waiting.tried.is_empty();
-                    passed.push(entry);
-                    if fresh {
+                    let untried = queued.tried.is_empty();
+                    skipped.push(entry);
+                    if untried {
                         break;
                     }
                 }
             }
         }
-        for entry in passed {
-            queue.put_back(entry, &mut Room { is_there: true }, now);
+        for entry in skipped {
+            queue.put_back(entry, &mut FixedCapacity { available: true }, now);
         }
-        decided
+        resolved
     }
 
     /// Refuses the calls that have waited until their deadline.
-    pub(super) fn expire(&mut self, now: Duration) -> Vec<Decided> {
+    pub(super) fn expire(&mut self, now: Duration) -> Vec<Resolution> {
         let expired = self.list.iter_mut().flat_map(|g| g.queue.expire(now));
         let refusal = || {
-            Refusal::not_run(Code::Deadline, "no endpoint was free in time").retry_after(COME_BACK)
+            Refusal::not_run(Code::Deadline, "no endpoint was free in time")
+                .retry_after(DEFAULT_RETRY_AFTER)
         };
         expired
-            .map(|entry| Decided { waiting: entry.call.payload, result: Err(refusal()) })
+            .map(|entry| Resolution { queued: entry.call.payload, result: Err(refusal()) })
             .collect()
     }
 
     /// Refuses the calls of groups in which no endpoint has been healthy for a while.
-    pub(super) fn give_up(&mut self, endpoints: &Endpoints, now: Duration) -> Vec<Decided> {
-        let mut given_up = Vec::new();
+    pub(super) fn refuse_unserved(
+        &mut self,
+        endpoints: &Endpoints,
+        now: Duration,
+    ) -> Vec<Resolution> {
+        let mut unserved = Vec::new();
         for group in &mut self.list {
             if endpoints.capacity(&group.group) == 0 {
-                let waited = |call: &Call<Waiting>| now > call.payload.since + OUTAGE_PATIENCE;
-                given_up.extend(group.queue.remove_where(waited));
+                let waited = |call: &Call<QueuedCall>| now > call.payload.since + OUTAGE_TIMEOUT;
+                unserved.extend(group.queue.remove_where(waited));
             }
         }
         let refusal = || {
             let message = "no endpoint that could take the call answers";
-            Refusal::not_run(Code::Unavailable, message).retry_after(COME_BACK)
+            Refusal::not_run(Code::Unavailable, message).retry_after(DEFAULT_RETRY_AFTER)
         };
-        given_up
+        unserved
             .into_iter()
-            .map(|entry| Decided { waiting: entry.call.payload, result: Err(refusal()) })
+            .map(|entry| Resolution { queued: entry.call.payload, result: Err(refusal()) })
             .collect()
     }
 
     /// Removes a call whose caller has gone.
     pub(super) fn remove(&mut self, group: &str, id: QueueId) {
-        if let Ok(at) = self.position(group) {
-            self.list[at].queue.remove(id);
+        if let Ok(i) = self.position(group) {
+            self.list[i].queue.remove(id);
         }
     }
 
     /// Corrects the charge for a call that has ended.
     pub(super) fn settle(&mut self, spec: &CallSpec, actual: u64, held: Duration, now: Duration) {
-        let Ok(at) = self.position(&spec.group) else { return };
-        let group = &mut self.list[at];
-        let team = spec.team.clone().unwrap_or_else(|| OPEN_TEAM.into());
+        let Ok(i) = self.position(&spec.group) else { return };
+        let group = &mut self.list[i];
+        let team = spec.team.clone().unwrap_or_else(|| OPEN_ROUTE_TEAM.into());
         group.queue.settle(&team, spec.program.as_ref(), spec.cost(), actual, now);
         if let Some(priorities) = &mut group.priorities {
             priorities.settle(&team, spec.cost(), actual);
         }
         if actual > 0 {
-            group.held_s += HELD_GAIN * (held.as_secs_f64() - group.held_s);
+            group.mean_hold_s += HOLD_TIME_GAIN * (held.as_secs_f64() - group.mean_hold_s);
         }
     }
 
@@ -212,13 +219,13 @@
         self.list.binary_search_by(|g| (*g.group).cmp(group))
     }
 
-    fn find_or_add(&mut self, group: &Name) -> usize {
-        self.position(group).unwrap_or_else(|at| {
+    fn get_or_insert(&mut self, group: &Name) -> usize {
+        self.position(group).unwrap_or_else(|i| {
             let queue = FairQueue::new(QueueConfig::default(), Box::new(LasDeadline::default()));
             let priorities = is_model_group(group).then(Priorities::default);
             let group = group.clone();
-            self.list.insert(at, GroupQueue { group, queue, priorities, held_s: 0.0 });
-            at
+            self.list.insert(i, GroupQueue { group, queue, priorities, mean_hold_s: 0.0 });
+            i
         })
     }
 }
@@ -229,40 +236,45 @@
 /// An instance without a call at the group may send one all the same: it learns of room from reports
 /// only, and would find the group full each time, because the instances that have calls there see
 /// them end and send the next at once.
-fn next(
-    queue: &mut FairQueue<Waiting>,
+fn pop_next(
+    queue: &mut FairQueue<QueuedCall>,
     priorities: Option<&Priorities>,
     endpoints: &Endpoints,
     group: &str,
     now: Duration,
-) -> Option<Entry<Waiting>> {
-    let mut room = Room { is_there: endpoints.has_room(group) };
-    if room.is_there {
-        return queue.pop(&mut room, now);
+) -> Option<Entry<QueuedCall>> {
+    let mut capacity = FixedCapacity { available: endpoints.has_capacity(group) };
+    if capacity.available {
+        return queue.pop(&mut capacity, now);
     }
-    room.is_there = endpoints.may_wait_there(group);
-    if endpoints.is_absent(group) {
-        return queue.pop(&mut room, now);
+    capacity.available = endpoints.may_queue_at_endpoints(group);
+    if endpoints.has_no_own_calls(group) {
+        return queue.pop(&mut capacity, now);
     }
     let priorities = priorities?;
-    queue.pop_where(&mut room, now, |team| priorities.within_part(team))
+    queue.pop_where(&mut capacity, now, |team| priorities.within_part(team))
 }
 
 impl GroupQueue {
     /// Time until a call that is queued now is served, if the others take as long as usual.
     fn expected_wait(&self, capacity: u32) -> Duration {
         let ahead = self.queue.len() as f64;
-        Duration::from_secs_f64(ahead * self.held_s / f64::from(capacity.max(1)))
+        Duration::from_secs_f64(ahead * self.mean_hold_s / f64::from(capacity.max(1)))
     }
 }
 
-fn prioritize(priorities: &mut Priorities, call: &Call<Waiting>, now: Duration) -> i64 {
+fn prioritize(priorities: &mut Priorities, call: &Call<QueuedCall>, now: Duration) -> i64 {
     // A clock before the epoch only changes the order of calls.
     let unix = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default();
     priorities.dispatch(&call.team, call.weight, call.cost, now, unix)
 }
 
-fn settle(queue: &mut FairQueue<Waiting>, entry: &Entry<Waiting>, actual: u64, now: Duration) {
+fn settle(
+    queue: &mut FairQueue<QueuedCall>,
+    entry: &Entry<QueuedCall>,
+    actual: u64,
+    now: Duration,
+) {
     let call = &entry.call;
     queue.settle(&call.team, call.program.as_ref(), call.cost, actual, now);
 }
