--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,25 +1,25 @@
-//! Settings of one instance, checked before anything starts.
+//! Settings of one instance and their validation.
 
 use std::{net::SocketAddr, path::PathBuf, sync::Arc, time::Duration};
 
 use poplarspan_node::TlsFiles;
 
-/// Bounds on what one caller, and all callers together, may use.
+/// Resource limits for each caller and for all callers together.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head: usize,
-    /// Largest body where the route sets no bound of its own, in bytes.
+    /// Maximum size of a request body, in bytes. A route may set a lower limit.
     pub max_body: usize,
-    /// Open connections from callers.
+    /// Maximum number of open connections from callers.
     pub max_connections: usize,
-    /// Time in which a caller must have sent the head of a request.
+    /// Maximum time for a caller to send the head of a request.
     pub head_timeout: Duration,
-    /// Time in which a caller must have sent the whole body.
+    /// Maximum time for a caller to send the whole body.
     pub body_timeout: Duration,
-    /// Largest answer that is kept whole in memory, in bytes.
+    /// Maximum size of a response that is buffered in memory, in bytes.
     pub max_response: usize,
-    /// Bytes of bodies and kept answers that all open calls may hold together.
+    /// Maximum size of the request bodies of all open calls together, in bytes.
     pub max_held: usize,
 }
 
@@ -37,74 +37,76 @@
     }
 }
 
-/// A control replica that an instance with a data folder is, or knows.
+/// Number and address of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaAddress {
-    /// Number of the replica.
+    /// Replica number, at least 1.
     pub replica: u64,
-    /// Address of its peer port.
+    /// Address of the replica's peer port.
     pub address: SocketAddr,
 }
 
 /// Settings of one instance.
 #[derive(Clone, Debug)]
 pub struct InstanceConfig {
-    /// Name of the instance, unique in the fleet.
+    /// Name of the instance, 1 to 63 bytes, unique in the fleet.
     pub name: Arc<str>,
-    /// Availability zone that the instance runs in.
+    /// Availability zone of the instance; must not be empty.
     pub zone: Arc<str>,
-    /// Where callers connect.
+    /// Listen address for callers (TCP).
     pub entry_address: SocketAddr,
-    /// Where other instances and operators connect (UDP).
+    /// Listen address for other instances and operators (UDP); must not be unspecified.
     pub peer_address: SocketAddr,
-    /// Where other instances reach `peer_address`, if a relay stands in front of it.
+    /// Address at which other instances reach `peer_address`, if it differs, for instance behind a
+    /// relay.
     pub advertise_address: Option<SocketAddr>,
-    /// Where metrics and health are served.
+    /// Listen address for metrics and health checks (TCP).
     pub probe_address: SocketAddr,
-    /// Peer addresses of instances that may already run.
+    /// Peer addresses of other instances, used for discovery. At least one is required without a
+    /// data folder.
     pub seeds: Vec<SocketAddr>,
-    /// Peer addresses of all control replicas, sorted by number; needed with a data folder.
+    /// Peer addresses of all control replicas, sorted by number; required with a data folder.
     pub replicas: Vec<ReplicaAddress>,
-    /// Data folder; only control replicas have one.
+    /// Data folder. Set on control replicas only.
     pub data_dir: Option<PathBuf>,
-    /// TLS files for the peer port.
+    /// TLS certificate files for the peer port.
     pub tls: TlsFiles,
-    /// Bounds towards callers.
+    /// Resource limits for callers.
     pub limits: Limits,
-    /// Time between "not ready" and the end of accepting, for the balancer to notice.
+    /// Time between reporting "not ready" and closing the listener, for load balancers to react.
     pub drain_grace: Duration,
-    /// Longest time that a shutdown waits for open calls.
+    /// Maximum time that a shutdown waits for open calls.
     pub drain_timeout: Duration,
 }
 
-/// A setting that cannot work.
+/// An invalid setting.
 #[derive(Debug, thiserror::Error)]
 #[error("{setting}: {problem}")]
 pub struct ConfigError {
     /// Name of the setting.
     pub setting: &'static str,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub problem: String,
 }
 
 impl InstanceConfig {
-    /// Returns every setting that cannot work.
+    /// Returns all invalid settings; empty if the configuration is valid.
     pub fn problems(&self) -> Vec<ConfigError> {
         let mut found = Vec::new();
         let mut report = |setting, problem: &str| {
             found.push(ConfigError { setting, problem: problem.to_owned() });
         };
         if self.name.is_empty() || self.name.len() > 63 {
-            report("name", "must have 1 to 63 characters");
+            report("name", "must be 1 to 63 bytes long");
         }
         if self.zone.is_empty() {
             report("zone", "must not be empty");
         }
         if self.data_dir.is_none() && self.seeds.is_empty() {
-            report("seeds", "an instance without a data folder needs at least one seed");
+            report("seeds", "at least one seed is required without a data folder");
         }
         if self.peer_address.ip().is_unspecified() {
-            report("peer-address", "must be an address that the other instances can reach");
+            report("peer-address", "must be a specific address, not 0.0.0.0 or [::]");
         }
         if self.limits.max_head < 8 * 1024 {
             report("max-head", "must be at least 8 KiB");
--- a/crates/server/src/control/group.rs
+++ b/crates/server/src/control/group.rs
@@ -1,38 +1,38 @@
-//! The replicated log as control duties see it.
+//! Interface of the control plane to the replicated log.
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
 
-/// Why a proposal has no answer.
+/// Why a proposal failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ProposeError {
-    /// Nothing was proposed.
+    /// The replica is not the leader; the command was not proposed.
     #[error("this replica does not lead the group")]
     NotLeader,
-    /// Nothing was proposed.
+    /// The log rejected the command; it was not proposed.
     #[error("{0}")]
     Refused(String),
-    /// The proposal may be committed.
+    /// The command was proposed and may still be committed.
     #[error("the outcome of the proposal is unknown: {0}")]
     Unknown(String),
-    /// Nothing was proposed.
+    /// The replica is stopping; the command was not proposed.
     #[error("the replica is stopping")]
     Stopped,
 }
 
-/// Who leads a group.
+/// Leadership of a group, as known locally.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Leadership {
     pub(crate) is_leader: bool,
-    /// The leader's lease held at the last tick. Before anything that must not be done without the
-    /// lease, [`Group::read_barrier`] checks it again.
+    /// Whether the leader lease was valid at the last tick. Call [`Group::read_barrier`] before any
+    /// operation that requires the lease.
     pub(crate) lease_valid: bool,
-    /// Replica that is believed to lead.
+    /// Presumed leader.
     pub(crate) leader: Option<u64>,
     pub(crate) term: u64,
 }
 
-/// A replica of a group.
+/// State of one replica of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReplicaState {
     pub(crate) replica: u64,
@@ -40,7 +40,7 @@
     pub(crate) commit_index: u64,
 }
 
-/// One step of a change of voters.
+/// One step of a voter change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VoterStep {
     AddLearner(u64),
@@ -50,22 +50,22 @@
 
 /// One group of the replicated log.
 pub(crate) trait Group: Send + Sync {
-    /// Commits a command and returns the state machine's answer.
+    /// Commits a command and returns the response of the state machine.
     fn propose(&self, command: Bytes) -> BoxFuture<'_, Result<Bytes, ProposeError>>;
 
-    /// Returns once the local state covers everything that was committed before the call, and this
-    /// replica has led the group after the call.
+    /// Returns once the local state includes everything that was committed before the call and this
+    /// replica has been confirmed as leader after the call.
     fn read_barrier(&self) -> BoxFuture<'_, Result<(), ProposeError>>;
 
-    /// Who leads, as this replica knew it at the last tick.
+    /// Returns the leadership as of the last tick.
     fn leadership(&self) -> Leadership;
 
-    /// Changes the voters by one step.
+    /// Executes one step of a voter change.
     fn change_voters(&self, step: VoterStep) -> BoxFuture<'_, Result<(), ProposeError>>;
 
-    /// Passes the leadership to another voter.
+    /// Transfers the leadership to another voter.
     fn transfer(&self, to: u64) -> BoxFuture<'_, Result<(), ProposeError>>;
 
-    /// Voters and learners.
+    /// Returns the voters, followed by the learners.
     fn replicas(&self) -> BoxFuture<'_, Vec<ReplicaState>>;
 }
--- a/crates/server/src/control/leases.rs
+++ b/crates/server/src/control/leases.rs
@@ -1,4 +1,4 @@
-//! Leases that the leader of group 0 has granted to instances.
+//! Instance leases granted by the leader of group 0.
 
 use std::time::Duration;
 
@@ -7,31 +7,32 @@
 
 use crate::membership::LEASE;
 
-/// What the leader knows of one instance.
+/// Lease and last reported state of one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Lease {
     pub(crate) instance: Name,
     pub(crate) incarnation: u64,
-    /// Generation that the instance had in force when it last asked.
+    /// Highest generation in force that the instance has reported.
     pub(crate) generation: u64,
     pub(crate) draining: bool,
-    /// Upper bound of the lease: counted from when the grant was made, not from when it was asked.
+    /// Upper bound of the expiry. Counted from the time of the grant; the instance counts from the
+    /// earlier time at which it sent the heartbeat.
     pub(crate) expires_at: Instant,
-    /// The instance is being declared gone and gets no further grant.
+    /// Whether the instance is being declared gone. It then receives no further grants.
     pub(crate) revoked: bool,
 }
 
-/// All leases, sorted by instance.
+/// Lease table of the leader, sorted by instance.
 #[derive(Default)]
 pub(crate) struct Leases {
     entries: Vec<Lease>,
-    /// Term and start of this replica's present leadership.
+    /// Term and start time of the current leadership of this replica.
     leadership: Option<(u64, Instant)>,
 }
 
 impl Leases {
-    /// Notes the term in which this replica leads, if it does. The table of an earlier leadership is
-    /// worthless: another replica may have led in between, and have granted leases.
+    /// Sets the term in which this replica leads, or `None`. Clears the table when the term changes,
+    /// since another leader may have granted leases in between.
     pub(crate) fn set_leadership(&mut self, term: Option<u64>) {
         if self.leadership.map(|(term, _)| term) != term {
             self.entries.clear();
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Whether leases that a former leader granted may still run.
+    /// Whether leases granted by an earlier leader may still be valid.
     pub(crate) fn prior_leases_may_be_valid(&self) -> bool {
         self.leadership.is_none_or(|(_, since)| since.elapsed() < LEASE)
     }
 
-    /// Grants a lease, unless the instance is being declared gone.
+    /// Grants a lease and returns its duration, or `None` if the instance is being declared gone.
     pub(crate) fn grant(
         &mut self,
         instance: &Name,
@@ -67,7 +68,7 @@
                 if old.revoked && old.incarnation == incarnation {
                     return None;
                 }
-                // A reordered older heartbeat must not lower the reported generation.
+                // A delayed older heartbeat must not lower the reported generation.
                 let generation = generation.max(old.generation);
                 *old = if old.incarnation == incarnation {
                     Lease { generation, ..lease }
@@ -80,7 +81,7 @@
         Some(LEASE)
     }
 
-    /// Marks an instance as being declared gone.
+    /// Marks an instance as being declared gone, so that it receives no further grants.
     pub(crate) fn revoke(&mut self, instance: &str, incarnation: u64) {
         if let Ok(i) = self.position(instance)
             && self.entries[i].incarnation == incarnation
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Forgets an instance that has been declared gone.
+    /// Removes an instance that has been declared gone.
     pub(crate) fn remove(&mut self, instance: &str, incarnation: u64) {
         if let Ok(i) = self.position(instance)
             && self.entries[i].incarnation == incarnation
@@ -106,7 +107,8 @@
         self.entries.binary_search_by(|l| (*l.instance).cmp(instance))
     }
 
-    /// Registered instances whose lease has run out, or that never asked this leader for one.
+    /// Returns the registered instances without a valid lease from this leader. Empty while leases
+    /// of an earlier leader may still be valid.
     pub(crate) fn expired<'a>(&self, registered: &[(&'a str, u64)]) -> Vec<(&'a str, u64)> {
         if self.prior_leases_may_be_valid() {
             return Vec::new();
@@ -118,7 +120,7 @@
         registered.iter().filter(|(name, inc)| !is_valid(name, *inc)).copied().collect()
     }
 
-    /// Whether every instance either has the generation or holds no lease.
+    /// Whether every instance with a valid lease has reported the generation or a newer one.
     pub(crate) fn in_force(&self, generation: u64) -> bool {
         let now = Instant::now();
         !self.prior_leases_may_be_valid()
--- a/crates/server/src/control/log_group.rs
+++ b/crates/server/src/control/log_group.rs
@@ -1,4 +1,4 @@
-//! Ties the replicated log to control duties and to the peer port.
+//! [`Group`] on top of the replicated log.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,7 +12,7 @@
 
 use super::group::{Group, Leadership, ProposeError, ReplicaState, VoterStep};
 
-/// One group of the replicated log, as control duties see it.
+/// Adapter from a group handle of the replicated log to [`Group`].
 pub(crate) struct LogGroup {
     handle: GroupHandle,
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// A state machine that the log writes and that readers may look at.
+/// A state machine that the log updates and other tasks read.
 pub(crate) struct SharedState<T>(pub(crate) Arc<Mutex<T>>);
 
 impl StateMachine for SharedState<Catalog> {
--- a/crates/server/src/control/mod.rs
+++ b/crates/server/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! The duties of control replicas: leases, publications, the ledger of programs, release orders.
+//! Control plane: leases, publications, the program ledger and release orders.
 //!
-//! The objects, the registered instances and the programs belong to the replicated log. The leases
-//! belong to the leader of group 0, in memory: a new leader waits until every lease that a former
-//! one may have granted has run out before it relies on its own table.
+//! Objects, registered instances and programs are stored in the replicated log. Leases are kept in
+//! the memory of the leader of group 0. A new leader does not rely on its lease table until every
+//! lease that an earlier leader may have granted has expired.
 
 mod group;
 mod leases;
@@ -41,7 +41,7 @@
 pub(crate) use start::{ControlReplica, PROGRAM_GROUPS, start};
 pub(crate) use sweep::Sweeper;
 
-/// One program group: its log and the state that the log builds.
+/// A program group: its log and the state machine that the log drives.
 pub(crate) struct ProgramGroup {
     pub(crate) log: Arc<dyn Group>,
     pub(crate) state: Arc<Mutex<Ledger>>,
@@ -51,11 +51,11 @@
 pub(crate) struct Control {
     pub(crate) catalog_log: Arc<dyn Group>,
     pub(crate) catalog: Arc<Mutex<Catalog>>,
-    /// Program group `g` stands at index `g - 1`.
+    /// Program groups; group `g` is at index `g - 1`.
     pub(crate) programs: Vec<ProgramGroup>,
     pub(crate) leases: Mutex<Leases>,
     pub(crate) replicas: Arc<ReplicaAddresses>,
-    /// Checked form of the catalog's current set.
+    /// Cache of the validated object set and its generation.
     checked: Mutex<Option<(u64, Arc<ObjectSet>)>>,
 }
 
@@ -84,8 +84,8 @@
         self.leases.lock().expect("no panic while locked")
     }
 
-    /// Whether this replica may act for group 0 now. Starts the table of leases anew when it leads
-    /// in a new term.
+    /// Whether this replica is the leader of group 0 with a valid leader lease. Clears the table of
+    /// instance leases if the leadership has changed.
     pub(crate) fn holds_leadership(&self) -> bool {
         let leadership = self.catalog_log.leadership();
         let holds_leadership = leadership.is_leader && leadership.lease_valid;
@@ -93,8 +93,8 @@
         holds_leadership
     }
 
-    /// Returns once this replica, as the leader of group 0, has applied everything that was
-    /// committed before the call.
+    /// Waits until this replica, as the leader of group 0, has applied everything that was committed
+    /// before the call. Fails if it is not the leader.
     pub(crate) async fn leader_read_barrier(&self) -> Result<(), peer::Failure> {
         if !self.holds_leadership() {
             return Err(self.not_leader(&*self.catalog_log));
@@ -103,7 +103,7 @@
         barrier.map_err(|e| self.propose_failure(&*self.catalog_log, e))
     }
 
-    /// The answer to a call that only the leader of `log` can carry out.
+    /// Builds the failure for a request that only the leader of `log` can execute.
     pub(crate) fn not_leader(&self, log: &dyn Group) -> peer::Failure {
         let address = log.leadership().leader.and_then(|replica| self.replicas.address(replica));
         peer::Failure {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Commits a command of group 0.
+    /// Commits a command in group 0.
     pub(crate) async fn commit(
         &self,
         command: catalog_command::Command,
@@ -127,7 +127,7 @@
             .ok_or_else(|| failed(FailureCode::Invalid, "malformed answer of the state machine"))
     }
 
-    /// Tells a peer why a proposal has no answer.
+    /// Converts a failed proposal to the failure that is sent to the peer.
     pub(crate) fn propose_failure(&self, log: &dyn Group, error: ProposeError) -> peer::Failure {
         match error {
             ProposeError::NotLeader => self.not_leader(log),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The current generation and its objects.
+    /// Returns the current generation and its objects.
     pub(crate) fn current_objects(&self) -> Result<(u64, Arc<ObjectSet>), peer::Failure> {
         let (generation, objects) = {
             let catalog = self.catalog();
@@ -161,9 +161,9 @@
         Ok((generation, set))
     }
 
-    /// Checks the key of an operator and returns its name.
+    /// Verifies the key of an operator and returns the operator's name.
     ///
-    /// While no operator is published, any holder of an operator's certificate may act.
+    /// While no operator is published, any key is accepted and the name is `bootstrap`.
     pub(crate) fn operator(&self, key: &str) -> Result<String, peer::Failure> {
         let (_, objects) = self.current_objects()?;
         if objects.operators().is_empty() {
@@ -188,12 +188,12 @@
     }
 }
 
-/// Builds a failure without a leader's address.
+/// Builds a failure without a leader address.
 pub(crate) fn failed(code: FailureCode, message: &str) -> peer::Failure {
     peer::Failure { code: code.into(), message: message.to_owned(), leader_address: String::new() }
 }
 
-/// Wall-clock time that is stamped on commands, in milliseconds.
+/// Returns the wall-clock time for commands, in milliseconds since the Unix epoch.
 pub(crate) fn now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/server/src/control/orders.rs
+++ b/crates/server/src/control/orders.rs
@@ -1,5 +1,7 @@
-//! Release orders: delivered to endpoints by the leader of each program group, and repeated until
-//! they are acknowledged, also by a later leader.
+//! Delivery of release orders to endpoints.
+//!
+//! The leader of each program group delivers the orders of its group and retries until they are
+//! acknowledged. A new leader continues with the orders that are not acknowledged yet.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,22 +21,22 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_ACKNOWLEDGEMENT_BYTES: usize = 4096;
-/// Orders in flight for one group.
+/// Maximum number of orders of one group that are delivered concurrently.
 const MAX_ORDERS_IN_FLIGHT: usize = 64;
 
-/// An order as endpoints take it at `POST /orders`.
+/// Body of `POST /orders` at endpoints.
 #[derive(Serialize)]
 struct OrderDocument<'a> {
     kind: &'static str,
-    /// Rises with each order; an endpoint that checks it refuses lower numbers for the same program.
+    /// Increases with each order. Endpoints that check it reject lower numbers for the same program.
     fencing: u64,
     program: String,
-    /// Present when only the stream of one claim is to be released.
+    /// Set if only the stream of one claim is to be released.
     claim: Option<u64>,
     team: &'a str,
 }
 
-/// The delivering task of a control replica.
+/// Task of a control replica that delivers release orders.
 pub(crate) struct ReleaseOrders {
     pub(crate) control: Arc<Control>,
     pub(crate) membership: Arc<Membership>,
@@ -42,7 +44,7 @@
 }
 
 impl ReleaseOrders {
-    /// Delivers orders until the task is ended.
+    /// Delivers orders until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut ticks = tokio::time::interval(POLL_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -78,11 +80,11 @@
         let acknowledged =
             ledger_command::Command::ReleaseAcknowledged(ReleaseAcknowledged { numbers });
         if let Err(e) = sweep::commit(group, acknowledged).await {
-            log::warn!(error = e.message.as_str(); "cannot record acknowledged orders");
+            log::warn!(error = e.message.as_str(); "cannot record the acknowledgement of release orders");
         }
     }
 
-    /// Delivers one order; true when the endpoint took it, or is no longer part of the fleet.
+    /// Delivers one order. Returns true if the endpoint has accepted it or is no longer published.
     async fn deliver(&self, order: &ReleaseOrder) -> bool {
         let snapshot = self.membership.load();
         let Some(endpoint) = snapshot.objects.endpoint(&order.endpoint) else {
@@ -113,7 +115,7 @@
         if collect(response.into_body(), MAX_ACKNOWLEDGEMENT_BYTES, deadline).await.is_ok() {
             reuse.finish();
         }
-        // An endpoint that does not know orders holds nothing that an order could release.
+        // An endpoint without support for orders holds nothing that an order could release.
         status.is_success() || status == http::StatusCode::NOT_FOUND
     }
 }
--- a/crates/server/src/control/publish.rs
+++ b/crates/server/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publications: checked as a whole, then committed by compare-and-set on the generation.
+//! Publications: validated as a whole, then committed by compare-and-set on the generation.
 
 use poplarspan_objects::{Change, ObjectSet, Record};
 use poplarspan_proto::{
@@ -10,7 +10,8 @@
 use crate::membership::{decode_change, encode_change};
 
 impl Control {
-    /// Carries out a publication. The checks run again here, since the sender may be older.
+    /// Executes a publication. Validates the objects again, since the sender may run an older
+    /// version.
     pub(crate) async fn publish(
         &self,
         publish: peer::Publish,
@@ -23,16 +24,16 @@
         let target = decode_object_set(&publish.objects)?;
         let (generation, current) = self.current_objects()?;
         if generation < publish.expected_generation {
-            // It must not be proposed: if another publication makes the expected generation before
-            // this one is applied, it would be accepted without its changes.
+            // Not proposed: if another publication created the expected generation before this one
+            // is applied, this one would be accepted without its changes.
             let message = format!(
                 "generation {} does not exist: {generation} is current",
                 publish.expected_generation
             );
             return Err(failed(FailureCode::Invalid, &message));
         }
-        // With an older expected generation the publication fails, or it is the resend of an
-        // earlier one: in both cases the changes are not used.
+        // With an older expected generation, the publication either fails or is a retry of an
+        // earlier one. The changes are not used in either case.
         let changes = if generation == publish.expected_generation {
             current.diff(&target).iter().map(catalog_change).collect()
         } else {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The current objects, for an operator.
+    /// Returns the current generation and objects to an operator.
     pub(crate) async fn objects(&self, key: &str) -> Result<peer::ObjectsReply, peer::Failure> {
         self.leader_read_barrier().await?;
         self.operator(key)?;
--- a/crates/server/src/control/replicas.rs
+++ b/crates/server/src/control/replicas.rs
@@ -2,8 +2,7 @@
 
 use std::{net::SocketAddr, sync::Mutex};
 
-/// Addresses by replica number. They come from the settings, from heartbeats and from the catalog,
-/// and are found again after a restart.
+/// Addresses by replica number, from the settings, heartbeats and the catalog. Not persisted.
 #[derive(Default)]
 pub(crate) struct ReplicaAddresses {
     // Sorted by number.
@@ -13,12 +12,12 @@
 struct Replica {
     number: u64,
     address: SocketAddr,
-    /// Not in the settings.
+    /// Whether the replica is not in the settings.
     registered: bool,
 }
 
 impl ReplicaAddresses {
-    /// Notes where a replica is according to the settings.
+    /// Sets an address from the settings.
     pub(crate) fn set_configured(&self, replica: u64, address: SocketAddr) {
         let new = Replica { number: replica, address, registered: false };
         let mut entries = self.entries.lock().expect("no panic while locked");
@@ -28,7 +27,7 @@
         }
     }
 
-    /// Notes where a replica is according to itself or to an operator.
+    /// Sets an address that the replica itself or an operator has reported.
     pub(crate) fn set_reported(&self, replica: u64, address: SocketAddr) {
         let mut entries = self.entries.lock().expect("no panic while locked");
         match entries.binary_search_by_key(&replica, |r| r.number) {
@@ -37,8 +36,8 @@
         }
     }
 
-    /// Notes where a replica was registered. The settings take precedence: after a move of all
-    /// replicas the catalog still has their old addresses.
+    /// Sets an address from the catalog, unless the replica is in the settings. After all replicas
+    /// have moved, the catalog still has their old addresses.
     pub(crate) fn set_registered(&self, replica: u64, address: SocketAddr) {
         let mut entries = self.entries.lock().expect("no panic while locked");
         match entries.binary_search_by_key(&replica, |r| r.number) {
@@ -48,8 +47,8 @@
         }
     }
 
-    /// Notes where the sender of a message is, unless that is known already. Without this, voters
-    /// that know each other only through a leader could not elect the next one.
+    /// Adds the address of a message's sender, unless the replica is already known. Without it, voters
+    /// that were in contact only with the old leader could not elect a new one.
     pub(crate) fn add_sender(&self, replica: u64, address: SocketAddr) {
         let mut entries = self.entries.lock().expect("no panic while locked");
         if let Err(i) = entries.binary_search_by_key(&replica, |r| r.number) {
@@ -57,14 +56,14 @@
         }
     }
 
-    /// Address of a replica, if it is known.
+    /// Returns the address of a replica, if known.
     pub(crate) fn address(&self, replica: u64) -> Option<SocketAddr> {
         let entries = self.entries.lock().expect("no panic while locked");
         let i = entries.binary_search_by_key(&replica, |r| r.number).ok()?;
         Some(entries[i].address)
     }
 
-    /// All replicas.
+    /// Returns the numbers and addresses of all known replicas, sorted by number.
     pub(crate) fn list(&self) -> Vec<(u64, SocketAddr)> {
         let entries = self.entries.lock().expect("no panic while locked");
         entries.iter().map(|r| (r.number, r.address)).collect()
--- a/crates/server/src/control/service.rs
+++ b/crates/server/src/control/service.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of instances and operators.
+//! Requests of instances and operators on the peer port.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
     peer::{PeerClient, PeerService, Role},
 };
 
-/// What an instance answers on its peer port; only control replicas have `control`.
+/// Request handler of the peer port. `control` is set on control replicas only.
 pub(crate) struct Service {
     pub(crate) control: Option<Arc<Control>>,
     pub(crate) directory: Arc<Directory>,
@@ -89,7 +89,7 @@
                 Ok(response::Body::VoterReplaced(peer::VoterReplaced {}))
             }
             Body::Peers(_) | Body::Rate(_) | Body::Crashes(_) => {
-                unreachable!("answered above")
+                unreachable!("handled above")
             }
             Body::Beat(_)
             | Body::Join(_)
@@ -145,24 +145,24 @@
         peer::PeersReply { replicas, leader }
     }
 
-    /// Grants a lease, with everything that the instance needs to act under it.
+    /// Grants a lease, together with the changes of objects and view since the reported versions.
     async fn heartbeat(
         &self,
         heartbeat: peer::Heartbeat,
     ) -> Result<peer::LeaseGrant, peer::Failure> {
-        // The instance counts its lease from when it sent the heartbeat, so a leadership that held
-        // at any later moment is enough: a later leader waits out the lease. The barrier comes
-        // before the changes are read, so that an instance without a disk never restarts from
-        // older objects than were in force.
+        // The instance counts its lease from when it sent the heartbeat. It is therefore sufficient
+        // that this replica was leader at any later time, since a new leader waits until the lease
+        // has expired. The barrier precedes reading the changes, so that an instance without a data
+        // folder never restarts with older objects than were in force.
         self.leader_read_barrier().await?;
         if self.catalog().groups() == 0 {
-            // The number is part of the view, which is sent again only when its epoch changes.
+            // The count is part of the view, which is sent again only when its epoch changes.
             let message = "the number of program groups is not fixed yet";
             return Err(failed(FailureCode::Unavailable, message));
         }
         self.register(&heartbeat).await?;
-        // The grant is made before the changes are read, so that whatever is published later finds
-        // this lease in the table.
+        // The lease is entered in the table before the changes are read, so that every later
+        // publication takes it into account.
         let name: Name = heartbeat.instance.as_str().into();
         let granted = self.leases().grant(
             &name,
@@ -253,7 +253,7 @@
         self.declare_gone(&leave.instance, leave.incarnation).await
     }
 
-    /// Declares an instance gone; its claims are then released by every program group.
+    /// Declares an instance gone. The program groups then release its claims.
     pub(crate) async fn declare_gone(
         &self,
         instance: &str,
@@ -267,7 +267,7 @@
         Ok(())
     }
 
-    /// Carries out a command or query of a program group.
+    /// Executes a command or query of a program group.
     async fn ledger(&self, call: peer::LedgerCall) -> Result<peer::LedgerReply, peer::Failure> {
         let group = (call.group as usize).checked_sub(1).and_then(|i| self.programs.get(i));
         let group = group.ok_or_else(|| failed(FailureCode::Invalid, "no such program group"))?;
--- a/crates/server/src/control/start.rs
+++ b/crates/server/src/control/start.rs
@@ -1,4 +1,4 @@
-//! Opens a data folder and starts the replicated log on it.
+//! Initialisation of data folders and startup of the replicated log.
 
 use std::{
     net::SocketAddr,
@@ -16,7 +16,7 @@
 use super::{Control, LogGroup, ProgramGroup, ReplicaAddresses, SharedState};
 use crate::peer::{AgreementSink, AgreementTransport, PeerClient};
 
-/// Program groups of a fleet.
+/// Number of program groups in a new fleet.
 pub(crate) const PROGRAM_GROUPS: u32 = 2;
 const CATALOG_GROUP: GroupId = GroupId(0);
 
@@ -24,13 +24,13 @@
     (0..=PROGRAM_GROUPS).map(GroupId).collect()
 }
 
-/// Makes a data folder for a control replica. `voters` are the first voters of a new fleet; a
-/// replica that joins an existing fleet is given none.
+/// Initialises the data folder of a control replica. `voters` are the initial voters of a new fleet;
+/// it is empty for a replica that joins an existing fleet.
 ///
 /// # Errors
 ///
-/// Fails when the folder is not empty, when it cannot be written, or when `replica` is not among
-/// the voters.
+/// Fails if the folder is not empty or cannot be written, if `replica` is 0, or if `voters` is not
+/// empty and does not contain `replica`.
 pub async fn init_data_folder(path: &Path, replica: u64, voters: &[u64]) -> Result<()> {
     anyhow::ensure!(replica > 0, "replica numbers start at 1");
     anyhow::ensure!(
@@ -45,29 +45,29 @@
     let store = FileStore::open(&dir.log_folder(), StoreOptions::default())?;
     let voters: Vec<ReplicaId> = voters.iter().map(|v| ReplicaId(*v)).collect();
     init_voters(&store, &all_groups(), &voters).await?;
-    // The folder stays locked until the store is closed, and `serve` may come right after.
+    // Releases the lock on the folder before returning, since `serve` may open it immediately.
     store.close().await?;
     Ok(())
 }
 
-/// An opened control replica.
+/// A control replica with its log running.
 pub(crate) struct ControlReplica {
     pub(crate) control: Arc<Control>,
     pub(crate) node: Arc<Node>,
     pub(crate) replica: u64,
-    /// Keeps the folder locked.
+    /// Holds the lock on the data folder.
     pub(crate) dir: DataDir,
 }
 
 impl ControlReplica {
-    /// Where messages of the replicated log go.
+    /// Returns the receiver for messages of the replicated log.
     pub(crate) fn sink(&self) -> Arc<dyn AgreementSink> {
         let (node, replicas) = (self.node.clone(), self.control.replicas.clone());
         Arc::new(Inbox { node, replicas })
     }
 }
 
-/// Takes messages of the replicated log, and learns where their senders are.
+/// Receives messages of the replicated log and records the addresses of their senders.
 struct Inbox {
     node: Arc<Node>,
     replicas: Arc<ReplicaAddresses>,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Opens the data folder, replays the log and starts all groups.
+/// Opens the log in the data folder, replays it and starts all groups.
 pub(crate) async fn start(
     dir: DataDir,
     client: PeerClient,
@@ -111,7 +111,7 @@
     }
     let node = Arc::new(builder.start().await.context("cannot start the replicated log")?);
     let log = |group| -> Result<Arc<LogGroup>> {
-        let handle = node.group(group).context("a group that was just added")?;
+        let handle = node.group(group).context("group is missing after startup")?;
         Ok(Arc::new(LogGroup::new(handle)))
     };
     let programs = states
--- a/crates/server/src/control/status.rs
+++ b/crates/server/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the fleet.
+//! Fleet status for operators.
 
 use poplarspan_objects::{ObjectSet, ZoneState};
 use poplarspan_proto::{ledger::RegisterInstance, peer};
@@ -7,14 +7,15 @@
 use super::Control;
 
 impl Control {
-    /// Describes instances, replicas and endpoints, as the leader of group 0 sees them.
+    /// Returns the status of instances, replicas and endpoints, as known to the leader of group 0.
     pub(crate) async fn status(&self, key: &str) -> Result<peer::StatusReply, peer::Failure> {
         self.leader_read_barrier().await?;
         self.operator(key)?;
         let (generation, objects) = self.current_objects()?;
         let view = self.catalog().view();
         let in_force = self.leases().in_force(generation);
-        // A replica that lost the leadership while it was suspended must not answer from its table.
+        // Confirms the leadership again: a replica that was suspended and has lost it must not report
+        // from its lease table.
         let barrier = self.catalog_log.read_barrier().await;
         barrier.map_err(|e| self.propose_failure(&*self.catalog_log, e))?;
         let instances = self.instance_status(view.instances);
@@ -87,7 +88,8 @@
     }
 }
 
-/// Warns when the loss of one zone would take a majority of the voters of group 0.
+/// Returns a warning for each zone that holds half of the voters of group 0 or more, since its loss
+/// leaves no majority.
 fn warnings(replicas: &[peer::ReplicaStatus]) -> Vec<String> {
     let voters: Vec<_> = replicas.iter().filter(|r| r.group == 0 && r.voter).collect();
     let mut zones: Vec<&str> = voters.iter().map(|r| r.zone.as_str()).collect();
--- a/crates/server/src/control/sweep.rs
+++ b/crates/server/src/control/sweep.rs
@@ -1,4 +1,4 @@
-//! Periodic duties of leaders: instances whose lease has run out, programs past their limits.
+//! Periodic tasks of leaders: expiry of instance leases and of programs.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,17 +17,17 @@
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(5);
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The sweeping task of a control replica.
+/// Periodic tasks of a control replica.
 pub(crate) struct Sweeper {
     pub(crate) control: Arc<Control>,
     pub(crate) ledger: Arc<dyn Ledger>,
-    /// Number of program groups of a fleet that has none yet.
+    /// Number of program groups to set in a new fleet.
     pub(crate) program_groups: u32,
 }
 
 impl Control {
-    /// Learns the addresses of replicas that joined after this process was configured. Any replica
-    /// may come to lead a group and has to reach them.
+    /// Adds the addresses of replicas that have joined since this process was configured. Any replica
+    /// may become leader of a group and must be able to reach them.
     fn update_replica_addresses(&self, epoch: &mut u64) {
         let current = self.catalog().epoch();
         if std::mem::replace(epoch, current) == current {
@@ -42,7 +42,7 @@
 }
 
 impl Sweeper {
-    /// Sweeps until the task is ended.
+    /// Expires instances and programs until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Tells the program groups of instances that are gone, until the task is ended. A task of its
-    /// own: a group without a leader must not hold up what concerns the others.
+    /// Notifies the program groups of instances that were declared gone, until the task is cancelled.
+    /// Runs as a separate task, so that a group without a leader does not delay [`Sweeper::run`].
     pub(crate) async fn run_group_notifications(self: Arc<Self>) -> anyhow::Result<()> {
         let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -85,8 +85,8 @@
         let fix = ledger::FixGroups { groups: self.program_groups };
         match self.control.commit(catalog_command::Command::FixGroups(fix)).await {
             Ok(catalog_answer::Answer::Groups(_)) => Ok(()),
-            Ok(_) => anyhow::bail!("unexpected answer of the catalog"),
-            Err(e) => anyhow::bail!("cannot fix the number of program groups: {}", e.message),
+            Ok(_) => anyhow::bail!("unexpected response from the catalog"),
+            Err(e) => anyhow::bail!("cannot set the number of program groups: {}", e.message),
         }
     }
 
@@ -96,7 +96,7 @@
             view.instances.iter().map(|i| (i.instance.as_str(), i.incarnation)).collect();
         let expired = self.control.leases().expired(&registered);
         for (instance, incarnation) in expired {
-            log::warn!(instance, incarnation; "lease has run out");
+            log::warn!(instance, incarnation; "instance lease has expired");
             metrics::counter!("poplarspan_instances_gone_total").increment(1);
             if let Err(e) = self.control.declare_gone(instance, incarnation).await {
                 anyhow::bail!("cannot declare {instance} gone: {}", e.message);
@@ -105,8 +105,9 @@
         Ok(())
     }
 
-    /// Tells every program group of the instances that are gone. A new leader of group 0 tells all
-    /// of them again, since a former one may have died in between; telling twice changes nothing.
+    /// Notifies every program group of the instances that were declared gone. A new leader of group 0
+    /// repeats all notifications, since the previous one may have failed before sending them. The
+    /// command is idempotent.
     async fn notify_groups(&self, notified: &mut Vec<(String, u64)>) {
         let gone = self.control.catalog().gone();
         for (instance, incarnation) in gone {
@@ -128,14 +129,14 @@
             let deadline = Instant::now() + COMMAND_TIMEOUT;
             if let Err(e) = self.ledger.command(group, command, deadline).await {
                 let error = e.to_string();
-                log::warn!(group, instance, error = error.as_str(); "cannot release claims");
+                log::warn!(group, instance, error = error.as_str(); "cannot release the claims of an instance that was declared gone");
                 all_notified = false;
             }
         }
         all_notified
     }
 
-    /// Ends the programs that are past their limits, in the groups that this replica leads.
+    /// Ends the programs that have exceeded their limits, in the groups that this replica leads.
     async fn expire_programs(&self) {
         for group in &self.control.programs {
             let busy = group.state.lock().expect("no panic while locked").program_count() > 0;
--- a/crates/server/src/control/voters.rs
+++ b/crates/server/src/control/voters.rs
@@ -1,4 +1,4 @@
-//! Replacement of a control replica whose disk is lost.
+//! Replacement of a control replica that has lost its disk.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,13 +9,13 @@
 use crate::peer::{CallError, PeerClient};
 
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which the new replica must have caught up with a group.
+/// Maximum time for the new replica to catch up with a group.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(60);
 const CALL_TIMEOUT: Duration = Duration::from_secs(65);
 
 impl Control {
-    /// Replaces a voter in every group. May be repeated after a lost answer: steps that are done
-    /// already are passed over.
+    /// Replaces a voter in every group. Safe to retry after a lost response, since completed steps are
+    /// skipped.
     pub(crate) async fn replace_voter(
         &self,
         client: &PeerClient,
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// Replaces a voter in a program group, here or at the replica that leads it.
+    /// Replaces a voter in a program group, locally or at the replica that leads the group.
     async fn replace_remote(
         &self,
         client: &PeerClient,
@@ -54,7 +54,7 @@
             if failure.code() != FailureCode::NotLeader || Instant::now() > deadline {
                 return Err(failure);
             }
-            // A replica that is not in the group yet does not know who leads it.
+            // A replica that has not joined the group yet does not know its leader.
             let replicas = self.replicas.list();
             let other = || replicas.get(attempt % replicas.len().max(1)).map(|(_, a)| *a);
             if let Some(leader) = failure.leader_address.parse().ok().or_else(other) {
@@ -69,7 +69,7 @@
             }
             sleep(RETRY_INTERVAL).await;
         }
-        unreachable!("the loop ends by a return")
+        unreachable!("the loop only ends by returning")
     }
 
     /// Replaces a voter in a program group that this replica leads.
@@ -92,7 +92,7 @@
         loop {
             let Some(step) = next_step(log, old, new).await else { return Ok(()) };
             if step == VoterStep::Remove(old) && log.leadership().leader == Some(old) {
-                // A leader is not removed; the caller goes on at the new one.
+                // A leader cannot remove itself. The caller continues at the new leader.
                 let replicas = log.replicas().await;
                 let successor =
                     replicas.iter().find(|r| r.voter && r.replica != old && r.replica != new);
@@ -102,7 +102,8 @@
             }
             match log.change_voters(step).await {
                 Ok(()) => {}
-                // Mostly the new replica has not caught up yet, or a change is not committed yet.
+                // Usually the new replica has not caught up yet, or the previous change is not
+                // committed yet.
                 Err(ProposeError::Refused(cause) | ProposeError::Unknown(cause)) => {
                     if Instant::now() > deadline {
                         return Err(failed(FailureCode::Unavailable, &cause));
@@ -115,7 +116,7 @@
     }
 }
 
-/// The next step towards `new` voting in place of `old`; None when that is so.
+/// Returns the next step of replacing the voter `old` by `new`, or `None` once it is complete.
 async fn next_step(log: &dyn Group, old: u64, new: u64) -> Option<VoterStep> {
     let replicas = log.replicas().await;
     match replicas.iter().find(|r| r.replica == new) {
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -1,8 +1,8 @@
-//! Keeps requests that crash endpoints from crashing more than two of them.
+//! Limits a request that crashes endpoints to at most two of them.
 //!
-//! Every instance has a copy of the table; an instance that saw a crash tells the others before it
-//! answers the caller, so that a resent request finds the record wherever it arrives. A restarted
-//! instance gets the table from the others.
+//! Every instance has a copy of the crash records. An instance that detects a crash sends the record
+//! to all other instances before it responds to the caller, so that a retry finds the record at
+//! any instance. A restarted instance receives all records from the others.
 
 use std::{
     net::SocketAddr,
@@ -27,7 +27,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Records of crashed endpoints, shared with the other instances.
+/// Crash records, replicated to all instances.
 pub(crate) struct CrashRegistry {
     local_name: Name,
     membership: Arc<Membership>,
@@ -38,7 +38,7 @@
     changed: Notify,
 }
 
-/// Reserves an endpoint for a request that has crashed another one.
+/// Reservation of an endpoint for a request that has crashed another one; released on drop.
 pub(crate) struct SuspectGuard {
     crashes: Arc<CrashRegistry>,
     endpoint: Name,
@@ -68,17 +68,17 @@
         self.table.lock().expect("no panic while locked")
     }
 
-    /// Whether no request has crashed anything, so that no fingerprint needs to be computed.
+    /// Whether there are no crash records. Callers can then skip computing fingerprints.
     pub(crate) fn is_empty(&self) -> bool {
         self.table().records().is_empty()
     }
 
-    /// Whether and where a request may run.
+    /// Returns whether a request may run, and which endpoints it must avoid.
     pub(crate) fn admission(&self, fingerprint: Fingerprint) -> Admission {
         self.table().admission(fingerprint, now_ms())
     }
 
-    /// Reserves an endpoint; None when another suspect runs there.
+    /// Reserves an endpoint. Returns `None` if another suspect request runs there.
     pub(crate) fn begin_suspect(
         self: &Arc<Self>,
         endpoint: &Name,
@@ -92,15 +92,16 @@
         })
     }
 
-    /// The run of an endpoint as far as it is known, for [`CrashRegistry::report_lost_connection`].
+    /// Returns the last known run of an endpoint, for [`CrashRegistry::report_lost_connection`].
     pub(crate) fn run_of(&self, endpoint: &Name) -> Option<u64> {
         self.scheduler.run_of(endpoint)
     }
 
-    /// Endpoints of a group in the order in which a request that has crashed one tries others.
+    /// Returns the endpoints of a group in the order in which a suspect request tries them.
     ///
-    /// The order is the same at all instances, so that copies of the request that were sent to
-    /// several instances in parallel crash one more endpoint together, and not one each.
+    /// The order depends only on the fingerprint and is the same at all instances. Copies of the
+    /// request sent to several instances in parallel therefore crash one more endpoint in total,
+    /// not one per instance.
     pub(crate) fn candidate_order(&self, group: &str, fingerprint: Fingerprint) -> Vec<Name> {
         let rank = |name: &Name| {
             let mut hasher = blake3::Hasher::new_keyed(&fingerprint.0);
@@ -113,10 +114,11 @@
         endpoints
     }
 
-    /// Finds out whether the endpoint crashed while it ran the request. If so, returns only when
-    /// every live instance knows, or the call is out of time.
+    /// Checks whether the endpoint crashed while it ran the request, and records the crash if so.
+    /// Then waits until every live instance has the record or `deadline` has passed.
     ///
-    /// `before` is the run of the endpoint when the call was sent.
+    /// `before` is the run of the endpoint when the call was sent. A different run, or none, counts
+    /// as a crash.
     pub(crate) async fn report_lost_connection(
         &self,
         endpoint: &EndpointRef,
@@ -128,7 +130,7 @@
         if after.is_some() && after == before {
             return;
         }
-        log::warn!(endpoint = &*endpoint.name; "endpoint crashed while it ran a request");
+        log::warn!(endpoint = &*endpoint.name; "endpoint crashed while executing a request");
         metrics::counter!("poplarspan_endpoint_crashes_total").increment(1);
         let snapshot = self.membership.load();
         let peers: Vec<Name> = snapshot
@@ -142,20 +144,21 @@
         let crash = Crash { fingerprint, endpoint: endpoint.name.clone(), at_ms };
         self.table().record(crash, &peers, at_ms);
         self.changed.notify_one();
-        // An instance without a lease gets no new view, and so never sees who else has lost it.
+        // Bounded by the deadline: an instance without a lease receives no new views, so peers that
+        // have left stay in its view and never acknowledge.
         while !self.table().is_settled(fingerprint) && Instant::now() < deadline {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Takes records of another instance, and repeats them as acknowledgement.
+    /// Merges records from another instance and returns them as the acknowledgement.
     pub(crate) fn merge_reports(&self, reports: peer::CrashReports) -> peer::CrashReports {
         let records: Vec<Crash> = reports.reports.iter().filter_map(decode_report).collect();
         self.table().merge(&records, now_ms());
         peer::CrashReports { reports: records.iter().map(encode_report).collect() }
     }
 
-    /// Sends records until the others have acknowledged them.
+    /// Sends records to the other instances until they acknowledge them.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut changes = self.membership.subscribe();
         let mut synced: Vec<(Name, u64)> = Vec::new();
@@ -166,7 +169,7 @@
             let mut sends = Vec::new();
             for member in snapshot.view.members.iter().filter(|m| m.name != self.local_name) {
                 let key = (member.name.clone(), member.incarnation);
-                // A new instance has no table yet.
+                // A new instance has no records yet and needs all of them.
                 let records = if synced.contains(&key) {
                     self.table().unacknowledged(&member.name)
                 } else {
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Sends records to one instance; its name when it has them all.
+    /// Sends records to one instance. Returns its key once it has acknowledged them.
     async fn send(
         &self,
         key: (Name, u64),
@@ -224,9 +227,10 @@
     }
 }
 
-/// Waits for permission to run a request that has crashed an endpoint before.
+/// Waits until a request may run.
 ///
-/// Returns the endpoints that it must not run on again, or None when it may not run at all.
+/// Returns the endpoints that it has crashed and must avoid, or `None` if it must not run or is
+/// not admitted before `deadline`.
 pub(crate) async fn wait_admission(
     crashes: &CrashRegistry,
     fingerprint: Fingerprint,
--- a/crates/server/src/instance.rs
+++ b/crates/server/src/instance.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of an instance together, runs them, and takes them down in order.
+//! Startup and ordered shutdown of an instance.
 
 use std::{
     net::SocketAddr,
@@ -37,18 +37,18 @@
 
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An instance that is ready to run.
+/// An instance with a valid configuration that has not been started.
 pub struct Instance {
     cfg: InstanceConfig,
 }
 
-/// A running instance.
+/// Handle of a running instance.
 pub struct Running {
-    /// Where callers connect.
+    /// Bound address for callers.
     pub entry_address: SocketAddr,
-    /// Where other instances and operators connect.
+    /// Peer address as advertised to other instances.
     pub peer_address: SocketAddr,
-    /// Where metrics and health are served.
+    /// Bound address for metrics and health checks.
     pub probe_address: SocketAddr,
     drain_grace: Duration,
     draining: Arc<AtomicBool>,
@@ -58,11 +58,11 @@
     supervisor: Supervisor,
     lease_release: LeaseRelease,
     client: PeerClient,
-    /// The replicated log, and the lock on its folder.
+    /// The replicated log and the lock on its data folder.
     replica: Option<(Arc<Node>, DataDir)>,
 }
 
-/// What handing the lease back needs.
+/// State that is needed to release the lease at shutdown.
 struct LeaseRelease {
     name: poplarspan_objects::Name,
     incarnation: Arc<AtomicU64>,
@@ -72,11 +72,11 @@
 }
 
 impl Instance {
-    /// Checks the settings.
+    /// Validates the configuration.
     ///
     /// # Errors
     ///
-    /// Names every setting that cannot work.
+    /// Returns one error that lists all invalid settings.
     pub fn new(cfg: InstanceConfig) -> Result<Self> {
         let problems = cfg.problems();
         if problems.is_empty() {
@@ -86,11 +86,11 @@
         anyhow::bail!("{}", list.join("; "))
     }
 
-    /// Opens the sockets and files, and starts every task.
+    /// Opens the sockets and files and starts all tasks.
     ///
     /// # Errors
     ///
-    /// Fails when a file cannot be read or an address cannot be used.
+    /// Fails if a file cannot be read or an address cannot be bound.
     pub async fn start(self) -> Result<Running> {
         let cfg = self.cfg;
         let metrics = probes::recorder();
@@ -167,9 +167,10 @@
             draining: draining.clone(),
             leaving: leaving.clone(),
         });
-        let (found, peer_client, seeds) = (directory.clone(), client.clone(), cfg.seeds.clone());
+        let (discovery, peer_client, seeds) =
+            (directory.clone(), client.clone(), cfg.seeds.clone());
         supervisor.start("discovery", move || {
-            discover(found.clone(), peer_client.clone(), seeds.clone())
+            discover(discovery.clone(), peer_client.clone(), seeds.clone())
         });
         supervisor.start("heartbeats", move || heartbeats.clone().run());
         if let Some(control) = control {
@@ -244,7 +245,7 @@
     TcpListener::bind(address).await.with_context(|| format!("cannot listen on {address}"))
 }
 
-/// Opens the data folder, if the instance has one, and starts the replicated log.
+/// Opens the data folder, if one is configured, and starts the replicated log.
 async fn start_replica(
     cfg: &InstanceConfig,
     client: &PeerClient,
@@ -301,9 +302,9 @@
 }
 
 impl Running {
-    /// Waits until callers are served under published objects.
+    /// Waits until the instance has published objects and a valid lease.
     pub async fn ready(&self) {
-        // The lease is renewed without a change of the objects, so it is looked at again and again.
+        // Polls because lease renewals do not notify subscribers of the membership.
         const POLL: Duration = Duration::from_millis(20);
         let ready = InstanceReadiness {
             membership: self.lease_release.membership.clone(),
@@ -314,8 +315,8 @@
         }
     }
 
-    /// Waits until the replicated log has failed, for instance because its disk has. The process
-    /// should then end: the log is not usable any more.
+    /// Waits until the replicated log fails, for instance on a disk error. The log cannot be used
+    /// afterwards, so the process should exit. Never returns on an instance without a data folder.
     pub async fn failed(&self) -> anyhow::Error {
         match &self.replica {
             Some((node, _)) => node.failed().await.into(),
@@ -323,34 +324,34 @@
         }
     }
 
-    /// Takes the instance down without cutting a call: not ready, then no longer accepting, then
-    /// draining, then handing the lease back.
+    /// Shuts the instance down gracefully: reports "not ready", stops accepting connections, waits
+    /// for open calls, and releases the lease.
     ///
-    /// Returns the number of connections that were still open when the time for draining was over.
+    /// Returns the number of connections that were still open after the drain timeout.
     ///
     /// # Errors
     ///
-    /// Fails when the accepting task had failed.
+    /// Fails if the listener task has failed.
     pub async fn shutdown(self) -> Result<usize> {
-        log::info!("shutting down");
+        log::info!("instance is shutting down");
         self.draining.store(true, Ordering::Relaxed);
         tokio::time::sleep(self.drain_grace).await;
         self.stop_accepting.cancel();
         let open = self.listener.await??;
         if open > 0 {
-            log::error!(connections = open; "drain timeout: calls were cut");
+            log::error!(connections = open; "drain timeout expired; closing connections with open calls");
         }
         self.lease_release.leaving.store(true, Ordering::Relaxed);
         self.lease_release.membership.drop_lease();
         release_lease(&self.lease_release, &self.client).await;
         if let Some((node, _)) = &self.replica {
-            // Transfers leadership away first.
+            // Transfers its leaderships to other replicas first.
             node.shutdown().await;
         }
         self.stop.cancel();
         self.supervisor.join().await;
         self.client.close().await;
-        log::info!("stopped");
+        log::info!("instance stopped");
         Ok(open)
     }
 }
@@ -363,11 +364,11 @@
     });
     match client.call(target, body, LEAVE_TIMEOUT).await {
         Ok(response::Body::Left(_)) => {}
-        Ok(_) => log::warn!("unexpected answer to the return of the lease"),
-        // The lease then runs out by itself.
+        Ok(_) => log::warn!("unexpected response to the release of the lease"),
+        // The lease then expires.
         Err(e) => {
             let error = e.to_string();
-            log::warn!(error = error.as_str(); "cannot hand the lease back");
+            log::warn!(error = error.as_str(); "cannot release the lease; it will expire");
         }
     }
 }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,24 +1,24 @@
-//! One instance of Poplarspan: the HTTP side towards callers, the dispatch to endpoints, the peer
-//! port between instances, and the control duties of instances with a data folder.
+//! One instance of Poplarspan: the HTTP server for callers, the dispatch to endpoints, the peer
+//! protocol between instances, and the control plane on instances with a data folder.
 //!
 //! * [`Instance`] runs an instance inside the calling process; [`Running`] is its handle.
-//! * [`PeerClient`] calls instances as operators do.
-//! * [`init_data_folder`] prepares the folder of a control replica, once.
+//! * [`PeerClient`] sends operator requests to instances.
+//! * [`init_data_folder`] initialises the data folder of a control replica.
 //!
-//! # Owners and failures
+//! # State and failures
 //!
-//! An instance owns its calls in flight, queues and connections, which are lost with it: its lease
-//! runs out, its idempotent calls may be claimed again, and its other calls have an unknown
-//! outcome. Objects, programs and registered instances belong to the replicated log and outlive
-//! any minority of the control replicas. Instances without a data folder hold nothing durable. A
-//! failed task is restarted; a failed log makes [`Running::failed`] return, after which the
-//! process should end.
+//! Calls in flight, queues and connections are kept in memory by one instance and are lost when it
+//! fails: its lease expires, its idempotent calls may be claimed by another instance, and the
+//! outcome of its other calls is unknown. Objects, programs and registered instances are stored in
+//! the replicated log and survive the loss of any minority of the control replicas. An instance
+//! without a data folder stores nothing durable. A failed task is restarted. When the log fails,
+//! [`Running::failed`] returns and the process should exit.
 //!
 //! # Units and errors
 //!
-//! Sizes are in bytes and times are [`Duration`](std::time::Duration)s. Settings that cannot work
-//! are reported together ([`InstanceConfig::problems`]). [`CallError`] distinguishes calls to a peer
-//! that were not carried out from those with an unknown outcome.
+//! Sizes are in bytes and times are [`Duration`](std::time::Duration)s.
+//! [`InstanceConfig::problems`] reports all invalid settings at once. [`CallError`] distinguishes
+//! peer requests that were not executed from those with an unknown outcome.
 //!
 //! # Example
 //!
--- a/crates/server/src/membership/discovery.rs
+++ b/crates/server/src/membership/discovery.rs
@@ -1,4 +1,4 @@
-//! Finds the control replicas and the leader of group 0.
+//! Discovery of the control replicas and of the leader of group 0.
 
 use std::{
     net::SocketAddr,
@@ -11,11 +11,11 @@
 use crate::peer::{CallError, PeerClient};
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause while no control replica has answered yet.
+/// Interval between requests that have failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 const REFRESH_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Where the control replicas are, as far as this instance knows.
+/// Known addresses of the control replicas and the presumed leader of group 0.
 pub(crate) struct Directory {
     inner: Mutex<DirectoryInner>,
 }
@@ -32,7 +32,7 @@
         Self { inner: Mutex::new(DirectoryInner { candidates, ..Default::default() }) }
     }
 
-    /// The believed leader of group 0, or the next candidate in turn.
+    /// Returns the presumed leader of group 0, or the next candidate in round-robin order.
     pub(crate) fn target(&self) -> Option<SocketAddr> {
         let mut inner = self.inner.lock().expect("no panic while locked");
         if let Some(leader) = inner.leader {
@@ -47,7 +47,7 @@
         Some(inner.candidates[i])
     }
 
-    /// The believed leader of group 0.
+    /// Returns the presumed leader of group 0.
     pub(crate) fn leader(&self) -> Option<SocketAddr> {
         self.inner.lock().expect("no panic while locked").leader
     }
@@ -56,12 +56,12 @@
         self.inner.lock().expect("no panic while locked").leader = leader;
     }
 
-    /// Control replicas that are known, in no order.
+    /// Returns the known control replicas, in no particular order.
     pub(crate) fn candidates(&self) -> Vec<SocketAddr> {
         self.inner.lock().expect("no panic while locked").candidates.clone()
     }
 
-    /// Adds control replicas that a peer named.
+    /// Adds control replicas that a peer has reported.
     pub(crate) fn add_candidates(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         let mut inner = self.inner.lock().expect("no panic while locked");
         for address in addresses {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Notes what a failed call tells about the leader.
+    /// Updates the presumed leader after a failed request.
     pub(crate) fn handle_failure(&self, error: &CallError) {
         match error {
             CallError::Failed(failure) if failure.code() == FailureCode::NotLeader => {
@@ -83,7 +83,8 @@
     }
 }
 
-/// Asks the known instances where the control replicas are, until the task is ended.
+/// Periodically asks known instances for the addresses of the control replicas. Returns only if
+/// there is no address to ask.
 pub(crate) async fn discover(
     directory: Arc<Directory>,
     client: PeerClient,
--- a/crates/server/src/membership/heartbeat.rs
+++ b/crates/server/src/membership/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Keeps the lease of this instance alive.
+//! Heartbeats that renew the lease of this instance.
 
 use std::{
     net::SocketAddr,
@@ -18,28 +18,30 @@
 use crate::peer::{CallError, PeerClient};
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Spread of the heartbeat interval, so that instances started together do not stay in step.
+/// Random fraction of the heartbeat interval that is added or subtracted, so that instances started
+/// together do not send their heartbeats at the same times.
 const JITTER: f64 = 0.1;
 
-/// Number of a run of this process, higher than those of all earlier runs.
+/// Returns a new incarnation number: wall-clock time in microseconds, so that it exceeds those of
+/// earlier runs.
 pub(crate) fn new_incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Who this instance is, as told in each heartbeat.
+/// Identity of this instance, sent with each heartbeat.
 #[derive(Clone)]
 pub(crate) struct Identity {
     pub(crate) name: Name,
-    /// Changes when the instance was declared gone while it lived on.
+    /// Replaced when the instance is declared gone while it is still running.
     pub(crate) incarnation: Arc<AtomicU64>,
     pub(crate) zone: Name,
     pub(crate) peer_address: SocketAddr,
-    /// Number of the control replica that the instance runs, if any.
+    /// Number of the local control replica, if any.
     pub(crate) replica: Option<u64>,
 }
 
-/// The heartbeat task.
+/// Task that sends heartbeats and applies the grants in their responses.
 pub(crate) struct HeartbeatTask {
     pub(crate) identity: Identity,
     pub(crate) membership: Arc<Membership>,
@@ -47,12 +49,12 @@
     pub(crate) client: PeerClient,
     pub(crate) object_file: Option<ObjectFile>,
     pub(crate) draining: Arc<AtomicBool>,
-    /// Set before the lease is handed back: a later heartbeat would ask for a new one.
+    /// Set before the lease is released, since another heartbeat would acquire a new lease.
     pub(crate) leaving: Arc<AtomicBool>,
 }
 
 impl HeartbeatTask {
-    /// Sends heartbeats until the task is ended.
+    /// Sends heartbeats until the instance is leaving.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut failures = 0u32;
         while !self.leaving.load(Ordering::Relaxed) {
@@ -65,7 +67,7 @@
                 }
             }
             let spread = rand::rng().random_range(-JITTER..JITTER);
-            // The first retries are quick: most failures are a leader that just changed.
+            // The first retries are fast because most failures are caused by a change of leader.
             let wait = if (1..4).contains(&failures) {
                 HEARTBEAT_INTERVAL / 6
             } else {
@@ -76,7 +78,7 @@
         Ok(())
     }
 
-    /// Sends one heartbeat; true when the leader has more changes ready.
+    /// Sends one heartbeat. Returns true if the leader has more changes to send.
     async fn send_heartbeat(&self) -> anyhow::Result<bool> {
         let Some(target) = self.directory.target() else {
             anyhow::bail!("no control replica is known");
@@ -95,7 +97,7 @@
         });
         let grant = match self.client.call(target, body, CALL_TIMEOUT).await {
             Ok(response::Body::Lease(grant)) => grant,
-            Ok(_) => anyhow::bail!("unexpected answer to a heartbeat from {target}"),
+            Ok(_) => anyhow::bail!("unexpected response to a heartbeat from {target}"),
             Err(e) => {
                 self.handle_fencing(&e);
                 self.directory.handle_failure(&e);
@@ -106,15 +108,15 @@
         let more = grant.more;
         let updated = self.membership.with_grant(sent, grant)?;
         if updated.generation > snapshot.generation {
-            // Saved before it is in force, so that a restart never goes back.
+            // Saved before it is installed, so that a restart never loads an older generation.
             self.save(&updated).await?;
         }
         self.install(updated);
         Ok(more)
     }
 
-    /// Goes on under a new incarnation after the old one was declared gone. Calls that the old one
-    /// had open stay as the ledger has settled them.
+    /// Switches to a new incarnation after the current one was declared gone. Open calls of the old
+    /// incarnation keep the state that the ledger has recorded for them.
     fn handle_fencing(&self, error: &CallError) {
         if let CallError::Failed(failure) = error
             && failure.code() == FailureCode::Fenced
@@ -122,7 +124,7 @@
             self.membership.drop_lease();
             let incarnation = new_incarnation();
             self.identity.incarnation.store(incarnation, Ordering::Relaxed);
-            log::warn!(incarnation; "declared gone; continuing under a new incarnation");
+            log::warn!(incarnation; "instance was declared gone; continuing with a new incarnation");
         }
     }
 
@@ -138,23 +140,23 @@
     fn install(&self, snapshot: Snapshot) {
         let generation = snapshot.generation;
         let updated = generation > self.membership.load().generation;
-        // An instance that has handed its lease back must not get it again from a late answer.
+        // A late response must not restore a lease that was released.
         if self.leaving.load(Ordering::Relaxed) {
             return;
         }
         self.membership.install(snapshot);
         if updated {
-            log::info!(generation; "objects in force");
+            log::info!(generation; "new generation of objects in force");
             metrics::gauge!("poplarspan_generation").set(generation as f64);
         }
     }
 
     fn log_failure(&self, failures: u32, error: &anyhow::Error) {
         metrics::counter!("poplarspan_heartbeat_failures_total").increment(1);
-        // One line for each outage and one a while after, not three a second.
+        // Logs once per outage and then every 100 failures, instead of on every heartbeat.
         if failures == 4 || failures.is_multiple_of(100) {
             let error = format!("{error:#}");
-            log::warn!(error = error.as_str(), failures; "heartbeats fail");
+            log::warn!(error = error.as_str(), failures; "cannot renew the lease: heartbeats are failing");
         }
     }
 }
--- a/crates/server/src/membership/mod.rs
+++ b/crates/server/src/membership/mod.rs
@@ -1,8 +1,7 @@
-//! What an instance knows of the fleet: the objects in force, the live instances, and the lease
-//! under which it may act on them.
+//! An instance's view of the fleet: the objects in force, the live instances, and its own lease.
 //!
-//! Owned by the heartbeat task of this instance; every other task reads a consistent copy. When the
-//! instance restarts it starts without a lease and asks for everything again.
+//! The heartbeat task is the only writer; all other tasks read consistent snapshots. After a restart
+//! an instance has no lease and fetches the current state with its first heartbeats.
 
 mod discovery;
 mod heartbeat;
@@ -20,12 +19,12 @@
 pub(crate) use heartbeat::{HeartbeatTask, Identity, new_incarnation};
 pub(crate) use object_file::ObjectFile;
 
-/// Lease that the leader of group 0 grants with each heartbeat.
+/// Duration of the lease that the leader of group 0 grants with each heartbeat.
 pub(crate) const LEASE: Duration = Duration::from_secs(2);
-/// Time between heartbeats.
+/// Interval between heartbeats.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// One live instance.
+/// A live instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Member {
     pub(crate) name: Name,
@@ -35,7 +34,7 @@
     pub(crate) draining: bool,
 }
 
-/// The live instances at one epoch.
+/// The live instances in one epoch.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct View {
     pub(crate) epoch: u64,
@@ -51,7 +50,7 @@
     }
 }
 
-/// A consistent copy of what the instance knows.
+/// A consistent copy of the membership state.
 #[derive(Clone)]
 pub(crate) struct Snapshot {
     pub(crate) objects: Arc<ObjectSet>,
@@ -61,21 +60,21 @@
 }
 
 impl Snapshot {
-    /// Whether calls that need a key may be served now.
+    /// Whether the lease is valid now. Calls that need a key require a valid lease.
     pub(crate) fn lease_valid(&self) -> bool {
         self.lease_expires_at.is_some_and(|expires_at| Instant::now() < expires_at)
     }
 }
 
-/// Shared access to what the instance knows.
+/// Shared membership state.
 pub(crate) struct Membership {
     snapshot: ArcSwap<Snapshot>,
-    /// Counts changes of objects and view.
+    /// Incremented when the objects or the view change.
     changes: watch::Sender<u64>,
 }
 
 impl Membership {
-    /// Starts from the objects that were saved by an earlier run, if any, and without a lease.
+    /// Creates the state from the objects saved by an earlier run, if any, without a lease.
     pub(crate) fn new(generation: u64, objects: ObjectSet) -> Self {
         let snapshot = Snapshot {
             objects: Arc::new(objects),
@@ -86,7 +85,7 @@
         Self { snapshot: ArcSwap::from_pointee(snapshot), changes: watch::Sender::new(0) }
     }
 
-    /// Tells of each change of the objects or the view.
+    /// Returns a receiver that is notified of each change of the objects or the view.
     pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
@@ -95,14 +94,17 @@
         self.snapshot.load_full()
     }
 
-    /// Gives the lease up, so that no further keyed call starts.
+    /// Drops the lease, so that no further call with a key starts.
     pub(crate) fn drop_lease(&self) {
         let mut snapshot = Snapshot::clone(&self.snapshot.load());
         snapshot.lease_expires_at = None;
         self.snapshot.store(Arc::new(snapshot));
     }
 
-    /// Reads a grant that answers the heartbeat sent at `sent`: what is known once it is accepted.
+    /// Returns the snapshot that results from applying a grant to the current one. The lease runs
+    /// from `sent`, when the heartbeat was sent.
+    ///
+    /// Fails if the grant is malformed or its generation is older than the current one.
     pub(crate) fn with_grant(
         &self,
         sent: Instant,
@@ -113,7 +115,7 @@
             metrics::counter!("poplarspan_invariant_violations_total", "invariant" => "generation")
                 .increment(1);
             anyhow::bail!(
-                "the leader offers generation {} but {} is in force",
+                "the leader granted generation {}, older than generation {} in force",
                 grant.generation,
                 snapshot.generation
             );
@@ -122,8 +124,8 @@
             let changes =
                 grant.changes.iter().map(decode_change).collect::<anyhow::Result<Vec<_>>>()?;
             let base = if grant.full { ObjectSet::default() } else { (*snapshot.objects).clone() };
-            // Changes of several generations are merged: an object that was added and removed in
-            // between appears as removed, and was never here.
+            // The changes of several generations are merged. An object that was added and removed
+            // in between appears as a removal of an object that does not exist here.
             let changes: Vec<_> = changes.into_iter().filter(|c| applies_to(c, &base)).collect();
             let objects = base.apply(&changes).map_err(|e| anyhow::anyhow!("{e}"))?;
             snapshot.objects = Arc::new(objects);
@@ -140,9 +142,9 @@
         Ok(snapshot)
     }
 
-    /// Takes over what was read from a grant.
+    /// Installs a snapshot and notifies subscribers if the objects or the view have changed.
     ///
-    /// Only the heartbeat task reads and accepts grants, so that no lock is needed.
+    /// Only the heartbeat task applies grants, so no lock is needed.
     pub(crate) fn install(&self, snapshot: Snapshot) {
         let old = self.snapshot.load();
         let changed =
@@ -167,7 +169,7 @@
         .into_iter()
         .map(|m| {
             Ok(Member {
-                address: m.peer_address.parse().context("peer address of a member")?,
+                address: m.peer_address.parse().context("invalid peer address of a member")?,
                 name: m.instance.into(),
                 incarnation: m.incarnation,
                 zone: m.zone.into(),
@@ -178,7 +180,7 @@
     Ok(View { epoch: view.epoch, members, program_groups: view.program_groups })
 }
 
-/// Converts a change received from a peer.
+/// Decodes a change received from a peer.
 pub(crate) fn decode_change(change: &peer::Change) -> anyhow::Result<Change> {
     let kind = change.kind.parse().map_err(|_| anyhow::anyhow!("unknown kind {}", change.kind))?;
     let name: Name = change.name.as_str().into();
@@ -188,7 +190,7 @@
     })
 }
 
-/// Converts a change for a peer.
+/// Encodes a change for a peer.
 pub(crate) fn encode_change(change: &Change) -> peer::Change {
     match change {
         Change::Upsert(record) => peer::Change {
--- a/crates/server/src/membership/object_file.rs
+++ b/crates/server/src/membership/object_file.rs
@@ -1,4 +1,6 @@
-//! The last generation in force, kept in the data folder, so that a restart never goes back.
+//! File with the last generation in force, so that a restart never loads an older generation.
+//!
+//! The file holds the BLAKE3 hash of the body, followed by the body.
 
 use std::{
     fs::{self, File},
@@ -18,7 +20,7 @@
 const FILE_NAME: &str = "objects.pb";
 const CHECKSUM_BYTES: usize = 32;
 
-/// Reads and replaces the saved object set.
+/// Reads and replaces the object set in the data folder.
 #[derive(Clone)]
 pub(crate) struct ObjectFile {
     folder: PathBuf,
@@ -29,11 +31,11 @@
         Self { folder: folder.to_owned() }
     }
 
-    /// Returns the saved generation, or generation 0 when none was saved.
+    /// Loads the saved generation and its objects. Returns generation 0 if there is no file.
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be read or its checksum does not match.
+    /// Fails if the file cannot be read or decoded, or if its checksum does not match.
     pub(crate) fn load(&self) -> Result<(u64, ObjectSet)> {
         let path = self.folder.join(FILE_NAME);
         let buf = match fs::read(&path) {
@@ -45,7 +47,7 @@
         };
         let (checksum, body) = buf
             .split_at_checked(CHECKSUM_BYTES)
-            .with_context(|| format!("{} is too short", path.display()))?;
+            .with_context(|| format!("{} is too short to hold a checksum", path.display()))?;
         anyhow::ensure!(
             blake3::hash(body).as_bytes() == checksum,
             "{} does not match its checksum",
@@ -57,7 +59,8 @@
         Ok((reply.generation, objects))
     }
 
-    /// Replaces the saved set: written beside, synced, renamed, and the folder synced.
+    /// Replaces the saved set atomically: writes and syncs a temporary file, renames it, and syncs
+    /// the folder.
     pub(crate) async fn save(&self, generation: u64, objects: Arc<ObjectSet>) -> Result<()> {
         let folder = self.folder.clone();
         tokio::task::spawn_blocking(move || write(&folder, generation, &objects)).await?
--- a/crates/server/src/schedule/endpoints.rs
+++ b/crates/server/src/schedule/endpoints.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of the endpoints: load, cold starts, cached prefixes.
+//! State of the endpoints: load, cold starts and cached prefixes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,19 +16,21 @@
 use super::{CallSpec, DispatchOutcome, EndpointRef, SlotEnd, model_group, service_group};
 use crate::membership::{LEASE, Snapshot};
 
-/// Tokens of one block of a prompt.
+/// Tokens per prompt block.
 pub(crate) const BLOCK_TOKENS: u32 = 64;
-/// Blocks that the prefix index holds: about 4 million tokens.
+/// Capacity of the prefix index in blocks, about 4 million tokens.
 const MAX_INDEXED_BLOCKS: usize = 65_536;
-/// Blocks that an engine's cache is assumed to hold until its load report says so.
+/// Assumed cache size of an engine, in blocks, until its load report states one.
 const ASSUMED_CACHE_BLOCKS: u32 = 8192;
-/// Prefill speed that is assumed for engines, in tokens a second.
+/// Assumed prefill speed of engines, in tokens per second.
 const ASSUMED_PREFILL_PER_SECOND: f64 = 5000.0;
-/// Service time that is assumed until one has been measured, in seconds.
+/// Assumed service time until one has been measured, in seconds.
 const ASSUMED_SERVICE_S: f64 = 0.5;
-/// Failures in a row after which an endpoint gets no calls until it answers a load request.
+/// Number of consecutive failures after which an endpoint gets no calls until it responds to a load
+/// request.
 const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// Time after which a program's endpoint is forgotten; its cache entries have mostly gone by then.
+/// Time after which a program's last endpoint is forgotten. Most of its cache entries have been
+/// evicted by then.
 const AFFINITY_TTL: Duration = Duration::from_secs(600);
 const MAX_AFFINITIES: usize = 32_768;
 
@@ -37,31 +39,32 @@
     id: EndpointId,
     address: SocketAddr,
     failures: u32,
-    /// Run of the endpoint's process that the cache index belongs to.
+    /// Run of the endpoint's process that the prefix index refers to.
     run: Option<u64>,
 }
 
+/// The endpoint that last served a program.
 struct ProgramAffinity {
     program: Name,
     id: EndpointId,
     at: Duration,
 }
 
-/// The endpoints of the objects in force.
+/// State of all published endpoints.
 pub(super) struct Endpoints {
     fleet: Fleet,
     prefixes: PrefixIndex,
     chooser: CostChooser,
     ramps: Ramps,
-    // Sorted by name.
+    /// Sorted by name.
     endpoints: Vec<EndpointState>,
-    // Sorted by program.
+    /// Sorted by program.
     affinities: Vec<ProgramAffinity>,
     generation: u64,
     epoch: u64,
 }
 
-/// Load of an endpoint as it reports it.
+/// Load report of an endpoint.
 pub(super) struct Report {
     pub(super) run: u64,
     pub(super) uptime: Option<Duration>,
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Follows changes of the objects and the view. Returns whether anything changed.
+    /// Applies changes of the objects and the view. Returns whether there were any.
     pub(super) fn update(&mut self, snapshot: &Snapshot, now: Duration) -> bool {
         let mut changed = false;
         if snapshot.view.epoch != self.epoch {
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Follows the ramps of cold endpoints; called every tick.
+    /// Updates the load caps of cold endpoints and drops expired affinities. Called on every tick.
     pub(super) fn refresh_caps(&mut self, now: Duration) {
         for state in &self.endpoints {
             let cap = self.ramps.cap(&state.name, now);
@@ -183,30 +186,30 @@
         self.affinities.retain(|l| now < l.at + AFFINITY_TTL);
     }
 
-    /// Whether the group has room for a call of any team.
+    /// Whether the group has capacity for a call of any team.
     pub(super) fn has_capacity(&self, group: &str) -> bool {
         self.fleet.room(group, 1) > 0
     }
 
-    /// Whether a call may be sent to wait at the group's endpoints.
+    /// Whether a call may be sent to wait in the queues of the group's endpoints.
     pub(super) fn may_queue_at_endpoints(&self, group: &str) -> bool {
         self.fleet.fill(group) < f64::from(PRIORITY_FILL)
     }
 
-    /// Whether this instance has no call at the group's endpoints.
+    /// Whether this instance has no calls in flight at the group's endpoints.
     pub(super) fn has_no_own_calls(&self, group: &str) -> bool {
         let members = self.fleet.members(group).unwrap_or(&[]);
         members.iter().all(|id| self.fleet.own_in_flight(*id) == 0)
     }
 
-    /// Calls that the group takes at once from all instances.
+    /// Returns the number of concurrent calls that the group can take from all instances.
     pub(super) fn capacity(&self, group: &str) -> u32 {
         let members = self.fleet.members(group).unwrap_or(&[]);
         let open = members.iter().filter(|id| self.fleet.is_open(**id));
         open.map(|id| self.fleet.spec(*id).capacity).sum()
     }
 
-    /// Chooses an endpoint and counts the call there.
+    /// Selects an endpoint and counts the call as in flight there.
     pub(super) fn assign(
         &mut self,
         spec: &CallSpec,
@@ -226,7 +229,7 @@
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &request, &mut rng)?;
         self.record_dispatch(spec, &choice, now);
         let name = self.fleet.spec(choice.endpoint).name.clone();
-        let address = self.find(&name).expect("the fleet holds known endpoints").address;
+        let address = self.find(&name).expect("endpoints of the fleet are known").address;
         Ok(EndpointRef { name, address })
     }
 
@@ -253,7 +256,7 @@
         Some(self.affinities[i].id)
     }
 
-    /// Takes a call back from its endpoint.
+    /// Removes a finished call from its endpoint and records the outcome.
     pub(super) fn end(&mut self, end: &SlotEnd<'_>, now: Duration) {
         let Ok(i) = self.position(&end.endpoint.name) else { return };
         let id = self.endpoints[i].id;
@@ -273,7 +276,7 @@
 
     fn record_outcome(&mut self, name: &Name, outcome: Outcome, now: Duration) {
         if self.ramps.observe_outcome(name, outcome, now) {
-            log::warn!(endpoint = &**name; "endpoint looks cold; its load is ramped up again");
+            log::warn!(endpoint = &**name; "endpoint appears cold; ramping up its load again");
             metrics::counter!("poplarspan_cold_endpoints_total").increment(1);
             self.refresh_caps(now);
         }
@@ -283,24 +286,24 @@
         let state = &mut self.endpoints[i];
         state.failures += 1;
         if state.failures == MAX_CONSECUTIVE_FAILURES {
-            log::warn!(endpoint = &*state.name; "endpoint fails; no calls until it answers again");
+            log::warn!(endpoint = &*state.name; "endpoint is unhealthy; no calls until it responds to a load request");
             self.fleet.set_healthy(state.id, false);
         }
     }
 
-    /// Names and addresses of all endpoints, for load requests.
+    /// Returns the names and addresses of all endpoints.
     pub(super) fn list(&self) -> Vec<EndpointRef> {
         let chosen = |k: &EndpointState| EndpointRef { name: k.name.clone(), address: k.address };
         self.endpoints.iter().map(chosen).collect()
     }
 
-    /// Takes note of a load report, or of its absence.
+    /// Records a load report; `None` counts as a failure.
     pub(super) fn report(&mut self, name: &Name, report: Option<Report>, now: Duration) {
         let Ok(i) = self.position(name) else { return };
         let Some(report) = report else { return self.record_failure(i) };
         let state = &mut self.endpoints[i];
         if state.failures >= MAX_CONSECUTIVE_FAILURES {
-            log::info!(endpoint = &**name; "endpoint answers again");
+            log::info!(endpoint = &**name; "endpoint is healthy again");
         }
         state.failures = 0;
         let id = state.id;
@@ -316,7 +319,7 @@
         self.ramps.observe_run(name, report.run, report.uptime, now);
     }
 
-    /// The run of the endpoint's process that was seen last.
+    /// Returns the last reported run of the endpoint's process.
     pub(super) fn run_of(&self, name: &str) -> Option<u64> {
         self.find(name)?.run
     }
--- a/crates/server/src/schedule/fair.rs
+++ b/crates/server/src/schedule/fair.rs
@@ -1,4 +1,4 @@
-//! The scheduler of an instance: fair queues in front of cost-based routing.
+//! Scheduler with fair queues and cost-based routing.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, Weak},
@@ -30,7 +30,7 @@
     queues: Queues,
 }
 
-/// Queues and endpoints of this instance.
+/// Scheduler of this instance.
 pub(crate) struct FairScheduler {
     membership: Arc<Membership>,
     start: Instant,
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Follows ramps, deadlines and changes of the objects, until the task is ended.
+    /// Processes ramps, deadlines and changes of the objects until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -81,37 +81,37 @@
         self.start.elapsed()
     }
 
-    /// The state, brought up to the objects in force.
+    /// Locks the state and updates it to the current membership.
     fn updated_state(&self, now: Duration) -> MutexGuard<'_, State> {
         let mut state = self.state.lock().expect("no panic while locked");
         state.endpoints.update(&self.membership.load(), now);
         state
     }
 
-    /// Endpoints to ask for their load.
+    /// Returns the endpoints to poll for their load.
     pub(super) fn endpoints(&self) -> Vec<EndpointRef> {
         self.updated_state(self.now()).endpoints.list()
     }
 
-    /// The run of the endpoint's process that was seen last.
+    /// Returns the last reported run of the endpoint's process.
     pub(crate) fn run_of(&self, endpoint: &Name) -> Option<u64> {
         self.updated_state(self.now()).endpoints.run_of(endpoint)
     }
 
-    /// Whether the endpoint serves models, and so has a prefix cache.
+    /// Whether the endpoint serves models and therefore has a prefix cache.
     pub(super) fn is_engine(&self, endpoint: &str) -> bool {
         let snapshot = self.membership.load();
         let found = snapshot.objects.endpoint(endpoint);
         found.is_some_and(|e| matches!(e.serves, Serves::Models(_)))
     }
 
-    /// Takes note of a load report, or of its absence.
+    /// Records a load report; `None` counts as a failure.
     pub(super) fn report(&self, endpoint: &Name, report: Option<Report>) {
         let now = self.now();
         self.updated_state(now).endpoints.report(endpoint, report, now);
     }
 
-    /// Applies cache events of an endpoint, each with its age.
+    /// Applies cache events of an endpoint, each given with its age.
     pub(super) fn cache_events(
         &self,
         endpoint: &Name,
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Tells waiting calls of their places. Not under the lock, since a place that nobody takes is
-    /// given back, which takes the lock.
+    /// Sends results to queued calls. Must be called without the lock, since a slot whose caller has
+    /// disconnected is released immediately, which acquires the lock.
     fn notify(&self, resolved: Vec<Resolution>) {
         for (assignment, spec) in resolved.into_iter().filter_map(Resolution::notify) {
             drop(self.slot(assignment, &spec));
@@ -138,7 +138,7 @@
         Slot::new(assignment, spec.clone(), release)
     }
 
-    /// Refuses at once when no endpoint of the group can ever take the call.
+    /// Fails if every endpoint of the group was tried, is leaving, or is in a zone that is out.
     fn check_served(&self, spec: &CallSpec, tried: &[Name]) -> Result<(), Refusal> {
         let snapshot = self.membership.load();
         if serving_endpoints(&snapshot.objects, &spec.group).any(|name| !tried.contains(name)) {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Endpoints that serve the group and may take new work.
+/// Returns the endpoints of the group that accept new calls.
 pub(crate) fn serving_endpoints<'a>(
     objects: &'a ObjectSet,
     group: &'a str,
@@ -166,7 +166,7 @@
         .map(|e| &e.name)
 }
 
-/// Leaves the queue when the caller goes away.
+/// Removes a call from its queue if the caller disconnects.
 struct DequeueOnDrop<'a> {
     scheduler: &'a FairScheduler,
     group: &'a Name,
@@ -200,7 +200,7 @@
                 (id, rx, queues.assign(&spec.group, endpoints, now))
             };
             self.notify(resolved);
-            // Mostly the place is there at once.
+            // In most cases a slot is available immediately.
             let result = match rx.try_recv() {
                 Ok(result) => result,
                 Err(_) => {
--- a/crates/server/src/schedule/loads.rs
+++ b/crates/server/src/schedule/loads.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints for their load and their cache events.
+//! Polling of endpoints for their load and cache events.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,31 +14,31 @@
 use super::{EndpointRef, FairScheduler, endpoints::Report};
 use crate::dispatch::{Pool, collect};
 
-/// Shortest time between two load requests to one endpoint.
+/// Minimum interval between load requests to the same endpoint.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Load requests that one instance sends in a second at most; with more endpoints than this allows,
-/// each is asked less often, and own calls in flight correct the older reports.
+/// Maximum rate of load requests of one instance. With more endpoints than this allows, each is
+/// polled less often, and the instance corrects the older reports by its own calls in flight.
 const MAX_REQUESTS_PER_SECOND: f64 = 200.0;
 const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 const MAX_CONCURRENT_POLLS: usize = 32;
 
-/// Answer to `GET /load`.
+/// Response to `GET /load`.
 #[derive(Debug, Deserialize)]
 struct LoadDocument {
-    /// Changes with each start of the endpoint.
+    /// Identifies the run of the endpoint's process; changes with each start.
     run: u64,
     uptime_ms: Option<u64>,
     running: u32,
     #[serde(default)]
     queued: u32,
-    /// Age of the figures.
+    /// Age of the report.
     #[serde(default)]
     age_ms: u64,
     cache_blocks: Option<u32>,
 }
 
-/// Answer to `GET /events?after=N`.
+/// Response to `GET /events?after=N`.
 #[derive(Debug, Deserialize)]
 struct EventsDocument {
     events: Vec<EventDocument>,
@@ -74,16 +74,16 @@
     }
 }
 
-/// The polling task.
+/// Task that polls all endpoints.
 pub(crate) struct LoadPoller {
     pub(crate) scheduler: Arc<FairScheduler>,
     pub(crate) pool: Arc<Pool>,
 }
 
 impl LoadPoller {
-    /// Polls until the task is ended.
+    /// Polls until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
-        // Sequence of the last event of each endpoint, sorted by name.
+        // Sequence number of the last event of each endpoint, sorted by name.
         let mut last_events: Vec<(Name, u64)> = Vec::new();
         loop {
             let started = Instant::now();
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Asks one endpoint; returns its name and the sequence of its last event.
+    /// Polls one endpoint. Returns its name and the sequence number of its last event.
     async fn poll(&self, endpoint: EndpointRef, after: u64) -> (Name, u64) {
         let load: Option<LoadDocument> =
             get(&self.pool, &endpoint, Uri::from_static("/load"), false).await;
-        // A plain service may take any path for a call to be executed.
+        // A service may execute a request to any path as a call, so only engines are asked.
         let has_cache = self.scheduler.is_engine(&endpoint.name)
             && load.as_ref().is_some_and(|l| l.cache_blocks.is_some());
         let report = load.map(|l| Report {
@@ -129,7 +129,7 @@
         if !has_cache {
             return (endpoint.name, after);
         }
-        let path = format!("/events?after={after}").parse().expect("a number in a path");
+        let path = format!("/events?after={after}").parse().expect("a path with a number is valid");
         let events: Option<EventsDocument> = get(&self.pool, &endpoint, path, false).await;
         let events = events.map_or_else(Vec::new, |e| e.events);
         let last = events.iter().map(|e| e.sequence).max().unwrap_or(after).max(after);
@@ -139,7 +139,7 @@
     }
 }
 
-/// Asks an endpoint which run of its process answers.
+/// Queries the current run of an endpoint's process.
 #[derive(Clone)]
 pub(crate) struct RunProbe {
     pool: Arc<Pool>,
@@ -150,7 +150,7 @@
         Self { pool }
     }
 
-    /// The run, over a new connection; None when the endpoint does not answer.
+    /// Returns the run, using a new connection, or `None` if the endpoint does not respond.
     pub(crate) async fn run_of(&self, endpoint: &EndpointRef) -> Option<u64> {
         let load: LoadDocument = get(&self.pool, endpoint, Uri::from_static("/load"), true).await?;
         Some(load.run)
--- a/crates/server/src/schedule/mod.rs
+++ b/crates/server/src/schedule/mod.rs
@@ -1,7 +1,7 @@
-//! Decides which call goes next, and to which endpoint.
+//! Scheduling of calls and their assignment to endpoints.
 //!
-//! Owned by this instance and rebuilt after a restart: until then endpoints count as cold and their
-//! caches as empty.
+//! The state is local to this instance and is not persisted. After a restart, endpoints count as cold
+//! and their caches as empty until they have reported.
 
 mod endpoints;
 mod fair;
@@ -20,17 +20,17 @@
 pub(crate) use fair::{FairScheduler, serving_endpoints};
 pub(crate) use loads::{LoadPoller, RunProbe};
 
-/// Which endpoints may serve a call.
+/// The endpoints that can serve a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Target {
-    /// Engines that have the model.
+    /// Engines that serve the model.
     Model(Name),
     /// Endpoints of the service.
     Service(Name),
 }
 
 impl Target {
-    /// Name of the group of endpoints. Models and services have separate names.
+    /// Returns the name of the endpoint group. Models and services have separate namespaces.
     pub(crate) fn group(&self) -> Name {
         match self {
             Self::Model(name) => model_group(name),
@@ -52,7 +52,7 @@
     format!("service/{service}").into()
 }
 
-/// What the scheduler needs to know of a call.
+/// Properties of a call that the scheduler uses.
 #[derive(Clone, Debug)]
 pub(crate) struct CallSpec {
     pub(crate) group: Name,
@@ -60,19 +60,19 @@
     pub(crate) team: Option<Name>,
     /// Weight of the team.
     pub(crate) weight: u32,
-    /// Path of the program, if the call belongs to one.
+    /// Path of the call's program, if any.
     pub(crate) program: Option<Name>,
-    /// Hash chain over the blocks of the prompt; empty for plain services.
+    /// Hash chain over the blocks of the prompt; empty for calls to services.
     pub(crate) blocks: Arc<[u64]>,
     pub(crate) prompt_tokens: u64,
     pub(crate) max_output_tokens: u64,
-    /// Calls of the team that may wait.
+    /// Maximum number of queued calls of the team.
     pub(crate) max_queue: u32,
     pub(crate) deadline: Instant,
 }
 
 impl CallSpec {
-    /// Estimated service, in tokens. A call to a plain service counts as a short answer.
+    /// Returns the estimated cost in tokens. Calls to services have a fixed small cost.
     pub(crate) fn cost(&self) -> u64 {
         const SERVICE_COST: u64 = 64;
         match self.prompt_tokens + self.max_output_tokens {
@@ -82,46 +82,46 @@
     }
 }
 
-/// How a dispatched call ended, as far as the endpoint's health is concerned.
+/// Outcome of a dispatched call, used to track the health of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DispatchOutcome {
-    /// A whole answer arrived; `tokens` is what it has cost, if known.
+    /// A complete response has arrived.
     Answered {
-        /// Time from the dispatch to the head of the answer.
+        /// Time from the dispatch to the head of the response.
         first_byte: Duration,
-        /// Prompt and answer, in tokens.
+        /// Tokens of prompt and output, if known.
         tokens: Option<u64>,
     },
-    /// The caller went away, or the call was not sent.
+    /// The caller has disconnected, or the call was not sent.
     Abandoned,
-    /// The endpoint refused because it is full or cold.
+    /// The endpoint refused the call because it is full or cold.
     Refused,
-    /// The connection failed or the answer was not whole.
+    /// The connection failed or the response was incomplete.
     Failed,
 }
 
-/// An endpoint that was chosen for a call.
+/// Name and address of an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointRef {
     pub(crate) name: Name,
     pub(crate) address: SocketAddr,
 }
 
-/// Where and how a call is to be dispatched.
+/// Endpoint and priority that a call is dispatched with.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
     pub(crate) endpoint: EndpointRef,
-    /// Order among the calls that wait at an engine, lowest first; none for plain services.
+    /// Priority in the queue of the engine, lowest first. `None` for services.
     pub(crate) priority: Option<i64>,
 }
 
-/// Takes back the place of a call at an endpoint.
+/// Receives the slots that calls have released.
 pub(crate) trait Release: Send + Sync {
-    /// Called exactly once for each slot.
+    /// Releases a slot. Called exactly once per slot.
     fn release(&self, slot: &SlotEnd<'_>);
 }
 
-/// What is known of a slot when it ends.
+/// A slot at its release.
 pub(crate) struct SlotEnd<'a> {
     pub(crate) endpoint: &'a EndpointRef,
     pub(crate) spec: &'a CallSpec,
@@ -129,7 +129,8 @@
     pub(crate) held: Duration,
 }
 
-/// A place at an endpoint. Dropping it gives the place back.
+/// A slot for one call at an endpoint. Released on drop; the outcome is `Abandoned` unless
+/// [`Slot::finish`] is called.
 pub(crate) struct Slot {
     pub(crate) endpoint: EndpointRef,
     pub(crate) priority: Option<i64>,
@@ -150,12 +151,12 @@
         Self { endpoint, priority, spec, release, outcome, since: Instant::now() }
     }
 
-    /// Ends the call.
+    /// Releases the slot with the outcome of the call.
     pub(crate) fn finish(mut self, outcome: DispatchOutcome) {
         self.outcome = outcome;
     }
 
-    /// Time since the place was taken.
+    /// Returns the time since the slot was assigned.
     pub(crate) fn elapsed(&self) -> Duration {
         self.since.elapsed()
     }
@@ -172,11 +173,11 @@
     }
 }
 
-/// Waits for a place at a suitable endpoint.
+/// Assigns calls to slots at endpoints.
 pub(crate) trait Scheduler: Send + Sync {
-    /// Returns a place at an endpoint that is not in `tried`.
+    /// Waits for a slot at an endpoint that is not in `tried`.
     ///
-    /// Fails with the final answer for the caller when the call cannot be placed in time.
+    /// Returns the refusal to send to the caller if no slot can be assigned in time.
     fn acquire<'a>(
         &'a self,
         spec: &'a Arc<CallSpec>,
--- a/crates/server/src/schedule/queues.rs
+++ b/crates/server/src/schedule/queues.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for a place, one queue for each group of endpoints.
+//! Queues of calls that wait for a slot, one per endpoint group.
 
 use std::{
     sync::Arc,
@@ -15,15 +15,15 @@
 use super::{Assignment, CallSpec, endpoints::Endpoints, is_model_group};
 use crate::entry::{Code, Refusal};
 
-/// Name under which calls on open routes share the queue.
+/// Team name for calls on open routes, which have no team.
 const OPEN_ROUTE_TEAM: &str = "";
-/// Weight of a new measurement in the average time that a call holds its place.
+/// Weight of a new sample in the moving average of the time that calls hold their slots.
 const HOLD_TIME_GAIN: f64 = 0.05;
-/// How long a call waits while no endpoint of its group answers.
+/// Maximum time that a call waits while no endpoint of its group is healthy.
 const OUTAGE_TIMEOUT: Duration = Duration::from_secs(2);
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A waiting call.
+/// A call in a queue.
 pub(super) struct QueuedCall {
     pub(super) spec: Arc<CallSpec>,
     tried: Vec<Name>,
@@ -31,14 +31,14 @@
     tx: oneshot::Sender<Result<Assignment, Refusal>>,
 }
 
-/// A call that has its place, or its final answer.
+/// A call that was assigned a slot or refused.
 pub(super) struct Resolution {
     pub(super) queued: QueuedCall,
     pub(super) result: Result<Assignment, Refusal>,
 }
 
 impl Resolution {
-    /// Tells the waiting call. Returns the place when the caller has gone.
+    /// Sends the result to the call. Returns the assignment if the caller has disconnected.
     pub(super) fn notify(self) -> Option<(Assignment, Arc<CallSpec>)> {
         let spec = self.queued.spec;
         match self.queued.tx.send(self.result) {
@@ -51,9 +51,9 @@
 struct GroupQueue {
     group: Name,
     queue: FairQueue<QueuedCall>,
-    /// None for groups of plain services, which honour no priorities.
+    /// `None` for groups of services, which do not support priorities.
     priorities: Option<Priorities>,
-    /// Average time that a call holds its place, in seconds.
+    /// Moving average of the time that calls hold their slots, in seconds.
     mean_hold_s: f64,
 }
 
@@ -63,7 +63,7 @@
     list: Vec<GroupQueue>,
 }
 
-/// Whether the queue may hand out a call, as decided before.
+/// Passes a capacity decision that was already made to [`FairQueue`].
 struct FixedCapacity {
     available: bool,
 }
@@ -73,13 +73,13 @@
         self.available
     }
 
-    // The endpoints count the calls themselves.
+    // Calls in flight are counted by `Endpoints`.
     fn began(&mut self, _cost: u64) {}
     fn ended(&mut self, _cost: u64) {}
 }
 
 impl Queues {
-    /// Queues a call; refuses when the queue is full or the call cannot be served in time.
+    /// Queues a call. Refuses it if the queue is full or the expected wait exceeds the deadline.
     pub(super) fn push(
         &mut self,
         spec: &Arc<CallSpec>,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Gives free places to waiting calls of a group.
+    /// Assigns free slots to the queued calls of a group.
     pub(super) fn assign(
         &mut self,
         group: &str,
@@ -125,7 +125,7 @@
         let Ok(i) = self.position(group) else { return Vec::new() };
         let GroupQueue { queue, priorities, .. } = &mut self.list[i];
         let mut resolved = Vec::new();
-        // Calls that no free endpoint may take, because they were already tried there.
+        // Calls that were already tried at every free endpoint.
         let mut skipped = Vec::new();
         while let Some(entry) = pop_next(queue, priorities.as_ref(), endpoints, group, now) {
             let queued = &entry.call.payload;
@@ -154,7 +154,7 @@
         resolved
     }
 
-    /// Refuses the calls that have waited until their deadline.
+    /// Refuses the calls whose deadline has passed.
     pub(super) fn expire(&mut self, now: Duration) -> Vec<Resolution> {
         let expired = self.list.iter_mut().flat_map(|g| g.queue.expire(now));
         let refusal = || {
@@ -166,7 +166,7 @@
             .collect()
     }
 
-    /// Refuses the calls of groups in which no endpoint has been healthy for a while.
+    /// Refuses calls that have waited for [`OUTAGE_TIMEOUT`] in groups without a healthy endpoint.
     pub(super) fn refuse_unserved(
         &mut self,
         endpoints: &Endpoints,
@@ -189,14 +189,14 @@
             .collect()
     }
 
-    /// Removes a call whose caller has gone.
+    /// Removes a call whose caller has disconnected.
     pub(super) fn remove(&mut self, group: &str, id: QueueId) {
         if let Ok(i) = self.position(group) {
             self.list[i].queue.remove(id);
         }
     }
 
-    /// Corrects the charge for a call that has ended.
+    /// Replaces the estimated cost of a finished call by its actual cost.
     pub(super) fn settle(&mut self, spec: &CallSpec, actual: u64, held: Duration, now: Duration) {
         let Ok(i) = self.position(&spec.group) else { return };
         let group = &mut self.list[i];
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Groups in which calls wait.
+    /// Returns the groups with queued calls.
     pub(super) fn waiting_groups(&self) -> Vec<Name> {
         self.list.iter().filter(|g| !g.queue.is_empty()).map(|g| g.group.clone()).collect()
     }
@@ -230,12 +230,12 @@
     }
 }
 
-/// Takes the next call. While the group is full, teams within their part may wait at the engines,
-/// whose priorities put them first; the others wait here.
+/// Takes the next call from the queue. While the group is full, calls of teams within their share may
+/// wait at the engines, which serve them first by priority; other calls stay in this queue.
 ///
-/// An instance without a call at the group may send one all the same: it learns of room from reports
-/// only, and would find the group full each time, because the instances that have calls there see
-/// them end and send the next at once.
+/// An instance without calls in flight at the group may send one even if the group is full. It sees
+/// free capacity only in load reports, and instances with calls in flight would always use it first,
+/// since they send the next call as soon as one of theirs ends.
 fn pop_next(
     queue: &mut FairQueue<QueuedCall>,
     priorities: Option<&Priorities>,
@@ -256,7 +256,7 @@
 }
 
 impl GroupQueue {
-    /// Time until a call that is queued now is served, if the others take as long as usual.
+    /// Estimates the wait of a call that is queued now, from the average hold time.
     fn expected_wait(&self, capacity: u32) -> Duration {
         let ahead = self.queue.len() as f64;
         Duration::from_secs_f64(ahead * self.mean_hold_s / f64::from(capacity.max(1)))
@@ -264,7 +264,7 @@
 }
 
 fn prioritize(priorities: &mut Priorities, call: &Call<QueuedCall>, now: Duration) -> i64 {
-    // A clock before the epoch only changes the order of calls.
+    // A clock before the epoch only affects the order of calls.
     let unix = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default();
     priorities.dispatch(&call.team, call.weight, call.cost, now, unix)
 }
--- a/crates/server/src/telemetry.rs
+++ b/crates/server/src/telemetry.rs
@@ -1,15 +1,15 @@
-//! Metrics of calls.
+//! Call metrics.
 
 use std::{sync::Mutex, time::Duration};
 
 use http::StatusCode;
 use poplarspan_objects::Name;
 
-/// Teams that get histograms of their own; the others share one, so that 30,000 teams do not make
-/// 30,000 series on every instance.
+/// Number of teams with a label of their own. All other teams share one label: 30,000 teams would
+/// otherwise create 30,000 time series on every instance.
 const MAX_TEAM_LABELS: usize = 256;
 
-/// Counts an answer to a caller.
+/// Records the duration of a request by status class.
 pub(crate) fn record_response(status: StatusCode, elapsed: Duration) {
     let class = match status.as_u16() {
         200..300 => "2xx",
@@ -21,25 +21,25 @@
         .record(elapsed.as_secs_f64());
 }
 
-/// Counts a refusal.
 pub(crate) fn record_refusal(code: &'static str) {
     metrics::counter!("poplarspan_refusals_total", "code" => code).increment(1);
 }
 
-/// Counts a streamed answer.
+/// Records the events and the duration of a streamed response.
 pub(crate) fn record_stream(team: Option<&Name>, events: u64, elapsed: Duration) {
     let team = team_label(team);
     metrics::counter!("poplarspan_stream_events_total", "team" => team.clone()).increment(events);
     metrics::histogram!("poplarspan_stream_seconds", "team" => team).record(elapsed.as_secs_f64());
 }
 
-/// Notes how long a call of a team waited for its place at an endpoint.
+/// Records how long a call waited for a slot at an endpoint.
 pub(crate) fn record_queue_time(team: Option<&Name>, elapsed: Duration) {
     metrics::histogram!("poplarspan_queue_seconds", "team" => team_label(team))
         .record(elapsed.as_secs_f64());
 }
 
-/// The label of a team: its own name for the first ones seen, then `other`.
+/// Returns the metric label of a team: its name for the first [`MAX_TEAM_LABELS`] teams, `other`
+/// for later ones, and `none` without a team.
 fn team_label(team: Option<&Name>) -> String {
     static LABELLED: Mutex<Vec<Name>> = Mutex::new(Vec::new());
     let Some(team) = team else { return "none".to_owned() };
