--- a/crates/server/examples/slopes/ledger.rs
+++ b/crates/server/examples/slopes/ledger.rs
@@ -1,4 +1,4 @@
-//! Programs, turns and histories in one program group.
+//! Time and memory of programs, turns and histories in one program group.
 
 use bytes::Bytes;
 use poplarspan_ledger::Ledger;
@@ -29,7 +29,7 @@
         (data.len(), answer.answer.expect("a known answer"))
     }
 
-    /// Runs one turn whose caller sends `sent` bytes and gets `answered` bytes.
+    /// Runs one turn with a request of `sent` bytes and a response of `answered` bytes.
     fn turn(&mut self, program: u64, turn: u64, sent: u64, answered: u64) {
         let team = format!("team-{:05}", program / PROGRAMS_PER_TEAM);
         let program = Some(format!("program-{program:032}"));
@@ -62,8 +62,8 @@
     }
 }
 
-/// `turns` turns of each program. Each turn adds `bytes` of request and a tenth of it of answer;
-/// with `resent` set the caller sends all earlier turns again, as chat callers do.
+/// Runs `turns` turns of each program. Each turn adds `bytes` of request and a tenth as many of
+/// response. With `resent` set to 1, the caller resends all earlier turns, as chat callers do.
 pub(crate) fn run(programs: u64, turns: u64, bytes: u64, resent: u64) {
     let ledger = Ledger::new();
     let mut machine = LedgerMachine { ledger, index: 0, begin_bytes: 0, end_bytes: 0 };
--- a/crates/server/examples/slopes/log.rs
+++ b/crates/server/examples/slopes/log.rs
@@ -1,4 +1,4 @@
-//! Messages, bytes, syncs and idle cost of the replicated log.
+//! Messages, bytes and processor time of the replicated log, idle and under load.
 
 use std::{
     sync::{
@@ -21,7 +21,7 @@
 const REPLICAS: u64 = 3;
 const RUN: Duration = Duration::from_secs(5);
 
-/// Keeps nothing.
+/// State machine without state.
 struct NullMachine;
 
 impl StateMachine for NullMachine {
@@ -46,7 +46,7 @@
 
 type NodeLinks = Arc<Mutex<Vec<Weak<Node>>>>;
 
-/// Delivers within the process, and counts what would be sent.
+/// Delivers messages within the process and counts them.
 struct LocalTransport {
     from: ReplicaId,
     nodes: NodeLinks,
@@ -121,7 +121,7 @@
     tokio::runtime::Runtime::new().expect("runtime").block_on(f);
 }
 
-/// Messages, bytes and processor time of three idle replicas of `groups` groups.
+/// Measures messages, bytes and processor time of three idle replicas of `groups` groups.
 pub(crate) fn idle(groups: u64) {
     block_on(async {
         let cluster = Cluster::start(groups).await;
@@ -141,7 +141,7 @@
     });
 }
 
-/// Messages, bytes and processor time for each commit of `writers` writers.
+/// Measures messages, bytes and processor time per commit with `writers` concurrent writers.
 pub(crate) fn commit(writers: u64, bytes: u64) {
     block_on(async {
         let cluster = Cluster::start(1).await;
--- a/crates/server/examples/slopes/main.rs
+++ b/crates/server/examples/slopes/main.rs
@@ -1,9 +1,9 @@
-//! Slopes of state, messages and processor time, for docs/CAPACITY.md.
+//! Measures how state, messages and processor time grow with load, for docs/CAPACITY.md.
 //!
-//! `cargo run --release -p poplarspan-server --example slopes -- NAME SIZE [SIZE]`, one process for
-//! each size, so that memory of an earlier size does not count. Times are processor time of this
-//! process. The example belongs to this crate because the messages need objects, ledger and
-//! protocol types together, which no lower crate may use.
+//! Run `cargo run --release -p poplarspan-server --example slopes -- NAME SIZE [SIZE]`, with a new
+//! process for each size, so that memory of an earlier size is not counted. Times are processor
+//! time of this process. The example is in this crate because it uses types of the objects, ledger
+//! and protocol crates together, and no lower crate depends on all of them.
 
 #![allow(missing_docs)]
 
@@ -15,7 +15,7 @@
 
 use std::time::Duration;
 
-/// Kernel clock ticks in a second, as `/proc/PID/stat` counts them.
+/// Kernel clock ticks per second, the unit of times in `/proc/PID/stat`.
 const TICKS_PER_SECOND: u64 = 100;
 
 fn main() {
@@ -44,15 +44,15 @@
     std::process::exit(2);
 }
 
-/// Processor time of this process.
+/// Returns the processor time of the main thread.
 fn cpu() -> Duration {
     let stat = std::fs::read_to_string("/proc/self/schedstat").ok();
-    // The main thread's time in nanoseconds; other threads are not counted.
+    // The first field is the time on the CPU in nanoseconds.
     let nanos = stat.and_then(|s| s.split_whitespace().next()?.parse().ok()).unwrap_or(0);
     Duration::from_nanos(nanos)
 }
 
-/// Processor time of all threads of this process, in steps of 10 ms.
+/// Returns the processor time of all threads of this process, with a resolution of 10 ms.
 fn cpu_all_threads() -> Duration {
     let stat = std::fs::read_to_string("/proc/self/stat").expect("procfs");
     let fields: Vec<&str> =
@@ -61,7 +61,7 @@
     Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
 
-/// Resident memory of this process in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("procfs");
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("resident size");
--- a/crates/server/examples/slopes/polls.rs
+++ b/crates/server/examples/slopes/polls.rs
@@ -1,8 +1,8 @@
-//! Bytes of load reports and cache events, as the stand-in's interface has them.
+//! Sizes of load reports and cache events, in the format of the stand-in endpoint.
 
 use std::fmt::Write;
 
-/// An event with `blocks` block digests.
+/// Prints the sizes of a load report and of an event with `blocks` block digests.
 pub(crate) fn run(blocks: u64) {
     let load = r#"{"run":1780000000000000,"uptime_ms":86400000,"running":48,"queued":12,"age_ms":250,"cache_blocks":50000}"#;
     let mut event = r#"{"sequence":1000000,"age_ms":250,"kind":"stored","blocks":["#.to_owned();
--- a/crates/server/examples/slopes/publication.rs
+++ b/crates/server/examples/slopes/publication.rs
@@ -1,4 +1,4 @@
-//! Publications, heartbeats and leases.
+//! Sizes and times of publications, heartbeats and leases.
 
 use std::{fmt::Write, hint::black_box};
 
@@ -17,10 +17,11 @@
 const MODELS: usize = 13;
 const RATES: usize = 100;
 const ROUNDS: u64 = 100;
-/// Sets that are held at the same time, so that memory reused by the allocator counts little.
+/// Number of sets that are held at the same time, to reduce the effect of memory that the allocator
+/// reuses.
 const COPIES: u64 = 8;
 
-/// Sizes of a heartbeat and its answer, and of a view of `instances`.
+/// Prints the sizes of a heartbeat, its response and a view of `instances`.
 pub(crate) fn heartbeat(instances: u64) {
     let address = "10.100.100.100:40000".to_owned();
     let body = request::Body::Heartbeat(peer::Heartbeat {
@@ -123,7 +124,7 @@
     ObjectChange { kind, name, body }
 }
 
-/// The n-th change of one object.
+/// Returns the n-th change of one object.
 fn one_change(set: &ObjectSet, kind: Kind, name: &str, n: u64) -> Change {
     let mut record = set.record(kind, name).expect("an object");
     let text = String::from_utf8(record.body.to_vec()).expect("JSON");
@@ -182,7 +183,7 @@
     at_the_leader(&set, &full);
 }
 
-/// What a publication of the whole set with one difference costs the leader and each replica.
+/// Measures a publication of the whole set with one change, at the leader and at each replica.
 fn at_the_leader(set: &ObjectSet, full: &[Change]) {
     let records = set.records();
     let wanted =
--- a/crates/server/examples/slopes/rates.rs
+++ b/crates/server/examples/slopes/rates.rs
@@ -1,4 +1,4 @@
-//! Asks and grants of rate tokens.
+//! Requests and grants of rate tokens.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -50,7 +50,8 @@
     peer::Response { body: Some(response::Body::Rate(rate)) }.encoded_len()
 }
 
-/// One instance with evenly spaced calls of one team, at 90% of the team's rate, in virtual time.
+/// Simulates one instance with evenly spaced calls of one team, at 90% of the team's rate, in
+/// virtual time.
 pub(crate) fn asks(calls_per_second: u64, burst: u64) {
     let limit = Limit::new(calls_per_second as f64 / 0.9, burst as u32);
     let mut share = Share::new("instance-100".into(), limit, ShareConfig::default());
@@ -98,7 +99,7 @@
     );
 }
 
-/// Memory and time of an owner of the buckets of `teams`, each asked once and not yet full again.
+/// Measures memory and time of an owner of `teams` buckets, none of which is full.
 pub(crate) fn owner(teams: u64) {
     let me: Name = "instance-100".into();
     let mut owners = Owners::new(me.clone(), 1, Duration::from_secs(2), MIN_VALIDITY);
--- a/crates/server/src/admission/fleet.rs
+++ b/crates/server/src/admission/fleet.rs
@@ -1,8 +1,8 @@
-//! Rates counted over the whole fleet.
+//! Distributed token buckets, one per team.
 //!
-//! The bucket of a team belongs to one instance, its owner; the others ask the owner for tokens.
-//! Everything is in memory: when the owner dies, its successor starts after every grant of the
-//! former owner must have expired, and calls wait for that long instead of being refused.
+//! Each bucket is owned by one instance, which grants tokens to the others. Buckets are kept in
+//! memory only. When an owner fails, the new owner starts once all grants of the previous owner
+//! have expired. Calls wait for that time instead of being refused.
 
 use std::{
     net::SocketAddr,
@@ -30,16 +30,16 @@
 };
 
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause when nothing is due; asks are sent when a call makes them due.
+/// Maximum time between polls. A call that needs tokens triggers a poll earlier.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A team without calls for this long is forgotten here.
+/// Time without calls after which the state of a team is dropped.
 const IDLE_TEAM_TTL: Duration = Duration::from_secs(10);
 
-/// A team with calls at this instance.
+/// State of a team with recent calls at this instance.
 struct ActiveTeam {
     team: Name,
     share: Share,
-    /// Calls that wait, in order of their tickets.
+    /// Waiting calls, sorted by ticket.
     waiting: Vec<(Ticket, oneshot::Sender<Verdict>)>,
     owner: Option<Name>,
     used_at: Duration,
@@ -47,12 +47,12 @@
 
 struct State {
     owners: Owners,
-    // Sorted by team.
+    /// Sorted by team.
     active: Vec<ActiveTeam>,
     epoch: u64,
 }
 
-/// The rates of all teams, as far as this instance has calls of them or owns their buckets.
+/// Token buckets that this instance owns, and its shares of the buckets of teams with recent calls.
 pub(crate) struct FleetAdmission {
     local_name: Name,
     membership: Arc<Membership>,
@@ -90,7 +90,7 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Asks owners for tokens and follows changes of the view, until the task is ended.
+    /// Requests tokens from owners and applies changes of the view until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut changes = self.membership.subscribe();
         loop {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes note of a new view.
+    /// Updates the owners of all buckets if the view has changed.
     fn observe_view(&self) {
         let snapshot = self.membership.load();
         let now = self.now();
@@ -124,7 +124,8 @@
         state.owners.observe(&View { epoch: snapshot.view.epoch, instances }, now);
     }
 
-    /// Asks the former owner for a bucket that this instance owns but may not use yet.
+    /// Requests the transfer of a bucket from its previous owner. Without the transfer, this
+    /// instance must wait before it can use the bucket.
     fn claim(&self, snapshot: &Snapshot, team: &Name) {
         let now = self.now();
         let Some((former, claim)) = self.state().owners.claim(team, now) else { return };
@@ -138,7 +139,7 @@
         let body = Some(rate_request::Body::Claim(wire::encode_claim(&claim)));
         let request = request::Body::Rate(peer::RateRequest { team: team.to_string(), body });
         let answer = self.client.call(address, request, ASK_TIMEOUT).await;
-        // Without the bucket this instance waits until the former owner's grants have run out.
+        // Without the transfer, this instance waits until the grants of the previous owner expire.
         let Ok(response::Body::Rate(peer::RateAnswer { body: Some(answer) })) = answer else {
             return;
         };
@@ -148,12 +149,12 @@
         let now = self.now();
         let accepted = self.state().owners.accept(&transfer, limit, now);
         if accepted {
-            log::debug!(team = &*team; "rate bucket taken over");
+            log::debug!(team = &*team; "rate bucket transferred from its previous owner");
             self.wake.notify_one();
         }
     }
 
-    /// Sends the asks that are due, and returns the time until the next one.
+    /// Sends the token requests that are due and returns the time until the next one.
     fn poll(&self) -> Duration {
         let snapshot = self.membership.load();
         let now = self.now();
@@ -177,7 +178,7 @@
         for (team, owner, ask) in asks {
             self.ask(&snapshot, team, owner, ask);
         }
-        // Never spins, whatever the shares say.
+        // Prevents a busy loop if a share is always due.
         next.saturating_sub(now).max(Duration::from_millis(1))
     }
 
@@ -203,12 +204,12 @@
                 self.handle_answer(&team, id, answer);
             }
             Ok(_) => {}
-            // The share asks again after its own timeout.
-            Err(e) => log::debug!("no answer of a rate owner: {e}"),
+            // The share repeats the request after its own timeout.
+            Err(e) => log::debug!("token request to a rate bucket owner failed: {e}"),
         }
     }
 
-    /// The answer of this instance as the owner of the team's bucket.
+    /// Handles a token request as the owner of the team's bucket.
     fn answer_as_owner(
         &self,
         snapshot: &Snapshot,
@@ -246,7 +247,7 @@
                 let wait = Duration::from_micros(starting.retry_after_us);
                 active.share.on_starting(wait, now)
             }
-            // The views differ for a moment; the share asks again.
+            // The views of the two instances differ temporarily; the share repeats the request.
             rate_answer::Body::NotOwner(_)
             | rate_answer::Body::Transfer(_)
             | rate_answer::Body::Kept(_) => return,
@@ -256,7 +257,7 @@
         self.wake.notify_one();
     }
 
-    /// Takes a token that is there, or a place among those that wait.
+    /// Takes an available token, or queues the call for one.
     fn acquire(
         &self,
         snapshot: &Snapshot,
@@ -330,7 +331,7 @@
     Queued(Ticket, oneshot::Receiver<Verdict>),
 }
 
-/// Gives up the place of a call whose caller has gone.
+/// Cancels the ticket of a call whose caller disconnects.
 struct CancelOnDrop<'a> {
     admission: &'a FleetAdmission,
     team: &'a Name,
@@ -350,7 +351,7 @@
         for (ticket, verdict) in resolved {
             if let Some(i) = self.waiting.iter().position(|(t, _)| *t == ticket) {
                 let (_, tx) = self.waiting.remove(i);
-                // A caller that has gone just now leaves a used token behind.
+                // If the caller has just disconnected, the token counts as used.
                 let _ = tx.send(verdict);
             }
         }
@@ -369,13 +370,13 @@
                 let permit = match self.acquire(&snapshot, team, deadline)? {
                     Acquired::Immediate(permit) => permit,
                     Acquired::Queued(ticket, rx) => {
-                        // The bucket may be this instance's own: then the answer is here at once.
+                        // If this instance owns the bucket, the poll grants the token immediately.
                         self.poll();
                         self.wake.notify_one();
                         self.wait(team, ticket, rx).await?
                     }
                 };
-                // A process that was suspended in between must not use an old token.
+                // A process that was suspended in the meantime must not use an expired token.
                 if self.now() < permit.valid_until {
                     return Ok(());
                 }
--- a/crates/server/src/admission/mod.rs
+++ b/crates/server/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Holds each team to its rate and burst over the whole fleet.
+//! Fleet-wide rate limits of teams.
 
 mod fleet;
 mod wire;
@@ -12,17 +12,18 @@
 
 pub(crate) use fleet::FleetAdmission;
 
-/// Answers other instances that ask for tokens of teams that this instance owns.
+/// Handles requests of other instances for tokens from rate buckets that this instance owns.
 pub(crate) trait RateOwner: Send + Sync {
-    /// Grants tokens, or says when to ask again.
+    /// Grants tokens, or returns when to ask again.
     fn request(&self, request: peer::RateRequest) -> Result<peer::RateAnswer, peer::Failure>;
 }
 
-/// Lets a call in once its team has a token for it.
+/// Admits calls under the rate limit of their team.
 pub(crate) trait Admission: Send + Sync {
     /// Waits for a token, at most until `deadline`.
     ///
-    /// Refuses at once when no token can be had in time, and says when to come back.
+    /// Refuses the call immediately if no token becomes available in time. The refusal states when
+    /// to retry.
     fn admit<'a>(&'a self, team: &'a Name, deadline: Instant)
     -> BoxFuture<'a, Result<(), Refusal>>;
 }
--- a/crates/server/src/admission/wire.rs
+++ b/crates/server/src/admission/wire.rs
@@ -1,4 +1,4 @@
-//! Conversion of rate messages at the peer port.
+//! Conversion between rate messages of the protocol and of the policy.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
         session: grant.id.session,
         number: grant.id.number,
         tokens: grant.tokens,
-        // Rounded down: the asker must not count longer than the owner.
+        // Rounded down: the token must not be valid longer at the requester than at the owner.
         valid_for_us: micros(grant.valid_for),
         retry_after_us: micros(grant.retry_after),
         backlog: grant.backlog,
@@ -76,7 +76,7 @@
     peer::RateTransfer {
         level_nano: transfer.level_nano,
         outstanding: transfer.outstanding,
-        // Rounded up: the new owner must count at least as long as the former one.
+        // Rounded up: the new owner must count grants for at least as long as the previous one.
         valid_for_us: micros(transfer.valid_for).saturating_add(1),
     }
 }
--- a/crates/server/src/control/leases.rs
+++ b/crates/server/src/control/leases.rs
@@ -31,8 +31,8 @@
 }
 
 impl Leases {
-    /// Sets the term in which this replica leads, or `None`. Clears the table when the term changes,
-    /// since another leader may have granted leases in between.
+    /// Sets the term in which this replica leads, or `None`. Clears the table when the term
+    /// changes, since another leader may have granted leases in between.
     pub(crate) fn set_leadership(&mut self, term: Option<u64>) {
         if self.leadership.map(|(term, _)| term) != term {
             self.entries.clear();
--- a/crates/server/src/control/mod.rs
+++ b/crates/server/src/control/mod.rs
@@ -93,8 +93,8 @@
         holds_leadership
     }
 
-    /// Waits until this replica, as the leader of group 0, has applied everything that was committed
-    /// before the call. Fails if it is not the leader.
+    /// Waits until this replica, as the leader of group 0, has applied everything that was
+    /// committed before the call. Fails if it is not the leader.
     pub(crate) async fn leader_read_barrier(&self) -> Result<(), peer::Failure> {
         if !self.holds_leadership() {
             return Err(self.not_leader(&*self.catalog_log));
--- a/crates/server/src/control/orders.rs
+++ b/crates/server/src/control/orders.rs
@@ -28,7 +28,8 @@
 #[derive(Serialize)]
 struct OrderDocument<'a> {
     kind: &'static str,
-    /// Increases with each order. Endpoints that check it reject lower numbers for the same program.
+    /// Increases with each order. Endpoints that check it reject lower numbers for the same
+    /// program.
     fencing: u64,
     program: String,
     /// Set if only the stream of one claim is to be released.
@@ -80,7 +81,10 @@
         let acknowledged =
             ledger_command::Command::ReleaseAcknowledged(ReleaseAcknowledged { numbers });
         if let Err(e) = sweep::commit(group, acknowledged).await {
-            log::warn!(error = e.message.as_str(); "cannot record the acknowledgement of release orders");
+            log::warn!(
+                error = e.message.as_str();
+                "cannot record the acknowledgement of release orders"
+            );
         }
     }
 
--- a/crates/server/src/control/replicas.rs
+++ b/crates/server/src/control/replicas.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Adds the address of a message's sender, unless the replica is already known. Without it, voters
-    /// that were in contact only with the old leader could not elect a new one.
+    /// Adds the address of a message's sender, unless the replica is already known. Without it,
+    /// voters that were in contact only with the old leader could not elect a new one.
     pub(crate) fn add_sender(&self, replica: u64, address: SocketAddr) {
         let mut entries = self.entries.lock().expect("no panic while locked");
         if let Err(i) = entries.binary_search_by_key(&replica, |r| r.number) {
--- a/crates/server/src/control/start.rs
+++ b/crates/server/src/control/start.rs
@@ -24,8 +24,8 @@
     (0..=PROGRAM_GROUPS).map(GroupId).collect()
 }
 
-/// Initialises the data folder of a control replica. `voters` are the initial voters of a new fleet;
-/// it is empty for a replica that joins an existing fleet.
+/// Initialises the data folder of a control replica. `voters` are the initial voters of a new
+/// fleet; it is empty for a replica that joins an existing fleet.
 ///
 /// # Errors
 ///
--- a/crates/server/src/control/status.rs
+++ b/crates/server/src/control/status.rs
@@ -14,8 +14,8 @@
         let (generation, objects) = self.current_objects()?;
         let view = self.catalog().view();
         let in_force = self.leases().in_force(generation);
-        // Confirms the leadership again: a replica that was suspended and has lost it must not report
-        // from its lease table.
+        // Confirms the leadership again: a replica that was suspended and has lost it must not
+        // report from its lease table.
         let barrier = self.catalog_log.read_barrier().await;
         barrier.map_err(|e| self.propose_failure(&*self.catalog_log, e))?;
         let instances = self.instance_status(view.instances);
--- a/crates/server/src/control/sweep.rs
+++ b/crates/server/src/control/sweep.rs
@@ -26,8 +26,8 @@
 }
 
 impl Control {
-    /// Adds the addresses of replicas that have joined since this process was configured. Any replica
-    /// may become leader of a group and must be able to reach them.
+    /// Adds the addresses of replicas that have joined since this process was configured. Any
+    /// replica may become leader of a group and must be able to reach them.
     fn update_replica_addresses(&self, epoch: &mut u64) {
         let current = self.catalog().epoch();
         if std::mem::replace(epoch, current) == current {
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Notifies the program groups of instances that were declared gone, until the task is cancelled.
-    /// Runs as a separate task, so that a group without a leader does not delay [`Sweeper::run`].
+    /// Notifies the program groups of instances that were declared gone, until the task is
+    /// cancelled. Runs as a separate task, so that a group without a leader does not delay
+    /// [`Sweeper::run`].
     pub(crate) async fn run_group_notifications(self: Arc<Self>) -> anyhow::Result<()> {
         let mut ticks = tokio::time::interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -105,8 +106,8 @@
         Ok(())
     }
 
-    /// Notifies every program group of the instances that were declared gone. A new leader of group 0
-    /// repeats all notifications, since the previous one may have failed before sending them. The
+    /// Notifies every program group of the instances that were declared gone. A new leader of group
+    /// 0 repeats all notifications, since the previous one may have failed before sending them. The
     /// command is idempotent.
     async fn notify_groups(&self, notified: &mut Vec<(String, u64)>) {
         let gone = self.control.catalog().gone();
@@ -129,7 +130,10 @@
             let deadline = Instant::now() + COMMAND_TIMEOUT;
             if let Err(e) = self.ledger.command(group, command, deadline).await {
                 let error = e.to_string();
-                log::warn!(group, instance, error = error.as_str(); "cannot release the claims of an instance that was declared gone");
+                log::warn!(
+                    group, instance, error = error.as_str();
+                    "cannot release the claims of an instance that was declared gone"
+                );
                 all_notified = false;
             }
         }
--- a/crates/server/src/control/voters.rs
+++ b/crates/server/src/control/voters.rs
@@ -14,8 +14,8 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(65);
 
 impl Control {
-    /// Replaces a voter in every group. Safe to retry after a lost response, since completed steps are
-    /// skipped.
+    /// Replaces a voter in every group. Safe to retry after a lost response, since completed steps
+    /// are skipped.
     pub(crate) async fn replace_voter(
         &self,
         client: &PeerClient,
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -1,8 +1,8 @@
 //! Limits a request that crashes endpoints to at most two of them.
 //!
-//! Every instance has a copy of the crash records. An instance that detects a crash sends the record
-//! to all other instances before it responds to the caller, so that a retry finds the record at
-//! any instance. A restarted instance receives all records from the others.
+//! Every instance has a copy of the crash records. An instance that detects a crash sends the
+//! record to all other instances before it responds to the caller, so that a retry finds the record
+//! at any instance. A restarted instance receives all records from the others.
 
 use std::{
     net::SocketAddr,
--- a/crates/server/src/dispatch/mod.rs
+++ b/crates/server/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
-//! Sends calls to endpoints and takes back whole answers.
+//! Dispatch of calls to endpoints and reading of their responses.
 //!
-//! Owns the connections to endpoints. They die with the instance; what that means for the calls on
-//! them is decided by the ledger of programs.
+//! Connections to endpoints close when the instance fails. The program ledger then determines the
+//! outcome of the calls on them.
 
 mod response;
 
@@ -10,5 +10,5 @@
     RelayLimits, Relayed, ResponseError, StreamEnd, collect, is_delimited, relay_stream,
 };
 
-/// Header that ties an answer to its call.
+/// Header that matches a response to its request.
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
--- a/crates/server/src/dispatch/response.rs
+++ b/crates/server/src/dispatch/response.rs
@@ -1,4 +1,4 @@
-//! Reads answers of endpoints and tells whole ones from truncated ones.
+//! Reading of endpoint responses, with detection of truncated ones.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::entry::{Chunk, RelaySender};
 
-/// Last event of a streamed chat answer.
+/// Last event of a streamed chat response.
 const TERMINAL_EVENT: &[u8] = b"data: [DONE]";
 
-/// Why an answer is not whole.
+/// Why a response is incomplete.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ResponseError {
     #[error("the answer was cut short: {0}")]
@@ -24,13 +24,15 @@
     TooLarge(usize),
 }
 
-/// Whether the end of the body can be told from a lost connection.
+/// Whether the response has a content length or is chunked. Otherwise the end of the body cannot be
+/// distinguished from a lost connection.
 pub(crate) fn is_delimited(response: &Response<Incoming>) -> bool {
     let chunked = response.headers().contains_key(http::header::TRANSFER_ENCODING);
     chunked || response.body().size_hint().exact().is_some()
 }
 
-/// Reads an answer whole. hyper reports a body that ends before its content length or final chunk.
+/// Reads a complete body of at most `max` bytes until `deadline`. hyper reports an error if the
+/// body ends before its content length or final chunk.
 pub(crate) async fn collect(
     mut body: Incoming,
     max: usize,
@@ -50,45 +52,46 @@
     }
 }
 
-/// How a relayed answer ended.
+/// How a relayed response ended.
 #[derive(Debug)]
 pub(crate) enum StreamEnd {
-    /// The terminal event has arrived; it is in `last` and has not been passed on yet.
+    /// The terminal event has arrived. `last` contains it and was not sent to the caller yet.
     Complete { last: Bytes },
-    /// The caller has gone; the connection must be closed, which cancels the call at the engine.
+    /// The caller has disconnected. The connection to the endpoint must be closed to cancel the
+    /// call.
     CallerGone,
-    /// The endpoint failed in the middle of the answer.
+    /// The endpoint failed before the end of the response.
     Failed(ResponseError),
 }
 
-/// What was relayed.
+/// Result of relaying a response.
 #[derive(Debug)]
 pub(crate) struct Relayed {
     pub(crate) end: StreamEnd,
-    /// Everything that arrived, when it was asked for.
+    /// Received bytes, if [`RelayLimits::max_buffered`] is not 0.
     pub(crate) buffered: BytesMut,
-    /// Events that arrived, which is the number of tokens as far as anyone can count them.
+    /// Number of received events without the terminal one, used as the number of tokens.
     pub(crate) events: u64,
 }
 
-/// Limits of one relayed answer.
+/// Limits for one relayed response.
 pub(crate) struct RelayLimits {
-    /// Longest time between two chunks.
+    /// Maximum time between two chunks.
     pub(crate) idle_timeout: Duration,
-    /// End of the time that the call may take.
+    /// Deadline of the call.
     pub(crate) deadline: Instant,
-    /// Keep the whole answer, up to this many bytes; 0 keeps nothing.
+    /// Maximum number of bytes to buffer; a longer response fails. 0 disables buffering.
     pub(crate) max_buffered: usize,
 }
 
-/// Relays a streamed answer, all but its terminal event.
+/// Relays a streamed response up to, but without, the chunk with its terminal event.
 pub(crate) async fn relay_stream(
     body: &mut Incoming,
     tx: &RelaySender,
     limits: RelayLimits,
 ) -> Relayed {
     let mut relayed = Relayed { end: StreamEnd::CallerGone, buffered: BytesMut::new(), events: 0 };
-    // Bytes since the last line end, since a chunk may split the terminal event.
+    // Start of the current line, since the terminal event may be split across chunks.
     let mut line = BytesMut::new();
     loop {
         let idle_deadline = (Instant::now() + limits.idle_timeout).min(limits.deadline);
@@ -116,7 +119,7 @@
         }
         relayed.events += count_events(&chunk);
         if is_stream_end(&mut line, &chunk) {
-            // The terminal event is no token.
+            // The terminal event does not count as a token.
             relayed.events = relayed.events.saturating_sub(1);
             relayed.end = StreamEnd::Complete { last: chunk };
             return relayed;
@@ -138,7 +141,8 @@
     chunk.windows(6).filter(|w| *w == b"data: ").count() as u64
 }
 
-/// Whether the terminal event has arrived. `line` holds the start of an unfinished line.
+/// Whether `chunk` contains the end of the terminal event. `line` holds the start of an incomplete
+/// line between calls.
 fn is_stream_end(line: &mut BytesMut, chunk: &[u8]) -> bool {
     let mut rest = chunk;
     while let Some(end) = rest.iter().position(|&b| b == b'\n') {
@@ -155,7 +159,7 @@
         }
         rest = &rest[end + 1..];
     }
-    // A longer line cannot be the terminal event; its start is enough to know that.
+    // A longer line cannot be the terminal event, so only its start is stored.
     let room = (TERMINAL_EVENT.len() + 2).saturating_sub(line.len());
     line.extend_from_slice(&rest[..rest.len().min(room)]);
     false
--- a/crates/server/src/entry/attempt.rs
+++ b/crates/server/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! Tries a call at one endpoint after another, as far as it may run again.
+//! Attempts of a call at one endpoint after another, as long as retries are safe.
 
 mod hedge;
 
@@ -31,24 +31,25 @@
     telemetry,
 };
 
-/// Endpoints that one call may be sent to.
+/// Maximum number of attempts of one call, not counting a hedge.
 const MAX_ATTEMPTS: usize = 3;
-/// Header of requests to engines that names the program, for its memory to be released later.
+/// Request header with the program of a call. Release orders for its memory refer to the program.
 const ENGINE_PROGRAM_HEADER: HeaderName = HeaderName::from_static("x-program");
-/// Header of requests to engines that names the claim of the ledger, for orders that concern it.
+/// Request header with the ledger claim of a call. Release orders for one call refer to the claim.
 const ENGINE_CLAIM_HEADER: HeaderName = HeaderName::from_static("x-claim");
-/// Header of requests to engines that orders the calls that wait there, lowest first.
+/// Request header with the priority of a call in the queue of an engine, lowest first.
 const ENGINE_PRIORITY_HEADER: HeaderName = HeaderName::from_static("x-priority");
-/// Longest time in which the record of a crash reaches the other instances: after that an instance
-/// without the record has lost its lease.
+/// Maximum time for a crash record to reach the other instances. An instance without the record has
+/// lost its lease by then.
 const CRASH_REPORT_DELAY: Duration = LEASE;
-/// Time for the head of an answer on a connection that was used before.
+/// Maximum time to wait for the head of a response on a reused connection.
 const REUSED_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Minimum time to wait for a response head on a reused connection, unless the deadline is earlier.
 const MIN_REUSED_HEAD_TIMEOUT: Duration = Duration::from_millis(250);
 const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Headers that belong to one connection, or that only concern this system.
+/// Connection-specific headers and headers that are only used by this system. Not forwarded.
 const STRIPPED_HEADERS: [&str; 12] = [
     "connection",
     "content-length",
@@ -64,7 +65,7 @@
     "x-request-id",
 ];
 
-/// A request as it goes to an endpoint.
+/// The parts of a request that are forwarded to endpoints.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestParts {
     pub(crate) method: Method,
@@ -74,7 +75,7 @@
 }
 
 impl RequestParts {
-    /// Prepares a caller's request: without the key and the headers of the caller's connection.
+    /// Creates the parts from a caller's request. Removes credentials and [`STRIPPED_HEADERS`].
     pub(crate) fn new(method: Method, path: String, mut headers: HeaderMap, body: Bytes) -> Self {
         auth::remove_credentials(&mut headers);
         for name in STRIPPED_HEADERS {
@@ -83,7 +84,7 @@
         Self { method, path, headers, body }
     }
 
-    /// Names the program to the endpoint, so that orders can refer to what it holds for it.
+    /// Sets the header with the program, or removes a header that the caller has sent.
     pub(crate) fn with_program(
         mut self,
         credential: Option<&Credential>,
@@ -92,7 +93,7 @@
         self.headers.remove(ENGINE_PROGRAM_HEADER);
         if let (Some(credential), Some(call)) = (credential, program) {
             let name = format!("{}/{}", credential.team, call.program);
-            let value = HeaderValue::from_str(&name).expect("checked names are plain ASCII");
+            let value = HeaderValue::from_str(&name).expect("validated names are plain ASCII");
             self.headers.insert(ENGINE_PROGRAM_HEADER, value);
         }
         self
@@ -110,7 +111,7 @@
         if let Some(claim) = claim {
             request.headers_mut().insert(ENGINE_CLAIM_HEADER, HeaderValue::from(claim));
         }
-        // A caller must not set its own priority.
+        // Callers must not set the priority themselves.
         request.headers_mut().remove(ENGINE_PRIORITY_HEADER);
         if let Some(priority) = slot.priority {
             request.headers_mut().insert(ENGINE_PRIORITY_HEADER, HeaderValue::from(priority));
@@ -122,57 +123,57 @@
 /// A call that is ready to be sent.
 pub(crate) struct PreparedCall {
     pub(crate) parts: RequestParts,
-    /// None on open routes.
+    /// `None` on open routes.
     pub(crate) credential: Option<Credential>,
     pub(crate) spec: Arc<CallSpec>,
-    /// Whether the call may run more than once.
+    /// Whether the call may be executed more than once.
     pub(crate) idempotent: bool,
     pub(crate) request_id: HeaderValue,
     pub(crate) deadline: Instant,
 }
 
 impl PreparedCall {
-    /// Identifies the request among those that crash endpoints.
+    /// Returns the fingerprint that identifies the request in crash records.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         Fingerprint::new(&self.parts.path, &self.parts.body)
     }
 }
 
-/// A whole answer.
+/// A complete response.
 pub(crate) struct FullResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// An answer whose head has arrived, at an endpoint that keeps the place of the call.
+/// A response whose head has arrived. The call keeps its slot at the endpoint.
 pub(crate) struct PendingResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
     pub(crate) reuse: Reuse,
     pub(crate) slot: Slot,
-    /// Time from the dispatch to the head of the answer.
+    /// Time from the dispatch to the head of the response.
     pub(crate) first_byte: Duration,
     /// Run of the endpoint when the call was sent.
     pub(crate) run: Option<u64>,
     pub(crate) _suspect: Option<SuspectGuard>,
 }
 
-/// A place at an endpoint, and the reservation of a request that has crashed another one.
+/// A slot at an endpoint, with the reservation if the request has crashed another endpoint.
 pub(crate) struct Placement {
     pub(crate) slot: Slot,
     suspect: Option<SuspectGuard>,
 }
 
-/// How one attempt went wrong.
+/// A failed attempt.
 struct AttemptFailure {
     ran: Executed,
     cause: String,
     outcome: DispatchOutcome,
-    /// The connection was lost while the endpoint had the request.
+    /// Whether the connection was lost after the request was sent.
     may_have_crashed: bool,
-    /// The endpoint may be tried again over another connection.
+    /// Whether the same endpoint may be tried again over another connection.
     same_endpoint_allowed: bool,
 }
 
@@ -182,7 +183,7 @@
             SendError::NotPermitted => (Executed::No, DispatchOutcome::Abandoned),
             SendError::NotSent(_) => (Executed::No, DispatchOutcome::Failed),
             SendError::Lost(_) | SendError::Silent => (Executed::Unknown, DispatchOutcome::Failed),
-            // The connection was at fault, and the endpoint may be well.
+            // Only the connection has failed; the endpoint may be healthy.
             SendError::SilentReused => (Executed::Unknown, DispatchOutcome::Abandoned),
             SendError::Crossed => (Executed::Unknown, DispatchOutcome::Failed),
         };
@@ -209,9 +210,9 @@
     entry: &'a EntryHandler,
     call: &'a PreparedCall,
     tried: Vec<Name>,
-    /// Attempts that have failed.
+    /// Number of failed attempts.
     failures: usize,
-    /// What is known of all attempts together.
+    /// Whether any attempt was executed.
     ran: Executed,
     last_cause: String,
     /// The claim under which the call runs, if the ledger records it.
@@ -227,7 +228,7 @@
         Self { entry, call, tried: Vec::new(), failures: 0, ran, last_cause, claim: None }
     }
 
-    /// Waits for a place at an endpoint that was not tried yet.
+    /// Waits for a slot at an endpoint that was not tried yet.
     pub(crate) async fn acquire(&self) -> Result<Placement, Refusal> {
         let crashes = &self.entry.crashes;
         if crashes.is_empty() {
@@ -259,14 +260,14 @@
             let slot = match self.acquire_slot(&candidates).await {
                 Ok(slot) => slot,
                 Err(refusal) if refusal.code == Code::Unavailable => {
-                    // It does not answer, for as long as its record may have been on the way.
+                    // The endpoint was unhealthy for as long as a crash record may take to arrive.
                     skipped.push(endpoint);
                     continue;
                 }
                 Err(refusal) => return Err(refusal),
             };
-            // Two requests that have crashed endpoints never run side by side: if the endpoint
-            // crashes again, it must be clear which of them did it.
+            // Two suspect requests never run on the same endpoint concurrently. Otherwise a crash
+            // could not be attributed to one of them.
             if let Some(suspect) = crashes.begin_suspect(&slot.endpoint.name, fingerprint) {
                 return Ok(Placement { slot, suspect: Some(suspect) });
             }
@@ -275,8 +276,8 @@
         }
     }
 
-    /// Waits until another instance that saw the same endpoint crash has had time to say so; false
-    /// as soon as one has.
+    /// Waits for [`CRASH_REPORT_DELAY`], in which other instances may report crashes of this
+    /// request. Returns false as soon as the admission of the request changes.
     async fn crash_reports_settled(&self, fingerprint: Fingerprint, crashed: &[Name]) -> bool {
         let until = self.call.deadline.min(Instant::now() + CRASH_REPORT_DELAY);
         while Instant::now() < until {
@@ -301,7 +302,7 @@
         Refusal::with_ran(Code::RequestCrashesEndpoints, self.ran, message)
     }
 
-    /// Says of a refusal what is known of the attempts before it.
+    /// Adds the result of earlier attempts to a refusal.
     pub(crate) fn with_ran(&self, mut refusal: Refusal) -> Refusal {
         if self.ran != Executed::No {
             refusal.ran = self.ran;
@@ -311,7 +312,8 @@
         refusal
     }
 
-    /// Sends the call to the endpoint of `slot`. `Ok(None)` means that it may be tried elsewhere.
+    /// Sends the call to the assigned endpoint. `Ok(None)` means that the attempt has failed and
+    /// the call may be retried.
     pub(crate) async fn send(
         &mut self,
         placement: Placement,
@@ -393,7 +395,8 @@
         }))
     }
 
-    /// Reads the answer whole. `Ok(None)` means that the call may be tried elsewhere.
+    /// Reads the complete response. `Ok(None)` means that the attempt has failed and the call may
+    /// be retried.
     pub(crate) async fn collect(
         &mut self,
         pending: PendingResponse,
@@ -414,7 +417,7 @@
         }
     }
 
-    /// Notes a failure; an error when the call may not be tried again.
+    /// Records a failed attempt. Returns the refusal if the call must not be retried.
     async fn handle_failure(
         &mut self,
         slot: Slot,
@@ -455,7 +458,7 @@
         Err(self.refusal())
     }
 
-    /// Takes a retry from the budgets of the team and the instance.
+    /// Takes a retry from the retry budgets of the team and the instance.
     fn take_retry(&self) -> bool {
         let Some(team) = &self.call.spec.team else { return true };
         let granted = self.entry.retries().try_retry(team);
@@ -465,7 +468,7 @@
         granted
     }
 
-    /// The final answer after the last failure.
+    /// Builds the refusal after the last failed attempt.
     fn refusal(&self) -> Refusal {
         let cause = self.last_cause.clone();
         let in_time = Instant::now() < self.call.deadline;
@@ -482,23 +485,24 @@
     }
 }
 
-/// The middle of the time that is left.
+/// Returns the time at which half of the remaining time has passed.
 fn halfway(deadline: Instant) -> Instant {
     let now = Instant::now();
     let half = deadline.saturating_duration_since(now) / 2;
-    // Shortly before the deadline a working connection must not be given up for a moment's delay.
+    // Close to the deadline, a short delay must not cause a working connection to be dropped.
     deadline.min(now + half.max(MIN_REUSED_HEAD_TIMEOUT))
 }
 
 impl EntryHandler {
-    /// Checks that the call may still run, and returns whether it may go to this endpoint.
+    /// Checks that the call may still run, and returns whether it may be sent to this endpoint.
     ///
-    /// The call may have waited, and the process may have been frozen, since it was accepted.
+    /// Repeats the checks of acceptance because the call may have been queued, or the process
+    /// suspended, in the meantime.
     fn may_dispatch(&self, call: &PreparedCall, endpoint: &EndpointRef) -> Result<bool, Refusal> {
         may_dispatch(&self.membership, call.credential.as_ref(), endpoint)
     }
 
-    /// The same check, made when the first byte is about to leave.
+    /// Returns the same check as a closure, to be called right before the first byte is sent.
     fn permission(&self, call: &PreparedCall, endpoint: &EndpointRef) -> Permission {
         let (membership, credential) = (self.membership.clone(), call.credential.clone());
         let endpoint = endpoint.clone();
@@ -526,7 +530,7 @@
     }))
 }
 
-/// Refuses when this instance may not act on its objects.
+/// Fails if the instance has no valid lease.
 pub(crate) fn check_lease(snapshot: &Snapshot) -> Result<(), Refusal> {
     if snapshot.lease_valid() {
         return Ok(());
--- a/crates/server/src/entry/attempt/hedge.rs
+++ b/crates/server/src/entry/attempt/hedge.rs
@@ -1,4 +1,4 @@
-//! A second attempt beside the first, for calls whose connection may have gone silent.
+//! Hedged requests, for calls whose connection may be dead without an error.
 
 use std::time::Duration;
 
@@ -7,17 +7,18 @@
 use super::{Attempts, FullResponse, Placement, halfway};
 use crate::entry::refusal::Refusal;
 
-/// Least time before a call is sent a second time beside the first one.
+/// Minimum delay before the hedge is sent.
 const MIN_HEDGE_DELAY: Duration = Duration::from_secs(2);
-/// Time that a slow engine takes for a token.
+/// Time per token of a slow engine.
 const SLOW_TOKEN_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Attempts<'_> {
-    /// Sends the call and reads its answer whole. `Ok(None)` means that it may be tried elsewhere.
+    /// Sends the call and reads the complete response. `Ok(None)` means that the attempt has failed
+    /// and the call may be retried.
     ///
-    /// A call that stays without a whole answer for so long that its connection may have gone
-    /// silent is sent once more over a new connection; the first whole answer wins, and the other
-    /// connection is closed.
+    /// If an idempotent call has no complete response after a delay, its connection may be dead. It
+    /// is then sent a second time over a new connection. The first complete response is returned
+    /// and the other connection is closed.
     pub(crate) async fn exchange(
         &mut self,
         placement: Placement,
@@ -51,12 +52,12 @@
         }
     }
 
-    /// The answer of a second attempt beside the first; never returns without one.
+    /// Sends the hedge after a delay and returns its response. Never returns without a response.
     async fn hedge(&mut self) -> FullResponse {
         if self.call.idempotent {
             let tokens = u32::try_from(self.call.spec.max_output_tokens).unwrap_or(u32::MAX);
             let expected = MIN_HEDGE_DELAY + SLOW_TOKEN_INTERVAL.saturating_mul(tokens);
-            // Half of the time is left for the second attempt, however long the answer may be.
+            // Leaves half of the remaining time for the hedge, however long the response is.
             let at = halfway(self.call.deadline).min(Instant::now() + expected);
             tokio::time::sleep_until(at).await;
             if self.take_retry()
@@ -73,7 +74,7 @@
         if let Some(mut claim) = self.claim.clone() {
             self.entry.record_dispatch(&mut claim, &placement.slot).await?;
         }
-        // The connections in the pool are as old as the one that may have gone silent.
+        // Pooled connections are as old as the one that may be dead.
         self.entry.pool.discard(placement.slot.endpoint.address);
         match self.send(placement).await? {
             Some(pending) => self.collect(pending).await,
--- a/crates/server/src/entry/auth.rs
+++ b/crates/server/src/entry/auth.rs
@@ -1,17 +1,17 @@
-//! Finds the team of a call by its key.
+//! Authentication of callers by key.
 
 use http::{HeaderMap, header};
 use poplarspan_objects::{Digest, Name, ObjectSet};
 
 use super::refusal::{Code, Refusal};
 
-/// Header that may carry the key instead of `authorization`.
+/// Header for the key, as an alternative to `authorization`.
 pub(crate) const KEY_HEADER: &str = "x-api-key";
 const MAX_KEY_BYTES: usize = 256;
 
-/// The team that a call runs for, and the digest of the key that said so.
+/// The team of a call and the digest of its key.
 ///
-/// The digest is looked up again before each dispatch, since the key may be withdrawn meanwhile.
+/// The digest is looked up again before each dispatch, since the key may have been withdrawn.
 #[derive(Clone, Debug)]
 pub(crate) struct Credential {
     pub(crate) team: Name,
@@ -19,7 +19,7 @@
 }
 
 impl Credential {
-    /// Finds the team whose key the call carries.
+    /// Authenticates a call by the key in its headers.
     pub(crate) fn from_headers(headers: &HeaderMap, objects: &ObjectSet) -> Result<Self, Refusal> {
         let refused = || Refusal::not_run(Code::Unauthorized, "a valid key is required");
         let secret = secret(headers).ok_or_else(refused)?;
@@ -31,13 +31,13 @@
         Ok(Self { team: key.team.clone(), digest })
     }
 
-    /// Whether the key still belongs to the same team.
+    /// Whether the key is still published and belongs to the same team.
     pub(crate) fn is_valid(&self, objects: &ObjectSet) -> bool {
         objects.key_by_digest(&self.digest).is_some_and(|key| key.team == self.team)
     }
 }
 
-/// The key in the headers, if there is exactly one: with two it would be unclear which team calls.
+/// Returns the key in the headers if there is exactly one. Several keys would be ambiguous.
 fn secret(headers: &HeaderMap) -> Option<&str> {
     let count = |name: &str| headers.get_all(name).iter().count();
     if count(header::AUTHORIZATION.as_str()) + count(KEY_HEADER) != 1 {
@@ -50,7 +50,7 @@
     headers.get(KEY_HEADER)?.to_str().ok()
 }
 
-/// Removes everything that could tell an endpoint the key.
+/// Removes all headers that may carry credentials, so that endpoints do not receive them.
 pub(crate) fn remove_credentials(headers: &mut HeaderMap) {
     headers.remove(header::AUTHORIZATION);
     headers.remove(KEY_HEADER);
--- a/crates/server/src/entry/body.rs
+++ b/crates/server/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and responses.
 
 use std::{
     pin::Pin,
@@ -13,43 +13,43 @@
 
 use super::refusal::{Code, Refusal};
 
-/// Body of an answer: known whole, or relayed as it arrives.
+/// Body of a response: complete in memory, or relayed as it arrives.
 pub(crate) type ResponseBody = Either<Full<Bytes>, RelayBody>;
 
-/// Chunks that a slow caller may leave waiting before the endpoint is no longer read.
+/// Chunks that are queued for a slow caller before reading from the endpoint pauses.
 const RELAY_QUEUE: usize = 16;
 
-/// An answer was cut short. The connection to the caller is closed without the final chunk, so that
-/// the caller cannot take the answer for buffer.
+/// The response is incomplete. The connection to the caller is closed without the final chunk, so
+/// that the caller detects the truncation.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer of the endpoint ended early")]
+#[error("the response of the endpoint was truncated")]
 pub(crate) struct Truncated;
 
-/// The receiving half of a relayed answer.
+/// The receiving half of a relayed response.
 pub(crate) struct RelayBody {
     rx: mpsc::Receiver<Chunk>,
     complete: bool,
 }
 
-/// A piece of a relayed answer.
+/// A chunk of a relayed response.
 #[derive(Debug)]
 pub(crate) enum Chunk {
-    /// More follows.
+    /// A chunk that is followed by others.
     Data(Bytes),
-    /// The answer is whole with this.
+    /// The chunk that completes the response.
     Final(Bytes),
 }
 
-/// The sending half of a relayed answer.
+/// The sending half of a relayed response.
 pub(crate) type RelaySender = mpsc::Sender<Chunk>;
 
-/// Creates a relayed answer.
+/// Creates a relayed body and its sender.
 pub(crate) fn relay() -> (RelaySender, ResponseBody) {
     let (tx, rx) = mpsc::channel(RELAY_QUEUE);
     (tx, Either::Right(RelayBody { rx, complete: false }))
 }
 
-/// Creates an answer that is known buffer.
+/// Creates a body from complete data.
 pub(crate) fn full(buf: impl Into<Bytes>) -> ResponseBody {
     Either::Left(Full::new(buf.into()))
 }
@@ -65,7 +65,7 @@
         if self.complete {
             return Poll::Ready(None);
         }
-        // A sender that ends without the last chunk, for whatever reason, has cut the answer short.
+        // A sender that is dropped without the final chunk has truncated the response.
         match std::task::ready!(self.rx.poll_recv(cx)) {
             Some(Chunk::Data(chunk)) => Poll::Ready(Some(Ok(Frame::data(chunk)))),
             Some(Chunk::Final(chunk)) => {
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 ///
-/// Refuses bodies above `max` bytes, and senders that take longer than `timeout`.
+/// Fails if the body is longer than `max` bytes or does not arrive within `timeout`.
 pub(crate) async fn read(
     mut body: Incoming,
     max: usize,
@@ -112,7 +112,7 @@
                 return Err(too_large());
             }
             match first.take() {
-                // Most bodies come in one chunk, which needs no copy.
+                // Most bodies arrive in one chunk, which is returned without a copy.
                 None if buffer.is_empty() => first = Some(chunk),
                 None => buffer.extend_from_slice(&chunk),
                 Some(start) => {
--- a/crates/server/src/entry/builtin.rs
+++ b/crates/server/src/entry/builtin.rs
@@ -1,4 +1,4 @@
-//! Paths that this system answers itself: models, and the end and history of programs.
+//! Built-in paths: the model list, and the end and history of programs.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
 const HISTORY_PAGE_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Paths that this system answers itself.
+/// Paths that are served by the instance itself.
 pub(crate) enum BuiltinPath {
     /// `GET /v1/models`
     Models,
@@ -39,7 +39,7 @@
 }
 
 impl BuiltinPath {
-    /// Finds the path, if it is one of these.
+    /// Parses a path. Returns `None` if it is not built in.
     pub(crate) fn find(path: &str) -> Option<Self> {
         if path == "/v1/models" {
             return Some(Self::Models);
@@ -53,7 +53,7 @@
 }
 
 impl EntryHandler {
-    /// Answers the paths that belong to this system itself.
+    /// Serves a request to a built-in path.
     pub(crate) async fn respond_builtin(
         &self,
         path: BuiltinPath,
@@ -166,7 +166,7 @@
 struct History<'a> {
     program: &'a str,
     turns: Vec<Turn>,
-    /// First turn of the next page; null on the last one.
+    /// First turn of the next page; null on the last page.
     next_turn: Option<u32>,
 }
 
--- a/crates/server/src/entry/call.rs
+++ b/crates/server/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! A call as its caller described it: program, turn, deadline, idempotency key.
+//! Call headers: program, turn, deadline and idempotency key.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 const DEADLINE_HEADER: &str = "x-poplarspan-deadline";
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// Parts of a program id, from the root to the sub-agent.
+/// Maximum number of parts of a program path, from the root to the sub-agent.
 const MAX_PROGRAM_DEPTH: usize = 8;
 const MAX_PART_BYTES: usize = 64;
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 const MAX_DEADLINE: Duration = Duration::from_secs(24 * 3600);
 
-/// The place of a call in its program.
+/// Program and turn of a call.
 #[derive(Clone, Debug)]
 pub(crate) struct ProgramCall {
     /// Path from the root program, parts separated by `/`.
     pub(crate) program: Name,
-    /// Turn that the caller expects to be next, if it says.
+    /// Turn that the caller expects to be next, if given.
     pub(crate) turn: Option<u32>,
 }
 
-/// What the headers say about a call.
+/// Parsed headers of a call.
 #[derive(Clone, Debug)]
 pub(crate) struct CallHead {
     pub(crate) method: Method,
@@ -39,7 +39,7 @@
 }
 
 impl CallHead {
-    /// Reads the headers of a call; without a deadline of its own it gets the route's timeout.
+    /// Parses the headers of a call. Without a deadline header, `timeout` of the route applies.
     pub(crate) fn read(
         method: &Method,
         headers: &HeaderMap,
@@ -82,7 +82,7 @@
     Ok(Some(ProgramCall { program: path.into(), turn }))
 }
 
-/// Checks the path of a program.
+/// Validates a program path: at most 8 parts of 1 to 64 bytes.
 pub(crate) fn check_program(path: &str) -> Result<(), Refusal> {
     let parts = path.split('/');
     if parts.clone().count() > MAX_PROGRAM_DEPTH {
--- a/crates/server/src/entry/chat.rs
+++ b/crates/server/src/entry/chat.rs
@@ -1,4 +1,4 @@
-//! The parts of a chat request that decisions need.
+//! Parsing of the chat request fields that routing and accounting need.
 
 use std::{borrow::Cow, collections::BTreeMap, sync::Arc};
 
@@ -10,7 +10,7 @@
 use super::refusal::{Code, Refusal};
 use crate::schedule::BLOCK_TOKENS;
 
-/// Bytes of a prompt that make one token, for estimates before the engine has counted.
+/// Assumed prompt bytes per token, for estimates before the engine reports its count.
 const BYTES_PER_TOKEN: usize = 4;
 
 #[derive(Deserialize)]
@@ -25,19 +25,19 @@
     messages: Vec<&'a RawValue>,
 }
 
-/// What a chat request asks for.
+/// Parsed fields of a chat request.
 #[derive(Debug)]
 pub(crate) struct ChatRequest<'a> {
     pub(crate) model: Option<Cow<'a, str>>,
     pub(crate) stream: bool,
     pub(crate) max_output_tokens: Option<u64>,
-    /// Estimate from the length of the messages.
+    /// Estimated from the length of the messages.
     pub(crate) prompt_tokens: u64,
     messages: Vec<&'a RawValue>,
 }
 
 impl<'a> ChatRequest<'a> {
-    /// Reads a body in the chat completions shape.
+    /// Parses a body in the chat completions format.
     pub(crate) fn read(body: &'a [u8]) -> Result<Self, Refusal> {
         let bad_request = |problem: String| {
             Refusal::not_run(Code::BadRequest, format!("the body is no chat request: {problem}"))
@@ -57,7 +57,8 @@
         })
     }
 
-    /// Hash chain over the blocks of the prompt, for a cache that `scope` tells apart.
+    /// Returns the hash chain over the blocks of the prompt. Chains of different `scope`s do not
+    /// match.
     pub(crate) fn blocks(&self, scope: &str) -> Arc<[u64]> {
         let mut chain = PrefixChain::new(scope, BLOCK_TOKENS as usize * BYTES_PER_TOKEN);
         for message in &self.messages {
@@ -67,8 +68,8 @@
     }
 }
 
-/// The body with only those messages that follow the last one of the assistant; None when there is
-/// no such message, or the body has another shape.
+/// Returns the body without the messages up to the last one of the assistant. Returns `None` if
+/// there is no such message or the body has another format.
 pub(crate) fn after_last_assistant_message(body: &[u8]) -> Option<Bytes> {
     #[derive(Deserialize)]
     struct Role<'a> {
--- a/crates/server/src/entry/handler.rs
+++ b/crates/server/src/entry/handler.rs
@@ -1,4 +1,4 @@
-//! From a request to its answer.
+//! Request handling: validation, admission and execution of calls.
 
 use std::{
     sync::{
@@ -39,13 +39,13 @@
     telemetry,
 };
 
-/// Unit in which the memory of open calls is counted.
+/// Unit of memory accounting for open calls.
 pub(crate) const MEMORY_UNIT_BYTES: usize = 1024;
 
-/// When a call may come back while no objects are known; about the time of a few heartbeats.
+/// Retry delay while no objects are known, a few heartbeat intervals.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Everything that serving a call needs.
+/// State for serving calls.
 pub(crate) struct EntryHandler {
     pub(crate) instance: poplarspan_objects::Name,
     pub(crate) membership: Arc<Membership>,
@@ -62,18 +62,18 @@
     pub(crate) draining: Arc<AtomicBool>,
 }
 
-/// A call whose caller, route and body have been checked.
+/// A call whose caller, route and body are valid.
 pub(crate) struct AcceptedCall {
     pub(crate) prepared: PreparedCall,
     pub(crate) head: CallHead,
     pub(crate) stream: bool,
-    /// Memory that the call holds.
+    /// Reserved memory of the call, released on drop.
     pub(crate) _memory: OwnedSemaphorePermit,
 }
 
 impl AcceptedCall {
-    /// What the history of the program keeps of the request. A caller repeats the conversation so
-    /// far in every turn, and the earlier turns are in the history already.
+    /// Returns the part of the request that is stored in the program's history. Chat callers send
+    /// the whole conversation in every turn, and the history already has the earlier turns.
     pub(crate) fn history_request(&self) -> Bytes {
         let body = &self.prepared.parts.body;
         let is_chat_turn = self.head.program.is_some() && self.prepared.spec.max_output_tokens > 0;
@@ -91,7 +91,7 @@
         self.retry_budget.lock().expect("no panic while locked")
     }
 
-    /// Answers a request; never fails.
+    /// Handles a request. Failures are returned as responses.
     pub(crate) async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -108,7 +108,7 @@
         telemetry::record_response(response.status(), started.elapsed());
         response.headers_mut().insert(REQUEST_ID_HEADER, id);
         if self.draining.load(Ordering::Relaxed) && response.version() < http::Version::HTTP_2 {
-            // Makes callers on kept connections go to another instance.
+            // Makes callers with keep-alive connections reconnect, to another instance.
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -120,7 +120,7 @@
         request: Request<Incoming>,
     ) -> Result<Response<ResponseBody>, Refusal> {
         if self.membership.load().generation == 0 {
-            // Without objects it is not known which paths and keys there are.
+            // Routes and keys are unknown without objects.
             let refusal = Refusal::not_run(Code::Unavailable, "no objects are known yet");
             return Err(refusal.retry_after(DEFAULT_RETRY_AFTER));
         }
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Checks the caller, the route and the body.
+    /// Validates the caller, the route and the body.
     async fn validate(
         &self,
         id: &HeaderValue,
@@ -181,7 +181,7 @@
         Ok(AcceptedCall { prepared, head: call, stream, _memory: memory })
     }
 
-    /// Counts the memory of a call; refuses when all calls together hold too much.
+    /// Reserves memory for a call. Fails if all open calls together would exceed the limit.
     fn reserve_memory(&self, bytes: usize) -> Result<OwnedSemaphorePermit, Refusal> {
         let units = bytes.div_ceil(MEMORY_UNIT_BYTES).max(1) as u32;
         self.memory.clone().try_acquire_many_owned(units).map_err(|_| {
@@ -190,7 +190,7 @@
         })
     }
 
-    /// Runs an idempotent call that belongs to no program and whose answer is not streamed.
+    /// Runs an idempotent call without a program whose response is not streamed.
     async fn run_plain(&self, accepted: &AcceptedCall) -> Result<Response<ResponseBody>, Refusal> {
         let mut attempts = Attempts::new(self, &accepted.prepared);
         loop {
@@ -217,7 +217,7 @@
     }
 }
 
-/// Builds the answer to the caller from a whole answer of an endpoint.
+/// Builds the response to the caller from the complete response of an endpoint.
 pub(crate) fn build_response(
     status: http::StatusCode,
     headers: HeaderMap,
@@ -229,7 +229,7 @@
     response
 }
 
-/// What the scheduler needs to know of the call, and whether its answer is streamed.
+/// Builds the scheduler's description of the call. Returns it and whether the response is streamed.
 fn call_spec(
     objects: &ObjectSet,
     route: &Route,
--- a/crates/server/src/entry/listener.rs
+++ b/crates/server/src/entry/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections, with bounds on their number, their heads and their pace.
+//! Listener for callers, with limits on connections, head size and head timeout.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -23,17 +23,18 @@
 use crate::config::Limits;
 
 const MAX_STREAMS_PER_CONNECTION: u32 = 256;
-/// Pause after a failed accept, for instance when the process is out of file descriptors.
+/// Pause after a failed accept, for instance when the process has run out of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Connections above the limit that are told so at the same time; further ones are only closed.
+/// Maximum number of excess connections that are sent an error response at the same time. Further
+/// ones are closed without a response.
 const MAX_CONCURRENT_REJECTIONS: usize = 64;
 const REJECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Start of every HTTP/2 connection.
+/// HTTP/2 connection preface.
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 const PREFACE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves callers on one address.
+/// Listener on one address.
 pub(crate) struct Listener {
     socket: TcpListener,
     entry: Arc<EntryHandler>,
@@ -49,8 +50,8 @@
         Self { socket, entry, limits, connections, rejections }
     }
 
-    /// Accepts until `stop`, then waits for the open calls, at most `drain_timeout`. Returns the
-    /// number of connections that were still open then.
+    /// Accepts connections until `stop` is cancelled, then waits for open calls, at most
+    /// `drain_timeout`. Returns the number of connections that were still open after the timeout.
     pub(crate) async fn run(
         self,
         stop: CancellationToken,
@@ -70,18 +71,18 @@
                 },
                 Err(e) => {
                     let error = e.to_string();
-                    log::warn!(error = error.as_str(); "cannot accept a connection");
+                    log::warn!(error = error.as_str(); "cannot accept a connection; retrying");
                     tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
         drop(self.socket);
         let open = graceful.count();
-        log::info!(open; "no longer accepting; waiting for open calls");
+        log::info!(open; "listener closed; waiting for open calls");
         let all_memory = (self.limits.max_held / MEMORY_UNIT_BYTES) as u32;
         let drained = async {
             graceful.shutdown().await;
-            // Recorded calls whose callers have gone go on without a connection.
+            // Recorded calls continue after their callers have disconnected.
             let _ = self.entry.memory.acquire_many(all_memory).await;
         };
         match tokio::time::timeout(drain_timeout, drained).await {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Tells a caller that there are too many connections, and closes this one.
+    /// Sends an error response to a connection above the limit and closes it.
     fn reject(&self, mut stream: TcpStream) {
         metrics::counter!("poplarspan_turned_away_connections_total").increment(1);
         let Ok(permit) = self.rejections.clone().try_acquire_owned() else { return };
@@ -106,10 +107,10 @@
                 stream.write_all(head.as_bytes()).await?;
                 stream.write_all(&body).await?;
                 stream.shutdown().await?;
-                // Data that is left unread would make the close discard the answer.
+                // Closing a socket with unread data would reset it and discard the response.
                 tokio::io::copy(&mut stream, &mut tokio::io::sink()).await
             };
-            // A caller that does not listen needs no answer.
+            // Errors are ignored: the connection is closed in any case.
             let _ = tokio::time::timeout(REJECT_TIMEOUT, respond).await;
             drop(permit);
         });
@@ -140,19 +141,19 @@
         stream: TcpStream,
         permit: OwnedSemaphorePermit,
     ) {
-        // Small answers must not wait for more to send.
+        // Sends small responses without delay.
         let _ = stream.set_nodelay(true);
         let entry = self.entry.clone();
         let service = service_fn(move |request: Request<Incoming>| {
             let entry = entry.clone();
-            // Boxed, so that its memory is free again while the answer is being relayed.
+            // Boxed, so that its memory is freed while the response is being relayed.
             async move { Ok::<_, Infallible>(Box::pin(entry.handle(request)).await) }
         });
         let (server, watcher, stop) = (server.clone(), graceful.watcher(), stop.clone());
         let head_timeout = self.limits.head_timeout;
         tokio::spawn(async move {
             let started = tokio::select! {
-                // First, since a caller that has sent something is answered.
+                // Biased, so that a caller that has already sent data gets a response.
                 biased;
                 started = tokio::time::timeout(head_timeout, wait_for_preface(&stream)) => started,
                 () = stop.cancelled() => return,
@@ -164,15 +165,15 @@
             let connection = watcher.watch(connection);
             if let Err(e) = connection.await {
                 let error = e.to_string();
-                log::debug!(error = error.as_str(); "connection of a caller ended early");
+                log::debug!(error = error.as_str(); "caller connection closed with an error");
             }
             drop(permit);
         });
     }
 }
 
-/// Waits until it is clear which protocol the caller speaks; false when it hangs up before. The
-/// server itself would wait for that without a limit.
+/// Waits until the received bytes tell HTTP/1.1 from HTTP/2. Returns false if the caller
+/// disconnects first. hyper itself has no timeout for this step.
 async fn wait_for_preface(stream: &TcpStream) -> bool {
     let mut start = [0; PREFACE.len()];
     loop {
--- a/crates/server/src/entry/mod.rs
+++ b/crates/server/src/entry/mod.rs
@@ -1,7 +1,7 @@
-//! The callers' side: HTTP/1.1 and HTTP/2.
+//! HTTP/1.1 and HTTP/2 server for callers.
 //!
-//! Owns the open calls of this instance. When the instance dies its callers see a closed
-//! connection; the ledger of programs says what became of their calls.
+//! Open calls are kept in memory. When the instance fails, the connections to its callers close.
+//! The program ledger records the outcome of calls that belong to programs or run at most once.
 
 mod attempt;
 mod auth;
--- a/crates/server/src/entry/program.rs
+++ b/crates/server/src/entry/program.rs
@@ -1,4 +1,4 @@
-//! Calls that the ledger of programs records: those of programs, and those that must run at most
+//! Calls that are recorded in the program ledger: calls of programs and calls that must run at most
 //! once.
 
 use std::{
@@ -25,45 +25,45 @@
 use crate::{programs::LedgerError, schedule::Slot};
 
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How long a call waits for an earlier turn of its program, or for another copy of itself.
+/// Maximum time that a call waits for an earlier turn of its program or for another copy of itself.
 const MAX_ORDER_WAIT: Duration = Duration::from_secs(5);
 const ORDER_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Bytes of a streamed answer for each token, with the event around it.
+/// Assumed bytes per token of a streamed response, including the event framing.
 const ANSWER_BYTES_PER_TOKEN: u64 = 256;
 const SERVICE_ANSWER_BYTES: u64 = 64 * 1024;
 
-/// A call that the ledger lets this instance run.
+/// Permission of the ledger to run a call.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub(crate) group: u32,
     pub(crate) call: CallId,
     pub(crate) number: u64,
-    /// Endpoints that the ledger knows to be used under this claim.
+    /// Endpoints that are recorded in the ledger for this claim.
     recorded_endpoints: Vec<Name>,
     deadline: Instant,
 }
 
-/// Where the answer of a call goes.
+/// Channel for the response to the caller.
 type ResponseSender = oneshot::Sender<Result<Response<ResponseBody>, Refusal>>;
 
-/// Ends a call that has not begun; nobody reads this.
+/// Result of a call whose caller has disconnected before it began. It is not sent to anyone.
 fn caller_gone() -> Refusal {
     Refusal::not_run(Code::Unavailable, "the caller has gone")
 }
 
-/// What the ledger says to the begin of a call.
+/// Response of the ledger to the begin of a call.
 enum BeginOutcome {
     Granted(Claim),
     Replay(ledger::Answer),
-    /// Another call must end first.
+    /// The call must wait for another one to end.
     Wait,
 }
 
 impl EntryHandler {
     /// Runs a call under a claim of the ledger.
     ///
-    /// It runs in a task of its own: a caller that hangs up must not leave the claim open, since
-    /// its resend would then find the call running for ever.
+    /// The call runs in a separate task, so that it is completed if the caller disconnects. A claim
+    /// that is left open would block retries of the call.
     pub(crate) async fn run_recorded(
         self: Arc<Self>,
         accepted: AcceptedCall,
@@ -72,7 +72,7 @@
         let (mut caller, answer) = oneshot::channel();
         tokio::spawn(async move {
             let result = self.run_claimed(accepted, stream, &mut caller).await;
-            // An error means that the caller has gone; the answer is recorded for its resend.
+            // An error means that the caller has disconnected. A retry gets the recorded response.
             let _ = caller.send(result);
         });
         answer.await.unwrap_or_else(|_| {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Sends the call until an endpoint begins to answer.
+    /// Sends the call to endpoints until one returns a response head.
     async fn attempt_recorded(
         &self,
         attempts: &mut Attempts<'_>,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Sends the call until an endpoint has answered it whole.
+    /// Sends the call to endpoints until one returns a complete response.
     async fn exchange_recorded(
         &self,
         attempts: &mut Attempts<'_>,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Records how the call ended, and only then answers the caller.
+    /// Records the outcome of the call, then builds the response to the caller.
     async fn conclude(
         self: &Arc<Self>,
         accepted: &AcceptedCall,
@@ -210,7 +210,7 @@
         match (self.record(claim, end).await, result) {
             (Ok(()), result) => result,
             (Err(unrecorded), Ok(_)) => Err(unrecorded),
-            // What is known of the call stays true, whether it is recorded or not.
+            // The refusal is accurate whether or not it was recorded.
             (Err(_), Err(refusal)) => Err(refusal),
         }
     }
@@ -274,7 +274,8 @@
             return Err(unavailable("the program groups are not known yet"));
         }
         begin.endpoint = slot.endpoint.name.to_string();
-        // A proposal of its own: an earlier one with the same number would get its first answer.
+        // A new number for each proposal: with the same number, the ledger would return the first
+        // result again.
         begin.attempt = self.attempts.fetch_add(1, Ordering::Relaxed);
         let group = match &begin.program {
             Some(program) => group_of(&begin.team, program, groups),
@@ -311,6 +312,7 @@
         }
     }
 
+    /// Records in the ledger that the call is sent to the endpoint of `slot`.
     pub(crate) async fn record_dispatch(
         &self,
         claim: &mut Claim,
@@ -334,7 +336,7 @@
     }
 }
 
-/// Whether an answer is a stream of events.
+/// Whether the response is an event stream.
 pub(crate) fn is_event_stream(headers: &HeaderMap) -> bool {
     headers
         .get(http::header::CONTENT_TYPE)
@@ -345,7 +347,7 @@
     if idempotent { CallKind::Idempotent } else { CallKind::NonIdempotent }
 }
 
-/// Digest of everything that makes two calls the same call.
+/// Returns the digest of method, path and body, which identifies copies of a call.
 fn body_digest(accepted: &AcceptedCall) -> Bytes {
     let parts = &accepted.prepared.parts;
     let mut hasher = blake3::Hasher::new();
@@ -360,12 +362,13 @@
     Refusal::not_run(Code::Unavailable, message.to_owned()).retry_after(DEFAULT_RETRY_AFTER)
 }
 
-/// The call was not dispatched, whatever became of its begin: the claim, if there is one, is only
-/// used by this task, which gives up here.
+/// Refusal of a call that was not dispatched because the ledger failed. If the begin was committed,
+/// its claim is not used, since only this task could use it.
 fn ledger_unavailable(error: LedgerError) -> Refusal {
     unavailable(&error.to_string())
 }
 
+/// Converts a negative answer of the ledger to a refusal.
 pub(crate) fn refusal_for(answer: &ledger_answer::Answer) -> Refusal {
     use ledger_answer::Answer;
     let not_run = |code, message: &'static str| Refusal::not_run(code, message);
--- a/crates/server/src/entry/record.rs
+++ b/crates/server/src/entry/record.rs
@@ -1,4 +1,4 @@
-//! What the ledger keeps of an answer, and how it is recorded.
+//! Recording of call outcomes in the ledger.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,14 +15,14 @@
 };
 
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How long a caller waits for its answer to be recorded.
+/// Maximum time that a caller waits for its response to be recorded.
 const RECORD_WAIT: Duration = Duration::from_secs(5);
-/// How long a command whose outcome matters is offered to the ledger.
+/// Maximum time for which a command that must not be lost is resent to the ledger.
 pub(crate) const RECORD_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl EntryHandler {
-    /// Commits the end of a call. When that takes too long it goes on in the background, and the
-    /// caller is told that the call ran.
+    /// Commits the end of a call. After [`RECORD_WAIT`] the commit continues in the background and
+    /// a refusal is returned, which states that the call was executed.
     pub(crate) async fn record(
         self: &Arc<Self>,
         claim: Claim,
@@ -30,7 +30,7 @@
     ) -> Result<(), Refusal> {
         let end = End { call: Some(claim.call), claim: claim.number, outcome: Some(outcome) };
         let this = self.clone();
-        // In a task of its own: the caller may go away while the end is being committed.
+        // A separate task, since the caller may disconnect while the end is being committed.
         let recording = tokio::spawn(async move {
             let deadline = Instant::now() + RECORD_TIMEOUT;
             let command = ledger_command::Command::End(end);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes back a begin whose outcome is unknown, so that the call does not count as running.
+    /// Cancels a begin whose outcome is unknown, so that the call does not count as running.
     pub(crate) fn cancel_begin(self: &Arc<Self>, group: u32, begin: Begin) {
         let this = self.clone();
         let mut call = CallId {
@@ -67,7 +67,7 @@
         };
         tokio::spawn(async move {
             let deadline = Instant::now() + RECORD_TIMEOUT;
-            // The same proposal again: it gets the answer of the first one.
+            // The same proposal again, which returns the result of the first one.
             let command = ledger_command::Command::Begin(begin);
             let answer = this.ledger.command(group, command, deadline).await;
             let Ok(ledger_answer::Answer::Granted(granted)) = answer else { return };
@@ -77,13 +77,16 @@
             let command = ledger_command::Command::End(end);
             if let Err(e) = this.ledger.command(group, command, deadline).await {
                 let error = e.to_string();
-                log::warn!(error = error.as_str(); "a claim that was not used stays open");
+                log::warn!(
+                    error = error.as_str();
+                    "cannot cancel an unused claim; it stays open until it expires"
+                );
             }
         });
     }
 }
 
-/// Answers with what was recorded for an earlier copy of the call.
+/// Builds the response that was recorded for an earlier copy of the call.
 pub(crate) fn replay(answer: ledger::Answer) -> Result<Response<ResponseBody>, Refusal> {
     let status = u16::try_from(answer.status).ok().and_then(|s| StatusCode::from_u16(s).ok());
     let status = status.ok_or_else(|| unavailable("the recorded answer is malformed"))?;
@@ -92,7 +95,8 @@
     Ok(build_response(status, headers, answer.body))
 }
 
-/// Encodes headers for the ledger, which keeps them as they are.
+/// Encodes headers as a JSON array of pairs, which the ledger stores unchanged. Values that are not
+/// visible ASCII are dropped.
 pub(crate) fn encode_headers(headers: &HeaderMap) -> Bytes {
     let pairs: Vec<(&str, &str)> = headers
         .iter()
@@ -112,7 +116,7 @@
         .collect()
 }
 
-/// Tokens that the engine says it generated.
+/// Returns the number of generated tokens that the engine reports.
 pub(crate) fn completion_tokens(body: &[u8]) -> Option<u64> {
     #[derive(serde::Deserialize)]
     struct Usage {
--- a/crates/server/src/entry/stream.rs
+++ b/crates/server/src/entry/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed answers, relayed as they arrive.
+//! Relaying of streamed responses.
 
 use std::sync::Arc;
 
@@ -22,13 +22,13 @@
     telemetry,
 };
 
-/// Longest time between two events of an engine.
+/// Maximum time between two chunks from an engine.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for an engine to end its body after the terminal event.
+/// Maximum time for an engine to end its body after the terminal event.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl EntryHandler {
-    /// Runs a streamed call that the ledger does not record.
+    /// Runs a streamed call that is not recorded in the ledger.
     pub(crate) async fn run_stream(
         self: Arc<Self>,
         accepted: AcceptedCall,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Starts to relay an answer; it goes on in a task of its own.
+    /// Starts relaying a response in a separate task.
     pub(crate) fn relay(
         self: Arc<Self>,
         accepted: AcceptedCall,
@@ -88,14 +88,17 @@
                 slot.finish(DispatchOutcome::Answered { first_byte, tokens });
             }
             StreamEnd::CallerGone => {
-                // Closing the connection is what cancels the call at the engine.
+                // Closing the connection cancels the call at the engine.
                 drop(body);
                 drop(reuse);
                 slot.finish(DispatchOutcome::Abandoned);
             }
             StreamEnd::Failed(e) => {
                 let (cause, endpoint) = (e.to_string(), slot.endpoint.name.to_string());
-                log::warn!(endpoint = endpoint.as_str(), cause = cause.as_str(); "stream failed");
+                log::warn!(
+                    endpoint = endpoint.as_str(), cause = cause.as_str();
+                    "response stream from the endpoint failed"
+                );
                 let endpoint = slot.endpoint.clone();
                 slot.finish(DispatchOutcome::Failed);
                 if let ResponseError::Truncated(_) = e {
@@ -108,11 +111,11 @@
             }
         }
         let head = (u32::from(status.as_u16()), encode_headers(&headers));
-        // Boxed, so that it takes no memory while the stream runs.
+        // Boxed, so that it uses no memory while the stream is running.
         Box::pin(self.end_stream(&accepted, claim, head, relayed, &tx)).await;
     }
 
-    /// Records the end of the stream, and only then passes on its last event.
+    /// Records the end of the stream in the ledger, then sends the last event to the caller.
     async fn end_stream(
         self: &Arc<Self>,
         accepted: &AcceptedCall,
@@ -137,9 +140,9 @@
             Some(claim) => self.record(claim, outcome).await,
             None => Ok(()),
         };
-        // Without its last chunk the answer is not whole for the caller.
+        // Without the last chunk, the caller detects that the response is incomplete.
         if let (StreamEnd::Complete { last }, Ok(())) = (relayed.end, recorded) {
-            // An error means that the caller has gone.
+            // An error means that the caller has disconnected.
             let _ = tx.send(Chunk::Final(last)).await;
         }
     }
--- a/crates/server/src/membership/heartbeat.rs
+++ b/crates/server/src/membership/heartbeat.rs
@@ -124,7 +124,10 @@
             self.membership.drop_lease();
             let incarnation = new_incarnation();
             self.identity.incarnation.store(incarnation, Ordering::Relaxed);
-            log::warn!(incarnation; "instance was declared gone; continuing with a new incarnation");
+            log::warn!(
+                incarnation;
+                "instance was declared gone; continuing with a new incarnation"
+            );
         }
     }
 
@@ -156,7 +159,10 @@
         // Logs once per outage and then every 100 failures, instead of on every heartbeat.
         if failures == 4 || failures.is_multiple_of(100) {
             let error = format!("{error:#}");
-            log::warn!(error = error.as_str(), failures; "cannot renew the lease: heartbeats are failing");
+            log::warn!(
+                error = error.as_str(), failures;
+                "cannot renew the lease: heartbeats are failing"
+            );
         }
     }
 }
--- a/crates/server/src/membership/mod.rs
+++ b/crates/server/src/membership/mod.rs
@@ -1,7 +1,7 @@
 //! An instance's view of the fleet: the objects in force, the live instances, and its own lease.
 //!
-//! The heartbeat task is the only writer; all other tasks read consistent snapshots. After a restart
-//! an instance has no lease and fetches the current state with its first heartbeats.
+//! The heartbeat task is the only writer; all other tasks read consistent snapshots. After a
+//! restart an instance has no lease and fetches the current state with its first heartbeats.
 
 mod discovery;
 mod heartbeat;
--- a/crates/server/src/programs/mod.rs
+++ b/crates/server/src/programs/mod.rs
@@ -1,7 +1,7 @@
-//! The entry's side of the ledger of programs: finds the group and its leader, and resends.
+//! Client of the program ledger: locates group leaders and resends commands.
 //!
-//! The ledger itself is owned by the replicas of the program's group. Commands carry numbers of
-//! their own, so that a command resent after a lost answer changes nothing twice.
+//! The ledger is stored by the replicas of the program's group. Commands carry unique numbers, so a
+//! command that is resent after a lost response is applied only once.
 
 mod peer_ledger;
 
@@ -14,23 +14,23 @@
 
 pub(crate) use peer_ledger::PeerLedger;
 
-/// Why the ledger gave no answer.
+/// Why a request to the ledger failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LedgerError {
-    /// The command was certainly not carried out.
+    /// The command was not executed.
     #[error("the ledger of programs cannot be reached: {0}")]
     Unavailable(String),
-    /// The command may have been carried out.
+    /// The command may have been executed.
     #[error("the ledger of programs gave no answer: {0}")]
     Unknown(String),
 }
 
-/// Time after which an unanswered command is resent.
+/// Pause before a failed command is resent.
 pub(crate) const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Carries commands and queries to the program groups.
+/// Sends commands and queries to the program groups.
 pub(crate) trait Ledger: Send + Sync {
-    /// Number of program groups; 0 while it is not known yet.
+    /// Returns the number of program groups, or 0 if it is not known yet.
     fn groups(&self) -> u32;
 
     /// Commits a command in a group, resending it until `deadline`.
@@ -41,7 +41,7 @@
         deadline: Instant,
     ) -> BoxFuture<'_, Result<ledger_answer::Answer, LedgerError>>;
 
-    /// Asks a question of a group.
+    /// Executes an encoded query in a group, resending it until `deadline`.
     fn query(
         &self,
         group: u32,
--- a/crates/server/src/programs/peer_ledger.rs
+++ b/crates/server/src/programs/peer_ledger.rs
@@ -1,4 +1,4 @@
-//! Reaches the program groups over the peer port.
+//! [`Ledger`] client that uses the peer protocol.
 
 use std::{
     net::SocketAddr,
@@ -28,7 +28,7 @@
     client: PeerClient,
     directory: Arc<Directory>,
     membership: Arc<Membership>,
-    /// Believed leader of each group, by group number.
+    /// Presumed leader of each group, indexed by group number.
     leaders: Mutex<Vec<Option<SocketAddr>>>,
 }
 
@@ -53,7 +53,8 @@
         leaders[group as usize] = leader;
     }
 
-    /// Sends one call to the leader of the group, trying replicas in turn until `deadline`.
+    /// Sends a call to the leader of the group. Tries the replicas in turn while the leader is not
+    /// known, until `deadline`.
     async fn call(&self, call: LedgerCall, deadline: Instant) -> Result<Bytes, LedgerError> {
         let group = call.group;
         let mut may_have_run = false;
@@ -78,7 +79,7 @@
             if Instant::now() + RESEND_INTERVAL >= deadline {
                 break;
             }
-            // The first replica asked often names the leader, which is then asked at once.
+            // The first replica often returns the leader, which is then tried without a pause.
             if attempt > 0 || self.leader(group).is_none() {
                 tokio::time::sleep(RESEND_INTERVAL).await;
             }
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Notes what a failed call tells about the leader; true when the call may have been carried out.
+    /// Updates the presumed leader after a failed call. Returns whether the call may have been
+    /// executed.
     fn handle_error(&self, group: u32, error: &CallError) -> bool {
         match error {
             CallError::Failed(failure) => {
@@ -136,7 +138,7 @@
         command: ledger_command::Command,
         deadline: Instant,
     ) -> BoxFuture<'_, Result<ledger_answer::Answer, LedgerError>> {
-        // The leader stamps the time.
+        // The leader sets the time.
         let command = LedgerCommand { now_ms: 0, command: Some(command) };
         let command = Bytes::from(command.encode_to_vec());
         Box::pin(async move {
--- a/crates/server/src/schedule/endpoints.rs
+++ b/crates/server/src/schedule/endpoints.rs
@@ -286,7 +286,10 @@
         let state = &mut self.endpoints[i];
         state.failures += 1;
         if state.failures == MAX_CONSECUTIVE_FAILURES {
-            log::warn!(endpoint = &*state.name; "endpoint is unhealthy; no calls until it responds to a load request");
+            log::warn!(
+                endpoint = &*state.name;
+                "endpoint is unhealthy; no calls until it responds to a load request"
+            );
             self.fleet.set_healthy(state.id, false);
         }
     }
--- a/crates/server/src/schedule/fair.rs
+++ b/crates/server/src/schedule/fair.rs
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Sends results to queued calls. Must be called without the lock, since a slot whose caller has
-    /// disconnected is released immediately, which acquires the lock.
+    /// Sends results to queued calls. Must be called without the lock, since a slot whose caller
+    /// has disconnected is released immediately, which acquires the lock.
     fn notify(&self, resolved: Vec<Resolution>) {
         for (assignment, spec) in resolved.into_iter().filter_map(Resolution::notify) {
             drop(self.slot(assignment, &spec));
--- a/crates/server/src/schedule/mod.rs
+++ b/crates/server/src/schedule/mod.rs
@@ -1,7 +1,7 @@
 //! Scheduling of calls and their assignment to endpoints.
 //!
-//! The state is local to this instance and is not persisted. After a restart, endpoints count as cold
-//! and their caches as empty until they have reported.
+//! The state is local to this instance and is not persisted. After a restart, endpoints count as
+//! cold and their caches as empty until they have reported.
 
 mod endpoints;
 mod fair;
--- a/crates/server/src/schedule/queues.rs
+++ b/crates/server/src/schedule/queues.rs
@@ -230,12 +230,12 @@
     }
 }
 
-/// Takes the next call from the queue. While the group is full, calls of teams within their share may
-/// wait at the engines, which serve them first by priority; other calls stay in this queue.
+/// Takes the next call from the queue. While the group is full, calls of teams within their share
+/// may wait at the engines, which serve them first by priority; other calls stay in this queue.
 ///
 /// An instance without calls in flight at the group may send one even if the group is full. It sees
-/// free capacity only in load reports, and instances with calls in flight would always use it first,
-/// since they send the next call as soon as one of theirs ends.
+/// free capacity only in load reports, and instances with calls in flight would always use it
+/// first, since they send the next call as soon as one of theirs ends.
 fn pop_next(
     queue: &mut FairQueue<QueuedCall>,
     priorities: Option<&Priorities>,
