--- a/crates/server/src/admission/fleet.rs
+++ b/crates/server/src/admission/fleet.rs
@@ -13,8 +13,8 @@
 use futures::future::BoxFuture;
 use poplarspan_objects::{Name, ObjectSet};
 use poplarspan_policy::rate::{
-    Admission as Admitted, Answer, Ask, Claim, Limit, MIN_VALIDITY, Owners, Permit, Share,
-    ShareConfig, Ticket, Verdict, View, owner_of,
+    Admission as Admitted, Answer, Claim, InstanceBucket, InstanceBucketConfig, Limit,
+    MIN_VALIDITY, OwnedBuckets, Permit, Ticket, TokenRequest, Verdict, View, owner_of,
 };
 use poplarspan_proto::peer::{self, FailureCode, rate_answer, rate_request, request, response};
 use tokio::{
@@ -38,7 +38,7 @@
 /// State of a team with recent calls at this instance.
 struct ActiveTeam {
     team: Name,
-    share: Share,
+    share: InstanceBucket,
     /// Waiting calls, sorted by ticket.
     waiting: Vec<(Ticket, oneshot::Sender<Verdict>)>,
     owner: Option<Name>,
@@ -46,7 +46,7 @@
 }
 
 struct State {
-    owners: Owners,
+    owners: OwnedBuckets,
     /// Sorted by team.
     active: Vec<ActiveTeam>,
     epoch: u64,
@@ -70,7 +70,7 @@
         membership: Arc<Membership>,
         client: PeerClient,
     ) -> Arc<Self> {
-        let owners = Owners::new(local_name.clone(), session, LEASE, MIN_VALIDITY);
+        let owners = OwnedBuckets::new(local_name.clone(), session, LEASE, MIN_VALIDITY);
         Arc::new_cyclic(|weak_self| Self {
             local_name,
             membership,
@@ -121,7 +121,7 @@
                 active.share.on_new_owner(now);
             }
         }
-        state.owners.observe(&View { epoch: snapshot.view.epoch, instances }, now);
+        state.owners.observe_view(&View { epoch: snapshot.view.epoch, instances }, now);
     }
 
     /// Requests the transfer of a bucket from its previous owner. Without the transfer, this
@@ -182,7 +182,7 @@
         next.saturating_sub(now).max(Duration::from_millis(1))
     }
 
-    fn ask(&self, snapshot: &Snapshot, team: Name, owner: Option<Name>, ask: Ask) {
+    fn ask(&self, snapshot: &Snapshot, team: Name, owner: Option<Name>, ask: TokenRequest) {
         let Some(owner) = owner else { return };
         if owner == self.local_name {
             if let Ok(answer) = self.answer_as_owner(snapshot, &team, &ask) {
@@ -195,7 +195,7 @@
         tokio::spawn(this.ask_remote(team, member.address, ask));
     }
 
-    async fn ask_remote(self: Arc<Self>, team: Name, address: SocketAddr, ask: Ask) {
+    async fn ask_remote(self: Arc<Self>, team: Name, address: SocketAddr, ask: TokenRequest) {
         let id = ask.id;
         let body = Some(rate_request::Body::Ask(wire::encode_ask(&ask)));
         let request = request::Body::Rate(peer::RateRequest { team: team.to_string(), body });
@@ -214,7 +214,7 @@
         &self,
         snapshot: &Snapshot,
         team: &Name,
-        ask: &Ask,
+        ask: &TokenRequest,
     ) -> Result<rate_answer::Body, peer::Failure> {
         if !snapshot.lease_valid() {
             return Err(failure(FailureCode::Unavailable, "the owner has no lease"));
@@ -274,7 +274,11 @@
             Err(i) => {
                 let instances: Vec<Name> =
                     snapshot.view.members.iter().map(|m| m.name.clone()).collect();
-                let share = Share::new(self.local_name.clone(), limit, ShareConfig::default());
+                let share = InstanceBucket::new(
+                    self.local_name.clone(),
+                    limit,
+                    InstanceBucketConfig::default(),
+                );
                 let active = ActiveTeam {
                     team: team.clone(),
                     share,
--- a/crates/server/src/control/service.rs
+++ b/crates/server/src/control/service.rs
@@ -155,7 +155,7 @@
         // has expired. The barrier precedes reading the changes, so that an instance without a data
         // folder never restarts with older objects than were in force.
         self.leader_read_barrier().await?;
-        if self.catalog().groups() == 0 {
+        if self.catalog().group_count() == 0 {
             // The count is part of the view, which is sent again only when its epoch changes.
             let message = "the number of program groups is not fixed yet";
             return Err(failed(FailureCode::Unavailable, message));
@@ -213,7 +213,7 @@
             grant.view = Some(peer::View {
                 epoch: view.epoch,
                 members: members.collect(),
-                program_groups: catalog.groups(),
+                program_groups: catalog.group_count(),
             });
         }
         grant
--- a/crates/server/src/control/sweep.rs
+++ b/crates/server/src/control/sweep.rs
@@ -80,7 +80,7 @@
     }
 
     async fn fix_group_count(&self) -> anyhow::Result<()> {
-        if self.control.catalog().groups() != 0 {
+        if self.control.catalog().group_count() != 0 {
             return Ok(());
         }
         let fix = ledger::FixGroups { groups: self.program_groups };
@@ -110,7 +110,7 @@
     /// 0 repeats all notifications, since the previous one may have failed before sending them. The
     /// command is idempotent.
     async fn notify_groups(&self, notified: &mut Vec<(String, u64)>) {
-        let gone = self.control.catalog().gone();
+        let gone = self.control.catalog().gone_instances();
         for (instance, incarnation) in gone {
             let key = (instance, incarnation);
             if notified.contains(&key) {
--- a/crates/server/src/crashes.rs
+++ b/crates/server/src/crashes.rs
@@ -47,7 +47,7 @@
 
 impl Drop for SuspectGuard {
     fn drop(&mut self) {
-        self.crashes.table().end_suspect(&self.endpoint, self.fingerprint);
+        self.crashes.table().release_endpoint(&self.endpoint, self.fingerprint);
     }
 }
 
@@ -84,7 +84,7 @@
         endpoint: &Name,
         fingerprint: Fingerprint,
     ) -> Option<SuspectGuard> {
-        let begun = self.table().begin_suspect(endpoint, fingerprint);
+        let begun = self.table().reserve_endpoint(endpoint, fingerprint);
         begun.then(|| SuspectGuard {
             crashes: self.clone(),
             endpoint: endpoint.clone(),
@@ -146,7 +146,7 @@
         self.changed.notify_one();
         // Bounded by the deadline: an instance without a lease receives no new views, so peers that
         // have left stay in its view and never acknowledge.
-        while !self.table().is_settled(fingerprint) && Instant::now() < deadline {
+        while !self.table().is_replicated(fingerprint) && Instant::now() < deadline {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
@@ -206,7 +206,7 @@
         match self.client.call(address, request::Body::Crashes(reports), CALL_TIMEOUT).await {
             Ok(response::Body::Crashes(stored)) => {
                 let stored: Vec<Crash> = stored.reports.iter().filter_map(decode_report).collect();
-                self.table().acknowledged(&key.0, &stored);
+                self.table().acknowledge(&key.0, &stored);
                 Some(key)
             }
             _ => None,
@@ -239,10 +239,10 @@
     loop {
         match crashes.admission(fingerprint) {
             Admission::Anywhere => return Some(Vec::new()),
-            Admission::OneMore(endpoints) => return Some(endpoints),
+            Admission::Excluding(endpoints) => return Some(endpoints),
             Admission::Refused => return None,
-            Admission::NotYet if Instant::now() + POLL_INTERVAL >= deadline => return None,
-            Admission::NotYet => tokio::time::sleep(POLL_INTERVAL).await,
+            Admission::Pending if Instant::now() + POLL_INTERVAL >= deadline => return None,
+            Admission::Pending => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/server/src/entry/attempt.rs
+++ b/crates/server/src/entry/attempt.rs
@@ -222,7 +222,7 @@
 impl<'a> Attempts<'a> {
     pub(crate) fn new(entry: &'a EntryHandler, call: &'a PreparedCall) -> Self {
         if let Some(team) = &call.spec.team {
-            entry.retries().attempted(team);
+            entry.retries().record_attempt(team);
         }
         let (ran, last_cause) = (Executed::No, String::new());
         Self { entry, call, tried: Vec::new(), failures: 0, ran, last_cause, claim: None }
@@ -282,7 +282,7 @@
         let until = self.call.deadline.min(Instant::now() + CRASH_REPORT_DELAY);
         while Instant::now() < until {
             match self.entry.crashes.admission(fingerprint) {
-                Admission::OneMore(endpoints) if endpoints.len() == crashed.len() => {}
+                Admission::Excluding(endpoints) if endpoints.len() == crashed.len() => {}
                 _ => return false,
             }
             tokio::time::sleep(SUSPECT_POLL_INTERVAL).await;
--- a/crates/server/src/schedule/queues.rs
+++ b/crates/server/src/schedule/queues.rs
@@ -7,7 +7,10 @@
 
 use poplarspan_objects::Name;
 use poplarspan_policy::{
-    fair::{Call, Entry, FairQueue, Full, InFlight, LasDeadline, Priorities, QueueConfig, QueueId},
+    fair::{
+        Call, Entry, FairQueue, InFlightLimit, LasDeadline, Priorities, QueueConfig, QueueFull,
+        QueueId,
+    },
     route::NoRoute,
 };
 use tokio::sync::oneshot;
@@ -68,14 +71,14 @@
     available: bool,
 }
 
-impl InFlight for FixedCapacity {
+impl InFlightLimit for FixedCapacity {
     fn has_room(&self, _now: Duration) -> bool {
         self.available
     }
 
     // Calls in flight are counted by `Endpoints`.
-    fn began(&mut self, _cost: u64) {}
-    fn ended(&mut self, _cost: u64) {}
+    fn acquire(&mut self, _cost: u64) {}
+    fn release(&mut self, _cost: u64) {}
 }
 
 impl Queues {
@@ -109,7 +112,7 @@
         };
         match group.queue.push(call, now) {
             Ok(id) => Ok((id, rx)),
-            Err(Full::Team(_) | Full::Queue(_)) => {
+            Err(QueueFull::Team(_) | QueueFull::Queue(_)) => {
                 Err(overloaded("the queue is full", DEFAULT_RETRY_AFTER))
             }
         }
@@ -139,7 +142,7 @@
                     let result = Ok(Assignment { endpoint, priority });
                     resolved.push(Resolution { queued: entry.call.payload, result });
                 }
-                Err(NoRoute::Full | NoRoute::NoneOpen) => {
+                Err(NoRoute::Full | NoRoute::NoneAvailable) => {
                     let untried = queued.tried.is_empty();
                     skipped.push(entry);
                     if untried {
@@ -252,7 +255,7 @@
         return queue.pop(&mut capacity, now);
     }
     let priorities = priorities?;
-    queue.pop_where(&mut capacity, now, |team| priorities.within_part(team))
+    queue.pop_where(&mut capacity, now, |team| priorities.is_within_share(team))
 }
 
 impl GroupQueue {
