--- a/crates/server/src/admission/fleet.rs
+++ b/crates/server/src/admission/fleet.rs
@@ -29,7 +29,7 @@
     peer::PeerClient,
 };
 
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum time between polls. A call that needs tokens triggers a poll earlier.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Time without calls after which the state of a team is dropped.
@@ -38,7 +38,7 @@
 /// State of a team with recent calls at this instance.
 struct ActiveTeam {
     team: Name,
-    share: InstanceBucket,
+    bucket: InstanceBucket,
     /// Waiting calls, sorted by ticket.
     waiting: Vec<(Ticket, oneshot::Sender<Verdict>)>,
     owner: Option<Name>,
@@ -118,7 +118,7 @@
             let owner = owner_of(&active.team, &instances);
             if owner != active.owner.as_ref() {
                 active.owner = owner.cloned();
-                active.share.on_new_owner(now);
+                active.bucket.on_new_owner(now);
             }
         }
         state.owners.observe_view(&View { epoch: snapshot.view.epoch, instances }, now);
@@ -137,8 +137,8 @@
     async fn claim_remote(self: Arc<Self>, address: SocketAddr, claim: Claim) {
         let team = claim.team.clone();
         let body = Some(rate_request::Body::Claim(wire::encode_claim(&claim)));
-        let request = request::Body::Rate(peer::RateRequest { team: team.to_string(), body });
-        let answer = self.client.call(address, request, ASK_TIMEOUT).await;
+        let call = request::Body::Rate(peer::RateRequest { team: team.to_string(), body });
+        let answer = self.client.call(address, call, REQUEST_TIMEOUT).await;
         // Without the transfer, this instance waits until the grants of the previous owner expire.
         let Ok(response::Body::Rate(peer::RateAnswer { body: Some(answer) })) = answer else {
             return;
@@ -158,53 +158,64 @@
     fn poll(&self) -> Duration {
         let snapshot = self.membership.load();
         let now = self.now();
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         let mut next = now + MAX_POLL_INTERVAL;
         {
             let mut state = self.state();
             state.owners.prune(now);
             for active in &mut state.active {
-                let expired = active.share.expire(now);
+                let expired = active.bucket.expire(now);
                 active.resolve(expired);
-                if let Some(ask) = active.share.poll(now) {
-                    asks.push((active.team.clone(), active.owner.clone(), ask));
+                if let Some(request) = active.bucket.poll(now) {
+                    requests.push((active.team.clone(), active.owner.clone(), request));
                 }
                 let next_due =
-                    active.share.next_poll(now).into_iter().chain(active.share.next_deadline());
+                    active.bucket.next_poll(now).into_iter().chain(active.bucket.next_deadline());
                 next = next_due.fold(next, Duration::min);
             }
             state.active.retain(|a| !a.waiting.is_empty() || now < a.used_at + IDLE_TEAM_TTL);
         }
-        for (team, owner, ask) in asks {
-            self.ask(&snapshot, team, owner, ask);
+        for (team, owner, request) in requests {
+            self.request_tokens(&snapshot, team, owner, request);
         }
-        // Prevents a busy loop if a share is always due.
+        // Prevents a busy loop if a bucket is always due.
         next.saturating_sub(now).max(Duration::from_millis(1))
     }
 
-    fn ask(&self, snapshot: &Snapshot, team: Name, owner: Option<Name>, ask: TokenRequest) {
+    fn request_tokens(
+        &self,
+        snapshot: &Snapshot,
+        team: Name,
+        owner: Option<Name>,
+        request: TokenRequest,
+    ) {
         let Some(owner) = owner else { return };
         if owner == self.local_name {
-            if let Ok(answer) = self.answer_as_owner(snapshot, &team, &ask) {
-                self.handle_answer(&team, ask.id, answer);
+            if let Ok(answer) = self.answer_as_owner(snapshot, &team, &request) {
+                self.handle_answer(&team, request.id, answer);
             }
             return;
         }
         let Some(member) = snapshot.view.member(&owner) else { return };
         let Some(this) = self.weak_self.upgrade() else { return };
-        tokio::spawn(this.ask_remote(team, member.address, ask));
+        tokio::spawn(this.request_tokens_remote(team, member.address, request));
     }
 
-    async fn ask_remote(self: Arc<Self>, team: Name, address: SocketAddr, ask: TokenRequest) {
-        let id = ask.id;
-        let body = Some(rate_request::Body::Ask(wire::encode_ask(&ask)));
-        let request = request::Body::Rate(peer::RateRequest { team: team.to_string(), body });
-        match self.client.call(address, request, ASK_TIMEOUT).await {
+    async fn request_tokens_remote(
+        self: Arc<Self>,
+        team: Name,
+        address: SocketAddr,
+        request: TokenRequest,
+    ) {
+        let id = request.id;
+        let body = Some(rate_request::Body::Ask(wire::encode_ask(&request)));
+        let call = request::Body::Rate(peer::RateRequest { team: team.to_string(), body });
+        match self.client.call(address, call, REQUEST_TIMEOUT).await {
             Ok(response::Body::Rate(peer::RateAnswer { body: Some(answer) })) => {
                 self.handle_answer(&team, id, answer);
             }
             Ok(_) => {}
-            // The share repeats the request after its own timeout.
+            // The bucket repeats the request after its own timeout.
             Err(e) => log::debug!("token request to a rate bucket owner failed: {e}"),
         }
     }
@@ -214,7 +225,7 @@
         &self,
         snapshot: &Snapshot,
         team: &Name,
-        ask: &TokenRequest,
+        request: &TokenRequest,
     ) -> Result<rate_answer::Body, peer::Failure> {
         if !snapshot.lease_valid() {
             return Err(failure(FailureCode::Unavailable, "the owner has no lease"));
@@ -222,7 +233,7 @@
         let limit = limit(&snapshot.objects, team)
             .ok_or_else(|| failure(FailureCode::Invalid, "unknown team"))?;
         let now = self.now();
-        let answer = self.state().owners.request(team, limit, ask, now);
+        let answer = self.state().owners.request(team, limit, request, now);
         Ok(match answer {
             Answer::Granted(grant) => rate_answer::Body::Grant(wire::encode_grant(&grant)),
             Answer::NotOwner(_) => rate_answer::Body::NotOwner(peer::RateNotOwner {}),
@@ -234,20 +245,20 @@
         })
     }
 
-    fn handle_answer(&self, team: &Name, ask: u64, answer: rate_answer::Body) {
+    fn handle_answer(&self, team: &Name, request_id: u64, answer: rate_answer::Body) {
         let now = self.now();
         let mut state = self.state();
         let Ok(i) = state.active.binary_search_by(|a| a.team.cmp(team)) else { return };
         let active = &mut state.active[i];
         let resolved = match answer {
             rate_answer::Body::Grant(grant) => {
-                active.share.on_grant(ask, &wire::decode_grant(&grant), now)
+                active.bucket.on_grant(request_id, &wire::decode_grant(&grant), now)
             }
             rate_answer::Body::Starting(starting) => {
                 let wait = Duration::from_micros(starting.retry_after_us);
-                active.share.on_starting(wait, now)
+                active.bucket.on_starting(wait, now)
             }
-            // The views of the two instances differ temporarily; the share repeats the request.
+            // The views of the two instances differ temporarily; the bucket repeats the request.
             rate_answer::Body::NotOwner(_)
             | rate_answer::Body::Transfer(_)
             | rate_answer::Body::Kept(_) => return,
@@ -274,14 +285,14 @@
             Err(i) => {
                 let instances: Vec<Name> =
                     snapshot.view.members.iter().map(|m| m.name.clone()).collect();
-                let share = InstanceBucket::new(
+                let bucket = InstanceBucket::new(
                     self.local_name.clone(),
                     limit,
                     InstanceBucketConfig::default(),
                 );
                 let active = ActiveTeam {
                     team: team.clone(),
-                    share,
+                    bucket,
                     waiting: Vec::new(),
                     owner: owner_of(team, &instances).cloned(),
                     used_at: now,
@@ -292,8 +303,8 @@
         };
         let active = &mut state.active[i];
         active.used_at = now;
-        active.share.set_limit(limit);
-        match active.share.acquire(deadline, now) {
+        active.bucket.set_limit(limit);
+        match active.bucket.acquire(deadline, now) {
             Admitted::Granted(permit) => Ok(Acquired::Immediate(permit)),
             Admitted::Refused { retry_after } => Err(rate_limited(retry_after)),
             Admitted::Wait(ticket) => {
@@ -308,7 +319,7 @@
         let mut state = self.state();
         if let Ok(i) = state.active.binary_search_by(|a| a.team.cmp(team)) {
             let active = &mut state.active[i];
-            active.share.cancel(ticket);
+            active.bucket.cancel(ticket);
             active.waiting.retain(|(t, _)| *t != ticket);
         }
     }
@@ -395,8 +406,8 @@
         let snapshot = self.membership.load();
         let team: Name = request.team.as_str().into();
         let body = match request.body {
-            Some(rate_request::Body::Ask(ask)) => {
-                self.answer_as_owner(&snapshot, &team, &wire::decode_ask(ask))?
+            Some(rate_request::Body::Ask(request)) => {
+                self.answer_as_owner(&snapshot, &team, &wire::decode_ask(request))?
             }
             Some(rate_request::Body::Claim(claim)) => {
                 let claim = wire::decode_claim(&team, claim);
--- a/crates/server/src/instance.rs
+++ b/crates/server/src/instance.rs
@@ -339,7 +339,7 @@
         self.stop_accepting.cancel();
         let open = self.listener.await??;
         if open > 0 {
-            log::error!(connections = open; "drain timeout expired; closing connections with open calls");
+            log::error!(connections = open; "drain timeout expired; aborting open calls");
         }
         self.lease_release.leaving.store(true, Ordering::Relaxed);
         self.lease_release.membership.drop_lease();
--- a/crates/server/src/schedule/endpoints.rs
+++ b/crates/server/src/schedule/endpoints.rs
@@ -205,8 +205,8 @@
     /// Returns the number of concurrent calls that the group can take from all instances.
     pub(super) fn capacity(&self, group: &str) -> u32 {
         let members = self.fleet.members(group).unwrap_or(&[]);
-        let open = members.iter().filter(|id| self.fleet.is_available(**id));
-        open.map(|id| self.fleet.spec(*id).capacity).sum()
+        let available = members.iter().filter(|id| self.fleet.is_available(**id));
+        available.map(|id| self.fleet.spec(*id).capacity).sum()
     }
 
     /// Selects an endpoint and counts the call as in flight there.
@@ -216,14 +216,14 @@
         tried: &[Name],
         now: Duration,
     ) -> Result<EndpointRef, NoRoute> {
-        let avoid: Vec<EndpointId> = tried.iter().filter_map(|t| self.fleet.id(t)).collect();
+        let excluded: Vec<EndpointId> = tried.iter().filter_map(|t| self.fleet.id(t)).collect();
         let request = RouteRequest {
             group: &spec.group,
             blocks: &spec.blocks,
             block_tokens: BLOCK_TOKENS,
             prompt_tokens: u32::try_from(spec.prompt_tokens).unwrap_or(u32::MAX),
             last_endpoint: spec.program.as_ref().and_then(|p| self.affine_endpoint(p)),
-            excluded: &avoid,
+            excluded: &excluded,
         };
         let mut rng = rand::rng();
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &request, &mut rng)?;
@@ -296,8 +296,8 @@
 
     /// Returns the names and addresses of all endpoints.
     pub(super) fn list(&self) -> Vec<EndpointRef> {
-        let chosen = |k: &EndpointState| EndpointRef { name: k.name.clone(), address: k.address };
-        self.endpoints.iter().map(chosen).collect()
+        let endpoint = |k: &EndpointState| EndpointRef { name: k.name.clone(), address: k.address };
+        self.endpoints.iter().map(endpoint).collect()
     }
 
     /// Records a load report; `None` counts as a failure.
@@ -316,9 +316,9 @@
             self.prefixes.register(id, blocks);
         }
         self.fleet.set_healthy(id, true);
-        let taken = now.saturating_sub(report.age);
+        let measured_at = now.saturating_sub(report.age);
         let load =
-            LoadReport { running: report.running, queued: report.queued, measured_at: taken };
+            LoadReport { running: report.running, queued: report.queued, measured_at: measured_at };
         self.fleet.report(id, &load);
         self.ramps.observe_run(name, report.run, report.uptime, now);
     }
