--- a/crates/server/src/control/replicas.rs
+++ b/crates/server/src/control/replicas.rs
@@ -2,7 +2,8 @@
 
 use std::{net::SocketAddr, sync::Mutex};
 
-/// Addresses by replica number, from the settings, heartbeats and the catalog. Not persisted.
+/// Addresses by replica number, from the settings, heartbeats and the catalog. Not persisted; they
+/// are collected again after a restart.
 #[derive(Default)]
 pub(crate) struct ReplicaAddresses {
     // Sorted by number.
