--- a/crates/server/src/schedule/endpoints.rs
+++ b/crates/server/src/schedule/endpoints.rs
@@ -317,8 +317,7 @@
         }
         self.fleet.set_healthy(id, true);
         let measured_at = now.saturating_sub(report.age);
-        let load =
-            LoadReport { running: report.running, queued: report.queued, measured_at: measured_at };
+        let load = LoadReport { running: report.running, queued: report.queued, measured_at };
         self.fleet.report(id, &load);
         self.ramps.observe_run(name, report.run, report.uptime, now);
     }
