--- a/crates/server/src/control/publish.rs
+++ b/crates/server/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publications: checked as a whole, then committed by compare-and-set on the generation.
+//! Publications: validated as a whole, then committed by compare-and-set on the generation.
 
 use poplarspan_objects::{Change, ObjectSet, Record};
 use poplarspan_proto::{
@@ -7,34 +7,35 @@
 };
 
 use super::{Control, failed};
-use crate::membership::{read_change, write_change};
+use crate::membership::{decode_change, encode_change};
 
 impl Control {
-    /// Carries out a publication. The checks run again here, since the sender may be older.
+    /// Executes a publication. Validates the objects again, since the sender may run an older
+    /// version.
     pub(crate) async fn publish(
         &self,
         publish: peer::Publish,
     ) -> Result<peer::PublishResult, peer::Failure> {
-        self.lead_and_catch_up().await?;
+        self.leader_read_barrier().await?;
         let operator = self.operator(&publish.operator_key)?;
         if publish.request_id.is_empty() {
             return Err(failed(FailureCode::Invalid, "the request id is empty"));
         }
-        let wanted = read_set(&publish.objects)?;
+        let target = decode_object_set(&publish.objects)?;
         let (generation, current) = self.current_objects()?;
         if generation < publish.expected_generation {
-            // It must not be proposed: if another publication makes the expected generation before
-            // this one is applied, it would be accepted without its changes.
+            // Not proposed: if another publication created the expected generation before this one
+            // is applied, this one would be accepted without its changes.
             let message = format!(
                 "generation {} does not exist: {generation} is current",
                 publish.expected_generation
             );
             return Err(failed(FailureCode::Invalid, &message));
         }
-        // With an older expected generation the publication fails, or it is the resend of an
-        // earlier one: in both cases the changes are not used.
+        // With an older expected generation, the publication either fails or is a retry of an
+        // earlier one. The changes are not used in either case.
         let changes = if generation == publish.expected_generation {
-            current.diff(&wanted).iter().map(catalog_change).collect()
+            current.diff(&target).iter().map(catalog_change).collect()
         } else {
             Vec::new()
         };
@@ -43,7 +44,7 @@
             request_id: publish.request_id,
             operator,
             changes,
-            content_digest: wanted.content_digest().to_vec().into(),
+            content_digest: target.content_digest().to_vec().into(),
         };
         let answer = self.commit(catalog_command::Command::Publish(command)).await?;
         self.publish_result(answer)
@@ -77,20 +78,20 @@
         }
     }
 
-    /// The current objects, for an operator.
+    /// Returns the current generation and objects to an operator.
     pub(crate) async fn objects(&self, key: &str) -> Result<peer::ObjectsReply, peer::Failure> {
-        self.lead_and_catch_up().await?;
+        self.leader_read_barrier().await?;
         self.operator(key)?;
         let (generation, objects) = self.current_objects()?;
         let all = ObjectSet::default().diff(&objects);
-        Ok(peer::ObjectsReply { generation, objects: all.iter().map(write_change).collect() })
+        Ok(peer::ObjectsReply { generation, objects: all.iter().map(encode_change).collect() })
     }
 }
 
-fn read_set(objects: &[peer::Change]) -> Result<ObjectSet, peer::Failure> {
+fn decode_object_set(objects: &[peer::Change]) -> Result<ObjectSet, peer::Failure> {
     let records = objects
         .iter()
-        .map(|change| match read_change(change)? {
+        .map(|change| match decode_change(change)? {
             Change::Upsert(record) => Ok(record),
             Change::Remove { .. } => anyhow::bail!("a published set holds no removals"),
         })
@@ -101,6 +102,6 @@
 }
 
 fn catalog_change(change: &Change) -> ledger::ObjectChange {
-    let peer::Change { kind, name, body } = write_change(change);
+    let peer::Change { kind, name, body } = encode_change(change);
     ledger::ObjectChange { kind, name, body }
 }
--- a/crates/server/src/entry/chat.rs
+++ b/crates/server/src/entry/chat.rs
@@ -1,4 +1,4 @@
-//! The parts of a chat request that decisions need.
+//! Parsing of the chat request fields that routing and accounting need.
 
 use std::{borrow::Cow, collections::BTreeMap, sync::Arc};
 
@@ -10,7 +10,7 @@
 use super::refusal::{Code, Refusal};
 use crate::schedule::BLOCK_TOKENS;
 
-/// Bytes of a prompt that make one token, for estimates before the engine has counted.
+/// Assumed prompt bytes per token, for estimates before the engine reports its count.
 const BYTES_PER_TOKEN: usize = 4;
 
 #[derive(Deserialize)]
@@ -25,26 +25,27 @@
     messages: Vec<&'a RawValue>,
 }
 
-/// What a chat request asks for.
+/// Parsed fields of a chat request.
 #[derive(Debug)]
 pub(crate) struct ChatRequest<'a> {
     pub(crate) model: Option<Cow<'a, str>>,
     pub(crate) stream: bool,
     pub(crate) max_output_tokens: Option<u64>,
-    /// Estimate from the length of the messages.
+    /// Estimated from the length of the messages.
     pub(crate) prompt_tokens: u64,
     messages: Vec<&'a RawValue>,
 }
 
 impl<'a> ChatRequest<'a> {
-    /// Reads a body in the chat completions shape.
+    /// Parses a body in the chat completions format.
     pub(crate) fn read(body: &'a [u8]) -> Result<Self, Refusal> {
-        let bad = |problem: String| {
+        let bad_request = |problem: String| {
             Refusal::not_run(Code::BadRequest, format!("the body is no chat request: {problem}"))
         };
-        let fields: Fields<'_> = serde_json::from_slice(body).map_err(|e| bad(e.to_string()))?;
+        let fields: Fields<'_> =
+            serde_json::from_slice(body).map_err(|e| bad_request(e.to_string()))?;
         if fields.messages.is_empty() {
-            return Err(bad("`messages` is missing or empty".to_owned()));
+            return Err(bad_request("`messages` is missing or empty".to_owned()));
         }
         let total: usize = fields.messages.iter().map(|m| m.get().len()).sum();
         Ok(Self {
@@ -56,7 +57,8 @@
         })
     }
 
-    /// Hash chain over the blocks of the prompt, for a cache that `scope` tells apart.
+    /// Returns the hash chain over the blocks of the prompt. Chains of different `scope`s do not
+    /// match.
     pub(crate) fn blocks(&self, scope: &str) -> Arc<[u64]> {
         let mut chain = PrefixChain::new(scope, BLOCK_TOKENS as usize * BYTES_PER_TOKEN);
         for message in &self.messages {
@@ -66,9 +68,9 @@
     }
 }
 
-/// The body with only those messages that follow the last one of the assistant; None when there is
-/// no such message, or the body has another shape.
-pub(crate) fn since_last_answer(body: &[u8]) -> Option<Bytes> {
+/// Returns the body without the messages up to the last one of the assistant. Returns `None` if
+/// there is no such message or the body has another format.
+pub(crate) fn after_last_assistant_message(body: &[u8]) -> Option<Bytes> {
     #[derive(Deserialize)]
     struct Role<'a> {
         #[serde(borrow)]
@@ -76,12 +78,12 @@
     }
     let fields: BTreeMap<Cow<'_, str>, &RawValue> = serde_json::from_slice(body).ok()?;
     let messages: Vec<&RawValue> = serde_json::from_str(fields.get("messages")?.get()).ok()?;
-    let is_answer = |m: &&RawValue| {
+    let is_assistant = |m: &&RawValue| {
         serde_json::from_str::<Role<'_>>(m.get()).is_ok_and(|r| r.role == "assistant")
     };
-    let last = messages.iter().rposition(is_answer)?;
+    let last = messages.iter().rposition(is_assistant)?;
     let tail = serde_json::value::to_raw_value(&messages[last + 1..]).ok()?;
-    let mut kept = fields;
-    kept.insert(Cow::Borrowed("messages"), &tail);
-    serde_json::to_vec(&kept).ok().map(Bytes::from)
+    let mut shortened = fields;
+    shortened.insert(Cow::Borrowed("messages"), &tail);
+    serde_json::to_vec(&shortened).ok().map(Bytes::from)
 }
--- a/crates/server/src/entry/mod.rs
+++ b/crates/server/src/entry/mod.rs
@@ -1,22 +1,22 @@
-//! The callers' side: HTTP/1.1 and HTTP/2.
+//! HTTP/1.1 and HTTP/2 server for callers.
 //!
-//! Owns the open calls of this instance. When the instance dies its callers see a closed
-//! connection; the ledger of programs says what became of their calls.
+//! Open calls are kept in memory. When the instance fails, the connections to its callers close.
+//! The program ledger records the outcome of calls that belong to programs or run at most once.
 
 mod attempt;
 mod auth;
 mod body;
+mod builtin;
 mod call;
 mod chat;
 mod handler;
 mod listener;
-mod own;
 mod program;
 mod record;
 mod refusal;
 mod stream;
 
 pub(crate) use body::{Chunk, RelaySender};
-pub(crate) use handler::{Entry, HELD_UNIT_BYTES};
+pub(crate) use handler::{EntryHandler, MEMORY_UNIT_BYTES};
 pub(crate) use listener::Listener;
 pub(crate) use refusal::{Code, Refusal};
--- a/crates/server/src/entry/record.rs
+++ b/crates/server/src/entry/record.rs
@@ -1,4 +1,4 @@
-//! What the ledger keeps of an answer, and how it is recorded.
+//! Recording of call outcomes in the ledger.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,21 +8,21 @@
 use tokio::time::Instant;
 
 use super::{
-    body::AnswerBody,
-    handler::{Entry, whole_response},
+    body::ResponseBody,
+    handler::{EntryHandler, build_response},
     program::{Claim, unavailable},
-    refusal::{Code, Ran, Refusal},
+    refusal::{Code, Executed, Refusal},
 };
 
-const COME_BACK: Duration = Duration::from_secs(1);
-/// How long a caller waits for its answer to be recorded.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// How long a command whose outcome matters is offered to the ledger.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum time that a caller waits for its response to be recorded.
+const RECORD_WAIT: Duration = Duration::from_secs(5);
+/// Maximum time for which a command that must not be lost is resent to the ledger.
 pub(crate) const RECORD_TIMEOUT: Duration = Duration::from_secs(60);
 
-impl Entry {
-    /// Commits the end of a call. When that takes too long it goes on in the background, and the
-    /// caller is told that the call ran.
+impl EntryHandler {
+    /// Commits the end of a call. After [`RECORD_WAIT`] the commit continues in the background and
+    /// a refusal is returned, which states that the call was executed.
     pub(crate) async fn record(
         self: &Arc<Self>,
         claim: Claim,
@@ -30,33 +30,34 @@
     ) -> Result<(), Refusal> {
         let end = End { call: Some(claim.call), claim: claim.number, outcome: Some(outcome) };
         let this = self.clone();
-        // In a task of its own: the caller may go away while the end is being committed.
+        // A separate task, since the caller may disconnect while the end is being committed.
         let recording = tokio::spawn(async move {
             let deadline = Instant::now() + RECORD_TIMEOUT;
             let command = ledger_command::Command::End(end);
             this.ledger.command(claim.group, command, deadline).await
         });
-        let lost = |cause: String| {
-            Refusal::with_ran(Code::Unavailable, Ran::Yes, cause).retry_after(COME_BACK)
+        let not_recorded = |cause: String| {
+            Refusal::with_ran(Code::Unavailable, Executed::Yes, cause)
+                .retry_after(DEFAULT_RETRY_AFTER)
         };
-        let patience = tokio::time::timeout(PATIENCE, recording).await;
-        match patience {
+        let recorded = tokio::time::timeout(RECORD_WAIT, recording).await;
+        match recorded {
             Ok(Ok(Ok(ledger_answer::Answer::Recorded(_)))) => Ok(()),
             Ok(Ok(Ok(ledger_answer::Answer::Stale(_)))) => Err(Refusal::with_ran(
                 Code::Conflict,
-                Ran::Yes,
+                Executed::Yes,
                 "the call was taken over by another instance",
             )
-            .retry_after(COME_BACK)),
-            Ok(Ok(Ok(_))) => Err(lost("unexpected answer of the ledger".to_owned())),
-            Ok(Ok(Err(e))) => Err(lost(e.to_string())),
-            Ok(Err(e)) => Err(lost(e.to_string())),
-            Err(_) => Err(lost("the answer is not recorded yet".to_owned())),
+            .retry_after(DEFAULT_RETRY_AFTER)),
+            Ok(Ok(Ok(_))) => Err(not_recorded("unexpected answer of the ledger".to_owned())),
+            Ok(Ok(Err(e))) => Err(not_recorded(e.to_string())),
+            Ok(Err(e)) => Err(not_recorded(e.to_string())),
+            Err(_) => Err(not_recorded("the answer is not recorded yet".to_owned())),
         }
     }
 
-    /// Takes back a begin whose outcome is unknown, so that the call does not count as running.
-    pub(crate) fn take_back(self: &Arc<Self>, group: u32, begin: Begin) {
+    /// Cancels a begin whose outcome is unknown, so that the call does not count as running.
+    pub(crate) fn cancel_begin(self: &Arc<Self>, group: u32, begin: Begin) {
         let this = self.clone();
         let mut call = CallId {
             team: begin.team.clone(),
@@ -66,7 +67,7 @@
         };
         tokio::spawn(async move {
             let deadline = Instant::now() + RECORD_TIMEOUT;
-            // The same proposal again: it gets the answer of the first one.
+            // The same proposal again, which returns the result of the first one.
             let command = ledger_command::Command::Begin(begin);
             let answer = this.ledger.command(group, command, deadline).await;
             let Ok(ledger_answer::Answer::Granted(granted)) = answer else { return };
@@ -76,22 +77,26 @@
             let command = ledger_command::Command::End(end);
             if let Err(e) = this.ledger.command(group, command, deadline).await {
                 let error = e.to_string();
-                log::warn!(error = error.as_str(); "a claim that was not used stays open");
+                log::warn!(
+                    error = error.as_str();
+                    "cannot cancel an unused claim; it stays open until it expires"
+                );
             }
         });
     }
 }
 
-/// Answers with what was recorded for an earlier copy of the call.
-pub(crate) fn replay(answer: ledger::Answer) -> Result<Response<AnswerBody>, Refusal> {
+/// Builds the response that was recorded for an earlier copy of the call.
+pub(crate) fn replay(answer: ledger::Answer) -> Result<Response<ResponseBody>, Refusal> {
     let status = u16::try_from(answer.status).ok().and_then(|s| StatusCode::from_u16(s).ok());
     let status = status.ok_or_else(|| unavailable("the recorded answer is malformed"))?;
     let mut headers = decode_headers(&answer.head);
     headers.insert("x-poplarspan-replay", HeaderValue::from_static("true"));
-    Ok(whole_response(status, headers, answer.body))
+    Ok(build_response(status, headers, answer.body))
 }
 
-/// Encodes headers for the ledger, which keeps them as they are.
+/// Encodes headers as a JSON array of pairs, which the ledger stores unchanged. Values that are not
+/// visible ASCII are dropped.
 pub(crate) fn encode_headers(headers: &HeaderMap) -> Bytes {
     let pairs: Vec<(&str, &str)> = headers
         .iter()
@@ -111,7 +116,7 @@
         .collect()
 }
 
-/// Tokens that the engine says it generated.
+/// Returns the number of generated tokens that the engine reports.
 pub(crate) fn completion_tokens(body: &[u8]) -> Option<u64> {
     #[derive(serde::Deserialize)]
     struct Usage {
--- a/crates/server/src/schedule/endpoints.rs
+++ b/crates/server/src/schedule/endpoints.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of the endpoints: load, cold starts, cached prefixes.
+//! State of the endpoints: load, cold starts and cached prefixes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,55 +13,58 @@
     },
 };
 
-use super::{CallSpec, Chosen, DispatchOutcome, SlotEnd, model_group, service_group};
-use crate::membership::{Known, LEASE};
+use super::{CallSpec, DispatchOutcome, EndpointRef, SlotEnd, model_group, service_group};
+use crate::membership::{LEASE, Snapshot};
 
-/// Tokens of one block of a prompt.
+/// Tokens per prompt block.
 pub(crate) const BLOCK_TOKENS: u32 = 64;
-/// Blocks that the prefix index holds: about 4 million tokens.
-const MAX_BLOCKS: usize = 65_536;
-/// Blocks that an engine's cache is assumed to hold until its load report says so.
+/// Capacity of the prefix index in blocks, about 4 million tokens.
+const MAX_INDEXED_BLOCKS: usize = 65_536;
+/// Assumed cache size of an engine, in blocks, until its load report states one.
 const ASSUMED_CACHE_BLOCKS: u32 = 8192;
-/// Prefill speed that is assumed for engines, in tokens a second.
-const PREFILL_PER_SECOND: f64 = 5000.0;
-/// Service time that is assumed until one has been measured, in seconds.
-const SERVICE_S: f64 = 0.5;
-/// Failures in a row after which an endpoint gets no calls until it answers a load request.
-const UNHEALTHY_AFTER: u32 = 3;
-/// Time after which a program's endpoint is forgotten; its cache entries have mostly gone by then.
-const FORGET_PROGRAM: Duration = Duration::from_secs(600);
-const MAX_PROGRAMS: usize = 32_768;
+/// Assumed prefill speed of engines, in tokens per second.
+const ASSUMED_PREFILL_PER_SECOND: f64 = 5000.0;
+/// Assumed service time until one has been measured, in seconds.
+const ASSUMED_SERVICE_S: f64 = 0.5;
+/// Number of consecutive failures after which an endpoint gets no calls until it responds to a load
+/// request.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
+/// Time after which a program's last endpoint is forgotten. Most of its cache entries have been
+/// evicted by then.
+const AFFINITY_TTL: Duration = Duration::from_secs(600);
+const MAX_AFFINITIES: usize = 32_768;
 
-struct KnownEndpoint {
+struct EndpointState {
     name: Name,
     id: EndpointId,
     address: SocketAddr,
     failures: u32,
-    /// Run of the endpoint's process that the cache index belongs to.
+    /// Run of the endpoint's process that the prefix index refers to.
     run: Option<u64>,
 }
 
-struct LastEndpoint {
+/// The endpoint that last served a program.
+struct ProgramAffinity {
     program: Name,
     id: EndpointId,
     at: Duration,
 }
 
-/// The endpoints of the objects in force.
+/// State of all published endpoints.
 pub(super) struct Endpoints {
     fleet: Fleet,
     prefixes: PrefixIndex,
     chooser: CostChooser,
     ramps: Ramps,
-    // Sorted by name.
-    known: Vec<KnownEndpoint>,
-    // Sorted by program.
-    last: Vec<LastEndpoint>,
+    /// Sorted by name.
+    endpoints: Vec<EndpointState>,
+    /// Sorted by program.
+    affinities: Vec<ProgramAffinity>,
     generation: u64,
     epoch: u64,
 }
 
-/// Load of an endpoint as it reports it.
+/// Load report of an endpoint.
 pub(super) struct Report {
     pub(super) run: u64,
     pub(super) uptime: Option<Duration>,
@@ -72,34 +75,34 @@
 }
 
 impl Endpoints {
-    pub(super) fn new(me: Name, zone: Name) -> Self {
+    pub(super) fn new(local_name: Name, zone: Name) -> Self {
         Self {
             fleet: Fleet::new(),
-            prefixes: PrefixIndex::new(MAX_BLOCKS),
+            prefixes: PrefixIndex::new(MAX_INDEXED_BLOCKS),
             chooser: CostChooser::new(
                 zone,
                 CostConfig { max_group_load_factor: PRIORITY_LOAD_FACTOR, ..Default::default() },
             ),
-            ramps: Ramps::new(me, LEASE),
-            known: Vec::new(),
-            last: Vec::new(),
+            ramps: Ramps::new(local_name, LEASE),
+            endpoints: Vec::new(),
+            affinities: Vec::new(),
             generation: 0,
             epoch: 0,
         }
     }
 
-    /// Follows changes of the objects and the view. Returns whether anything changed.
-    pub(super) fn observe(&mut self, known: &Known, now: Duration) -> bool {
+    /// Applies changes of the objects and the view. Returns whether there were any.
+    pub(super) fn update(&mut self, snapshot: &Snapshot, now: Duration) -> bool {
         let mut changed = false;
-        if known.view.epoch != self.epoch {
-            self.epoch = known.view.epoch;
-            let instances = known.view.members.iter().map(|m| m.name.clone()).collect();
+        if snapshot.view.epoch != self.epoch {
+            self.epoch = snapshot.view.epoch;
+            let instances = snapshot.view.members.iter().map(|m| m.name.clone()).collect();
             self.ramps.observe_view(&View { epoch: self.epoch, instances }, now);
             changed = true;
         }
-        if known.generation != self.generation {
-            self.generation = known.generation;
-            self.follow(&known.objects);
+        if snapshot.generation != self.generation {
+            self.generation = snapshot.generation;
+            self.apply_objects(&snapshot.objects);
             changed = true;
         }
         if changed {
@@ -108,9 +111,9 @@
         changed
     }
 
-    fn follow(&mut self, objects: &ObjectSet) {
+    fn apply_objects(&mut self, objects: &ObjectSet) {
         let gone: Vec<Name> = self
-            .known
+            .endpoints
             .iter()
             .filter(|k| objects.endpoint(&k.name).is_none())
             .map(|k| k.name.clone())
@@ -118,7 +121,7 @@
         for name in gone {
             self.fleet.remove(&name);
             self.ramps.remove(&name);
-            self.known.retain(|k| k.name != name);
+            self.endpoints.retain(|k| k.name != name);
         }
         for endpoint in objects.endpoints() {
             self.upsert(endpoint);
@@ -130,9 +133,10 @@
 
     fn upsert(&mut self, endpoint: &Endpoint) {
         let (groups, prefill) = match &endpoint.serves {
-            Serves::Models(models) => {
-                (models.iter().map(|m| model_group(m)).collect::<Vec<Name>>(), PREFILL_PER_SECOND)
-            }
+            Serves::Models(models) => (
+                models.iter().map(|m| model_group(m)).collect::<Vec<Name>>(),
+                ASSUMED_PREFILL_PER_SECOND,
+            ),
             Serves::Service(service) => (vec![service_group(service)], f64::INFINITY),
         };
         let ramp = RampSpec {
@@ -148,88 +152,88 @@
             groups,
             capacity: endpoint.capacity,
             prefill_per_second: prefill,
-            service_s: SERVICE_S,
+            service_s: ASSUMED_SERVICE_S,
             leaving: endpoint.leaving,
         };
         let id = self.fleet.upsert(spec);
         self.ramps.upsert(ramp);
-        match self.known.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
-            Ok(i) => self.known[i].address = endpoint.address,
+        match self.endpoints.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
+            Ok(i) => self.endpoints[i].address = endpoint.address,
             Err(i) => {
                 self.prefixes.register(id, ASSUMED_CACHE_BLOCKS);
-                let known = KnownEndpoint {
+                let state = EndpointState {
                     name: endpoint.name.clone(),
                     id,
                     address: endpoint.address,
                     failures: 0,
                     run: None,
                 };
-                self.known.insert(i, known);
+                self.endpoints.insert(i, state);
             }
         }
     }
 
-    /// Follows the ramps of cold endpoints; called every tick.
+    /// Updates the load caps of cold endpoints and drops expired affinities. Called on every tick.
     pub(super) fn refresh_caps(&mut self, now: Duration) {
-        for known in &self.known {
-            let cap = self.ramps.cap(&known.name, now);
-            self.fleet.set_cap(known.id, cap.map(|c| c.own));
-            self.fleet.set_capacity_limit(known.id, cap.map(|c| c.total));
+        for state in &self.endpoints {
+            let cap = self.ramps.cap(&state.name, now);
+            self.fleet.set_cap(state.id, cap.map(|c| c.own));
+            self.fleet.set_capacity_limit(state.id, cap.map(|c| c.total));
         }
-        if self.last.len() > MAX_PROGRAMS {
-            self.last.retain(|l| now < l.at + FORGET_PROGRAM / 10);
+        if self.affinities.len() > MAX_AFFINITIES {
+            self.affinities.retain(|l| now < l.at + AFFINITY_TTL / 10);
         }
-        self.last.retain(|l| now < l.at + FORGET_PROGRAM);
+        self.affinities.retain(|l| now < l.at + AFFINITY_TTL);
     }
 
-    /// Whether the group has room for a call of any team.
-    pub(super) fn has_room(&self, group: &str) -> bool {
+    /// Whether the group has capacity for a call of any team.
+    pub(super) fn has_capacity(&self, group: &str) -> bool {
         self.fleet.free_slots(group, 1) > 0
     }
 
-    /// Whether a call may be sent to wait at the group's endpoints.
-    pub(super) fn may_wait_there(&self, group: &str) -> bool {
+    /// Whether a call may be sent to wait in the queues of the group's endpoints.
+    pub(super) fn may_queue_at_endpoints(&self, group: &str) -> bool {
         self.fleet.load_factor(group) < f64::from(PRIORITY_LOAD_FACTOR)
     }
 
-    /// Whether this instance has no call at the group's endpoints.
-    pub(super) fn is_absent(&self, group: &str) -> bool {
+    /// Whether this instance has no calls in flight at the group's endpoints.
+    pub(super) fn has_no_own_calls(&self, group: &str) -> bool {
         let members = self.fleet.members(group).unwrap_or(&[]);
         members.iter().all(|id| self.fleet.own_in_flight(*id) == 0)
     }
 
-    /// Calls that the group takes at once from all instances.
+    /// Returns the number of concurrent calls that the group can take from all instances.
     pub(super) fn capacity(&self, group: &str) -> u32 {
         let members = self.fleet.members(group).unwrap_or(&[]);
-        let open = members.iter().filter(|id| self.fleet.is_available(**id));
-        open.map(|id| self.fleet.spec(*id).capacity).sum()
+        let available = members.iter().filter(|id| self.fleet.is_available(**id));
+        available.map(|id| self.fleet.spec(*id).capacity).sum()
     }
 
-    /// Chooses an endpoint and counts the call there.
-    pub(super) fn place(
+    /// Selects an endpoint and counts the call as in flight there.
+    pub(super) fn assign(
         &mut self,
         spec: &CallSpec,
         tried: &[Name],
         now: Duration,
-    ) -> Result<Chosen, NoRoute> {
-        let avoid: Vec<EndpointId> = tried.iter().filter_map(|t| self.fleet.id(t)).collect();
+    ) -> Result<EndpointRef, NoRoute> {
+        let excluded: Vec<EndpointId> = tried.iter().filter_map(|t| self.fleet.id(t)).collect();
         let request = RouteRequest {
             group: &spec.group,
             blocks: &spec.blocks,
             block_tokens: BLOCK_TOKENS,
             prompt_tokens: u32::try_from(spec.prompt_tokens).unwrap_or(u32::MAX),
-            last_endpoint: spec.program.as_ref().and_then(|p| self.last_endpoint(p)),
-            excluded: &avoid,
+            last_endpoint: spec.program.as_ref().and_then(|p| self.affine_endpoint(p)),
+            excluded: &excluded,
         };
         let mut rng = rand::rng();
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &request, &mut rng)?;
-        self.count(spec, &choice, now);
+        self.record_dispatch(spec, &choice, now);
         let name = self.fleet.spec(choice.endpoint).name.clone();
-        let address = self.find(&name).expect("the fleet holds known endpoints").address;
-        Ok(Chosen { name, address })
+        let address = self.find(&name).expect("endpoints of the fleet are known").address;
+        Ok(EndpointRef { name, address })
     }
 
-    fn count(&mut self, spec: &CallSpec, choice: &Choice, now: Duration) {
+    fn record_dispatch(&mut self, spec: &CallSpec, choice: &Choice, now: Duration) {
         let id = choice.endpoint;
         self.fleet.call_started(id, now);
         self.prefixes.record_dispatch(id, &spec.blocks, now);
@@ -238,84 +242,87 @@
         metrics::counter!("poplarspan_cached_prompt_tokens_total")
             .increment(cached.min(spec.prompt_tokens));
         let Some(program) = &spec.program else { return };
-        match self.last.binary_search_by(|l| l.program.cmp(program)) {
-            Ok(i) => (self.last[i].id, self.last[i].at) = (id, now),
+        match self.affinities.binary_search_by(|l| l.program.cmp(program)) {
+            Ok(i) => (self.affinities[i].id, self.affinities[i].at) = (id, now),
             Err(i) => {
-                self.last.insert(i, LastEndpoint { program: program.clone(), id, at: now });
+                self.affinities
+                    .insert(i, ProgramAffinity { program: program.clone(), id, at: now });
             }
         }
     }
 
-    fn last_endpoint(&self, program: &Name) -> Option<EndpointId> {
-        let i = self.last.binary_search_by(|l| l.program.cmp(program)).ok()?;
-        Some(self.last[i].id)
+    fn affine_endpoint(&self, program: &Name) -> Option<EndpointId> {
+        let i = self.affinities.binary_search_by(|l| l.program.cmp(program)).ok()?;
+        Some(self.affinities[i].id)
     }
 
-    /// Takes a call back from its endpoint.
+    /// Removes a finished call from its endpoint and records the outcome.
     pub(super) fn end(&mut self, end: &SlotEnd<'_>, now: Duration) {
         let Ok(i) = self.position(&end.endpoint.name) else { return };
-        let id = self.known[i].id;
+        let id = self.endpoints[i].id;
         let answered = matches!(end.outcome, DispatchOutcome::Answered { .. });
         self.fleet.call_ended(id, answered.then_some(end.held), now);
         let name = &end.endpoint.name;
         match end.outcome {
             DispatchOutcome::Answered { first_byte, .. } => {
-                self.known[i].failures = 0;
-                self.note_outcome(name, Outcome::Answered(first_byte), now);
+                self.endpoints[i].failures = 0;
+                self.record_outcome(name, Outcome::Answered(first_byte), now);
             }
-            DispatchOutcome::Refused => self.note_outcome(name, Outcome::Refused, now),
-            DispatchOutcome::Failed => self.note_failure(i),
+            DispatchOutcome::Refused => self.record_outcome(name, Outcome::Refused, now),
+            DispatchOutcome::Failed => self.record_failure(i),
             DispatchOutcome::Abandoned => {}
         }
     }
 
-    fn note_outcome(&mut self, name: &Name, outcome: Outcome, now: Duration) {
+    fn record_outcome(&mut self, name: &Name, outcome: Outcome, now: Duration) {
         if self.ramps.observe_outcome(name, outcome, now) {
-            log::warn!(endpoint = &**name; "endpoint looks cold; its load is ramped up again");
+            log::warn!(endpoint = &**name; "endpoint appears cold; ramping up its load again");
             metrics::counter!("poplarspan_cold_endpoints_total").increment(1);
             self.refresh_caps(now);
         }
     }
 
-    fn note_failure(&mut self, i: usize) {
-        let known = &mut self.known[i];
-        known.failures += 1;
-        if known.failures == UNHEALTHY_AFTER {
-            log::warn!(endpoint = &*known.name; "endpoint fails; no calls until it answers again");
-            self.fleet.set_healthy(known.id, false);
+    fn record_failure(&mut self, i: usize) {
+        let state = &mut self.endpoints[i];
+        state.failures += 1;
+        if state.failures == MAX_CONSECUTIVE_FAILURES {
+            log::warn!(
+                endpoint = &*state.name;
+                "endpoint is unhealthy; no calls until it responds to a load request"
+            );
+            self.fleet.set_healthy(state.id, false);
         }
     }
 
-    /// Names and addresses of all endpoints, for load requests.
-    pub(super) fn list(&self) -> Vec<Chosen> {
-        let chosen = |k: &KnownEndpoint| Chosen { name: k.name.clone(), address: k.address };
-        self.known.iter().map(chosen).collect()
+    /// Returns the names and addresses of all endpoints.
+    pub(super) fn list(&self) -> Vec<EndpointRef> {
+        let endpoint = |k: &EndpointState| EndpointRef { name: k.name.clone(), address: k.address };
+        self.endpoints.iter().map(endpoint).collect()
     }
 
-    /// Takes note of a load report, or of its absence.
+    /// Records a load report; `None` counts as a failure.
     pub(super) fn report(&mut self, name: &Name, report: Option<Report>, now: Duration) {
         let Ok(i) = self.position(name) else { return };
-        let Some(report) = report else { return self.note_failure(i) };
-        let known = &mut self.known[i];
-        if known.failures >= UNHEALTHY_AFTER {
-            log::info!(endpoint = &**name; "endpoint answers again");
+        let Some(report) = report else { return self.record_failure(i) };
+        let state = &mut self.endpoints[i];
+        if state.failures >= MAX_CONSECUTIVE_FAILURES {
+            log::info!(endpoint = &**name; "endpoint is healthy again");
         }
-        known.failures = 0;
-        let id = known.id;
-        if known.run != Some(report.run) {
-            known.run = Some(report.run);
+        state.failures = 0;
+        let id = state.id;
+        if state.run != Some(report.run) {
+            state.run = Some(report.run);
             let blocks = report.cache_blocks.unwrap_or(ASSUMED_CACHE_BLOCKS);
             self.prefixes.register(id, blocks);
         }
         self.fleet.set_healthy(id, true);
-        let taken = now.saturating_sub(report.age);
-        let load =
-            LoadReport { running: report.running, queued: report.queued, measured_at: taken };
+        let measured_at = now.saturating_sub(report.age);
+        let load = LoadReport { running: report.running, queued: report.queued, measured_at };
         self.fleet.report(id, &load);
         self.ramps.observe_run(name, report.run, report.uptime, now);
     }
 
-    /// The run of the endpoint's process that was seen last.
+    /// Returns the last reported run of the endpoint's process.
     pub(super) fn run_of(&self, name: &str) -> Option<u64> {
         self.find(name)?.run
     }
@@ -323,15 +330,15 @@
     /// Applies a cache event of an endpoint.
     pub(super) fn cache_event(&mut self, name: &Name, event: &CacheEvent) {
         if let Ok(i) = self.position(name) {
-            self.prefixes.apply_event(self.known[i].id, event);
+            self.prefixes.apply_event(self.endpoints[i].id, event);
         }
     }
 
     fn position(&self, name: &str) -> Result<usize, usize> {
-        self.known.binary_search_by(|k| (*k.name).cmp(name))
+        self.endpoints.binary_search_by(|k| (*k.name).cmp(name))
     }
 
-    fn find(&self, name: &str) -> Option<&KnownEndpoint> {
-        self.position(name).ok().map(|i| &self.known[i])
+    fn find(&self, name: &str) -> Option<&EndpointState> {
+        self.position(name).ok().map(|i| &self.endpoints[i])
     }
 }
