--- a/crates/agreement/examples/replicated_counter.rs
+++ b/crates/agreement/examples/replicated_counter.rs
@@ -1,5 +1,6 @@
 //! Replicates a counter over three nodes in one process, which exchange messages in memory and keep
-//! their logs in a temporary folder: proposals, the loss of a replica, a restart of all, and a read.
+//! their logs in a temporary folder: proposals, the loss of a replica, a restart of all, and a
+//! read.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex, Weak};
@@ -92,8 +93,8 @@
     }
     let nodes = Nodes::default();
     let mut running = start(folder.path(), &nodes).await?;
-    // After `ProposeError::Unknown` a proposal may have been executed, so a command that must not be
-    // repeated carries an id by which the state machine recognises it.
+    // After `ProposeError::Unknown` a proposal may have been executed, so a command that must not
+    // be repeated carries an id by which the state machine recognises it.
     for _ in 0..3 {
         println!("committed: {:?}", leader(&running).await.propose(Bytes::new()).await?);
     }
--- a/crates/agreement/src/convert.rs
+++ b/crates/agreement/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion between this crate's types and their protobuf types.
+//! Conversion between this crate's types and the protobuf types.
 
 mod peer;
 
@@ -8,7 +8,7 @@
 
 use crate::{Entry, FolderId, HardState, LogPosition, Membership, Payload, ReplicaId};
 
-/// A protobuf message lacks a field or has one that makes no sense.
+/// A protobuf message is malformed, lacks a field or has an invalid one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("invalid protobuf message: {0}")]
 pub struct ConvertError(pub(crate) &'static str);
--- a/crates/agreement/src/convert/peer.rs
+++ b/crates/agreement/src/convert/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas.
+//! Conversion of messages between replicas.
 
 use bytes::Bytes;
 use pb::append_answer::Result as PbResult;
@@ -9,12 +9,12 @@
 use super::ConvertError;
 use crate::{AppendResult, Entry, GroupId, LogPosition, Membership, Message};
 
-/// A message of one group.
+/// A message between two replicas of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerMessage {
-    /// Group whose replica sent the message, and whose replica it is for.
+    /// Group of the sending and the receiving replica.
     pub group: GroupId,
-    /// Message.
+    /// Content of the message.
     pub message: Message,
 }
 
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are not a protobuf message, or a field is missing or out of range.
+    /// Fails if the bytes are not a protobuf message, or if a field is missing or invalid.
     pub fn decode(buf: Bytes) -> Result<Self, ConvertError> {
         let message = pb::PeerMessage::decode(buf);
         message.map_err(|_| ConvertError("not a protobuf message"))?.try_into()
@@ -148,7 +148,7 @@
     Ok(LogPosition { index: index(p.index)?, term: p.term })
 }
 
-/// Refuses indices with which the sums of the core could overflow.
+/// Rejects indices that could overflow the core's arithmetic.
 fn index(index: u64) -> Result<u64, ConvertError> {
     if index > u64::MAX / 2 {
         return Err(ConvertError("index out of range"));
--- a/crates/agreement/src/core.rs
+++ b/crates/agreement/src/core.rs
@@ -1,8 +1,8 @@
-//! The replicated log as a pure state machine: no I/O, no clock, no threads.
+//! Raft as a pure state machine: no I/O, no clock, no threads.
 //!
 //! The core owns a replica's term, vote, role and the log in memory; the driver owns storage,
-//! transport, clock and state machine. A replica that restarts is built again from what storage
-//! had synced; nothing else survives, and nothing that depends on unsynced state has left the core.
+//! transport, clock and state machine. After a restart, a replica is rebuilt from what storage had
+//! synced. This is safe because the core emits no message that depends on unsynced state.
 
 use std::time::Duration;
 
@@ -34,22 +34,22 @@
 use progress::LeaderState;
 use snapshot::PartialSnapshot;
 
-/// Counts violated invariants, by name.
+/// Counter of violated invariants, by name.
 const VIOLATIONS_METRIC: &str = "poplarspan_agreement_invariant_violations_total";
 
-/// One replica of one group.
+/// One replica of a group.
 #[derive(Debug)]
 pub struct Core {
     cfg: CoreConfig,
     rng: SmallRng,
     now: Duration,
-    /// Whether the first step has set the timers.
+    /// Whether the first step has initialised the timers.
     started: bool,
     hard_state: HardState,
     role: Role,
     leader: Option<ReplicaId>,
-    /// When a leader was last heard from, or when this replica started: it may have acknowledged
-    /// a heartbeat just before its restart.
+    /// When this replica last heard from a leader. A restarted replica uses its start time, because
+    /// it may have acknowledged a heartbeat just before the restart.
     heard_at: Option<Duration>,
     election_deadline: Duration,
     tally: VoteTally,
@@ -58,10 +58,10 @@
     commit: u64,
     applied: u64,
     durability: Durability,
-    /// Snapshot at the log's snapshot position, if it is in memory.
+    /// Snapshot at the log's snapshot position. `None` after a restart until the driver takes one.
     snapshot: Option<Snapshot>,
     partial_snapshot: Option<PartialSnapshot>,
-    /// Proposals of this replica whose index is not committed, with their request ids.
+    /// Proposals of this replica whose index is not yet committed, with their request ids.
     proposals: Vec<(LogPosition, u64)>,
     reported_role: RoleChange,
     out: Output,
@@ -70,8 +70,8 @@
 
 impl Core {
     /// Creates a replica from its durable state. It starts as a follower.
-    pub fn new(cfg: CoreConfig, restored: InitialState) -> Self {
-        let InitialState { hard_state, snapshot, membership, entries } = restored;
+    pub fn new(cfg: CoreConfig, initial: InitialState) -> Self {
+        let InitialState { hard_state, snapshot, membership, entries } = initial;
         let mut log = MemoryLog::new(snapshot, membership);
         for e in entries {
             if e.position.index == log.last().index + 1 {
@@ -105,13 +105,15 @@
 
     /// Handles one input.
     ///
-    /// `now` is the time of the replica's monotonic clock, read after the input arrived: a follower
-    /// that takes a heartbeat for older than it is would vote while the leader's lease still holds.
-    /// A time before that of an earlier step counts as that step's time.
+    /// `now` is the time of the replica's monotonic clock, read after the input arrived. If it were
+    /// read earlier, a follower could consider a heartbeat older than it is and vote while the
+    /// leader's lease is still valid. A time before that of an earlier step counts as that step's
+    /// time.
     ///
     /// # Panics
     ///
-    /// Panics if the configured shortest election timeout is longer than the longest one.
+    /// Panics if `election_timeout_min` exceeds `election_timeout_max`. Debug builds also panic
+    /// when an invariant is violated.
     pub fn step(&mut self, now: Duration, input: Input) -> Output {
         self.now = self.now.max(now);
         if !self.started {
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Returns the entries in memory from index `from` on.
+    /// Returns the entries from index `from` on that are in memory.
     pub fn entries_from(&self, from: u64) -> Vec<Entry> {
         self.log.range(from, self.log.last().index)
     }
@@ -231,7 +233,7 @@
         let role = self.role_change();
         if role != self.reported_role {
             info!(
-                "replica {}: role {:?}, term {}, leader {:?}",
+                "replica {}: changed to role {:?} in term {}, leader {:?}",
                 self.cfg.id.0, role.role, role.term, role.leader
             );
             self.reported_role = role;
@@ -240,8 +242,9 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Reports the proposals whose index was committed with another entry. An entry that was only
-    /// removed from this log may be on another replica and still be committed.
+    /// Reports the proposals whose index was committed with another entry. Truncation alone does
+    /// not decide a proposal: another replica may still have its entry, which may then be
+    /// committed.
     fn report_overwritten_proposals(&mut self) {
         let Self { proposals, log, out, commit, .. } = self;
         proposals.retain(|&(position, request_id)| {
@@ -266,7 +269,7 @@
         self.send_after(self.durability.hard_state_sequence(), to, message);
     }
 
-    /// Sends a message once everything in memory is synced.
+    /// Sends a message once the hard state, the snapshot and all entries are synced.
     fn send_after_sync(&mut self, to: ReplicaId, message: Message) {
         self.send_after(self.durability.full_sequence(&self.log), to, message);
     }
@@ -293,7 +296,7 @@
         self.election_deadline = self.now + timeout;
     }
 
-    /// Reports a violated invariant: a panic in debug builds, a log line and a counter otherwise.
+    /// Reports a violated invariant: counts and logs it, and panics in debug builds.
     fn report_violation(&mut self, invariant: &'static str) {
         self.violations += 1;
         metrics::counter!(VIOLATIONS_METRIC, "invariant" => invariant).increment(1);
--- a/crates/agreement/src/core/api.rs
+++ b/crates/agreement/src/core/api.rs
@@ -12,34 +12,34 @@
 /// Configuration of one replica of a group.
 #[derive(Clone, Debug)]
 pub struct CoreConfig {
-    /// This replica.
+    /// Number of this replica.
     pub id: ReplicaId,
-    /// Seed of the election timeouts; should differ between replicas.
+    /// Seed of the random election timeouts; should differ between replicas.
     pub seed: u64,
     /// Time between two heartbeat rounds.
     pub heartbeat_interval: Duration,
-    /// Shortest election timeout; also the time for which a replica that heard from a leader
-    /// refuses votes, and the length of a leader's lease before `drift_margin` is taken off.
+    /// Shortest election timeout. A replica that heard from a leader refuses votes for this long,
+    /// and a leader's lease lasts this long minus `drift_margin`.
     pub election_timeout_min: Duration,
     /// Longest election timeout.
     pub election_timeout_max: Duration,
-    /// Time by which two clocks may drift apart within an election timeout. A margin of the
-    /// shortest election timeout or more disables lease reads.
+    /// Bound on the drift between two clocks within an election timeout. A value of
+    /// `election_timeout_min` or more disables lease reads.
     pub drift_margin: Duration,
-    /// Most command bytes in an append message, unless its first entry alone is larger.
+    /// Maximum size of the entries in an append message. A single entry may be larger.
     pub max_append_bytes: usize,
-    /// Most appends to a peer that are not yet answered.
+    /// Maximum number of unanswered appends per peer.
     pub max_inflight_appends: usize,
-    /// Most bytes of a snapshot in a message.
+    /// Maximum bytes of snapshot data in a message.
     pub snapshot_chunk_bytes: usize,
-    /// Entries before a snapshot's position that stay in memory for followers that lag behind.
+    /// Number of entries before the last snapshot that stay in memory for slow followers.
     pub trailing_entries: u64,
-    /// Entries by which a learner may be behind the commit index when it is promoted.
+    /// Maximum number of entries by which a learner may trail the commit index when it is promoted.
     pub promote_lag: u64,
 }
 
 impl CoreConfig {
-    /// Returns the default configuration.
+    /// Returns the default configuration for replica `id`.
     pub fn new(id: ReplicaId, seed: u64) -> Self {
         Self {
             id,
@@ -62,88 +62,89 @@
 pub struct InitialState {
     /// Last synced term and vote.
     pub hard_state: HardState,
-    /// Position of the last snapshot; the default for a group without one.
+    /// Position of the last snapshot; the default if there is none.
     pub snapshot: LogPosition,
-    /// Membership at `snapshot`. For a new group: its first voters, the same on each of them. For
-    /// a replica that is to join a group: empty.
+    /// Membership at `snapshot`. For a new group, the initial voters, identical on each of them.
+    /// Empty for a replica that is to join an existing group.
     pub membership: Membership,
     /// Entries after `snapshot`; earlier ones are ignored.
     pub entries: Vec<Entry>,
 }
 
-/// What happened to a replica.
+/// An event for a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed. Expected several times per heartbeat interval.
+    /// Time has passed. The driver sends several ticks per heartbeat interval.
     Tick,
     /// A message arrived.
     Message {
-        /// Sender.
+        /// Replica that sent the message.
         from: ReplicaId,
-        /// Message.
+        /// Received message.
         message: Message,
     },
-    /// Storage has made the `PersistRequest` with this sequence number durable.
+    /// Storage has made a `PersistRequest` durable.
     Synced {
-        /// Sequence number of the `PersistRequest`.
+        /// Sequence number of the request.
         sequence: u64,
     },
     /// Proposes a command.
     Propose {
-        /// Command.
+        /// Encoded command.
         data: Bytes,
         /// Identifies the proposal in `Output::proposals`.
         request_id: u64,
     },
-    /// Asks for an index at which a local read is linearizable.
+    /// Asks for the index that the state machine must have applied for a linearizable read.
     Read {
         /// Identifies the read in `Output::reads`.
         request_id: u64,
     },
     /// Proposes a change of the membership.
     ChangeMembership {
-        /// Change.
+        /// Requested change.
         change: MembershipChange,
         /// Identifies the change in `Output::proposals`.
         request_id: u64,
     },
     /// Transfers leadership. Ignored unless this replica leads and `to` is another voter.
     TransferLeadership {
-        /// Next leader.
+        /// Voter that is to lead.
         to: ReplicaId,
     },
-    /// The state machine's snapshot at an applied index. The core sets its term and membership.
+    /// Compacts the log up to a snapshot of the state machine at an applied index. The core fills
+    /// in the snapshot's term and membership.
     Compact {
         /// Snapshot; only `last.index` and `data` are used.
         snapshot: Snapshot,
     },
 }
 
-/// A change of one member.
+/// A membership change of one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
     /// Adds a replica that receives the log but does not vote.
     AddLearner(ReplicaId),
-    /// Makes a learner that has caught up a voter.
+    /// Turns a learner that has caught up into a voter.
     PromoteLearner(ReplicaId),
-    /// Removes a voter or a learner, but neither the leader nor the last voter.
+    /// Removes a voter or a learner. The leader cannot be removed.
     RemoveVoter(ReplicaId),
 }
 
-/// What the driver has to do after a step, in the order of the fields.
+/// Actions for the driver after a step, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// Messages to send; none depends on state that is not yet synced.
+    /// Messages to send. None of them depends on unsynced state.
     pub messages: Vec<(ReplicaId, Message)>,
-    /// State to make durable. No other one follows until this one is reported as synced.
+    /// State to make durable. The core emits no other request until this one is reported as synced.
     ///
-    /// If it has a snapshot, storage keeps its entries after the snapshot's position only if it has
-    /// the entry at that position with the same term; otherwise it discards its whole log, because
-    /// entries of another history would follow the snapshot.
+    /// If the request has a snapshot, storage keeps the entries after the snapshot's position only
+    /// if its entry at that position has the same term. Otherwise it discards its whole log,
+    /// because the entries do not follow from the snapshot.
     pub persist: Option<PersistRequest>,
-    /// Snapshot that replaces the state machine's state. It is also part of a `PersistRequest`.
+    /// Snapshot from which to restore the state machine. It is also part of a `PersistRequest`.
     pub install: Option<Snapshot>,
-    /// Committed entries to apply in order.
+    /// Committed entries to apply, in order.
     pub apply: Vec<Entry>,
     /// Results of proposals, by request id.
     pub proposals: Vec<(u64, ProposalResult)>,
@@ -151,49 +152,50 @@
     pub reads: Vec<(u64, ReadResult)>,
     /// New role, term or leader, if one of them changed.
     pub role: Option<RoleChange>,
-    /// Whether a peer needs a snapshot that is not in memory. The driver then takes one and passes
-    /// it to `Input::Compact`; asked again until then.
+    /// Whether a peer needs a snapshot and none is in memory. The driver then takes one and passes
+    /// it to `Input::Compact`. Set repeatedly until it does.
     pub snapshot_wanted: bool,
 }
 
 /// Result of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
-    /// The command is in the leader's log. It is committed when an entry with this index and term
+    /// The proposal is in the leader's log. It is committed once an entry with this index and term
     /// is applied.
     Appended(LogPosition),
-    /// This replica does not accept proposals; the command was not appended.
+    /// This replica does not lead or is transferring leadership; the proposal was not appended.
     NotLeader {
         /// Leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// The change of voters is not possible now; it was not appended.
+    /// The membership change is not possible now; it was not appended.
     Refused(MembershipChangeError),
-    /// Another entry was committed at the index; the command will never be applied.
+    /// Another entry was committed at the index; the proposal will never be applied.
     Overwritten,
-    /// A snapshot covers the index, so it is not known whether the command was applied.
+    /// An installed snapshot covers the index, so it is unknown whether the proposal was committed.
     Unknown,
 }
 
-/// Why a change of voters is refused.
+/// Why a membership change is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipChangeError {
-    /// An earlier change is not committed.
+    /// An earlier change is not yet committed.
     #[error("an earlier change of voters is not committed")]
     Pending,
-    /// The leader has not committed an entry of its term.
+    /// The leader has not yet committed an entry of its term, so that an earlier leader's change
+    /// may still be in flight.
     #[error("the leader has not committed an entry of its term")]
     TermNotCommitted,
-    /// The replica is a member already.
+    /// The replica is already a voter, or already a learner.
     #[error("the replica is a member already")]
     AlreadyMember,
-    /// The replica is not a member, or not a learner.
+    /// The replica is not a member, or is to be promoted but is not a learner.
     #[error("the replica is not a member of that kind")]
     NotMember,
-    /// The learner has not caught up.
+    /// The learner's log trails by more than `promote_lag`, or it has not answered recently.
     #[error("the learner has not caught up")]
     NotCaughtUp,
-    /// The replica leads; leadership must be transferred first.
+    /// The replica to remove is the leader; leadership must be transferred first.
     #[error("the replica leads the group; transfer leadership first")]
     IsLeader,
 }
@@ -201,7 +203,7 @@
 /// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// The read is linearizable once the state machine has applied this index.
+    /// The read is linearizable once the state machine has applied `index`.
     Ready {
         /// Index to wait for.
         index: u64,
@@ -216,11 +218,11 @@
 /// Role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Sends pre-vote requests.
     PreCandidate,
-    /// Asks for votes.
+    /// Sends vote requests.
     Candidate,
     /// Leads the group.
     Leader,
@@ -237,31 +239,32 @@
     pub leader: Option<ReplicaId>,
 }
 
-/// State of a replica, for operators and tests.
+/// State of a replica, for diagnostics and tests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// This replica.
+    /// Number of this replica.
     pub id: ReplicaId,
     /// Role, term and leader.
     pub role: RoleChange,
-    /// Last committed index known to this replica.
+    /// Commit index known to this replica.
     pub commit: u64,
     /// Last entry of the log.
     pub last: LogPosition,
-    /// Last index that is synced.
+    /// Last index whose entry is synced.
     pub stable: u64,
     /// Position of the last snapshot.
     pub snapshot: LogPosition,
-    /// Membership in force, which may not be committed.
+    /// Membership in force; possibly not yet committed.
     pub membership: Membership,
     /// Whether the membership is committed.
     pub membership_committed: bool,
-    /// Peers and the index up to which their logs match; empty unless this replica leads.
+    /// Peers with the last index up to which their logs are known to match; empty unless this
+    /// replica leads.
     pub peers: Vec<(ReplicaId, u64)>,
-    /// Time since each peer last answered; empty unless this replica leads.
+    /// Peers with the time since their last answer; empty unless this replica leads.
     pub last_contact: Vec<(ReplicaId, Duration)>,
-    /// Target of a leadership transfer under way.
+    /// Target of the leadership transfer in progress.
     pub transfer: Option<ReplicaId>,
-    /// Violated invariants since the start.
+    /// Number of violated invariants since the start.
     pub violations: u64,
 }
--- a/crates/agreement/src/core/durability.rs
+++ b/crates/agreement/src/core/durability.rs
@@ -1,4 +1,4 @@
-//! What has been handed to storage and what storage has synced.
+//! Tracks which state has been submitted to storage and which of it is synced.
 
 use std::mem;
 
@@ -7,30 +7,30 @@
 
 use super::memory_log::MemoryLog;
 
-/// A `PersistRequest` that has been handed to storage and is not yet synced.
+/// A request that has been submitted to storage and is not yet synced.
 #[derive(Debug)]
 struct InFlight {
     sequence: u64,
-    /// Last index that is durable and equal to the log in memory once the `PersistRequest` is synced.
+    /// Last index that is durable and equals the log in memory once the request is synced.
     last: u64,
 }
 
-/// Tracks unsynced state. One `PersistRequest` is in flight at a time; what changes meanwhile goes into
-/// the next one, so that one sync covers all proposals that are waiting.
+/// Tracks unsynced state. Only one request is in flight at a time. Changes in the meantime go into
+/// the next request, so that one sync covers all waiting proposals (group commit).
 #[derive(Debug)]
 pub(super) struct Durability {
     in_flight: Option<InFlight>,
     next_sequence: u64,
     synced: u64,
     hard_state_changed: bool,
-    /// Ticket that makes the current hard state durable.
+    /// Sequence number of the request that makes the current hard state durable.
     hard_state_sequence: u64,
     snapshot: Option<Snapshot>,
-    /// Last index that is part of a `PersistRequest`.
+    /// Last index that has been part of a request.
     submitted: u64,
     stable: u64,
-    /// Messages with the sequences that must be synced before they may be sent; all of the current
-    /// term.
+    /// Messages of the current term, each with the sequence number that must be synced before it
+    /// may be sent.
     deferred: Vec<(u64, ReplicaId, Message)>,
 }
 
@@ -57,12 +57,12 @@
         self.hard_state_sequence <= self.synced
     }
 
-    /// Ticket that makes the current hard state durable.
+    /// Returns the sequence number of the request that makes the current hard state durable.
     pub(super) fn hard_state_sequence(&self) -> u64 {
         self.hard_state_sequence
     }
 
-    /// Ticket that makes everything in memory durable.
+    /// Returns the sequence number of the request that makes everything in memory durable.
     pub(super) fn full_sequence(&self, log: &MemoryLog) -> u64 {
         if self.is_dirty(log) { self.next_sequence } else { self.next_sequence - 1 }
     }
@@ -75,8 +75,8 @@
         self.deferred.push((sequence, to, message));
     }
 
-    /// Marks the hard state as changed. Messages of an earlier term are dropped: entries that an
-    /// append answer acknowledges may be replaced before they are synced.
+    /// Marks the hard state as changed. A new term drops the deferred messages of the earlier one:
+    /// the entries that an append answer acknowledges may be replaced before they are synced.
     pub(super) fn hard_state_changed(&mut self, new_term: bool) {
         self.hard_state_changed = true;
         self.hard_state_sequence = self.next_sequence;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Notes that the entries from `index` on were removed from the log in memory.
+    /// Records that the entries from `index` on were removed from the log in memory.
     pub(super) fn truncated_from(&mut self, index: u64) {
         let last = index.saturating_sub(1);
         self.submitted = self.submitted.min(last);
@@ -95,19 +95,19 @@
         }
     }
 
-    /// Schedules a snapshot at a position of the log.
+    /// Schedules a snapshot at a position in the log for the next request.
     pub(super) fn snapshot_taken(&mut self, snapshot: Snapshot) {
         self.submitted = self.submitted.max(snapshot.last.index);
         self.snapshot = Some(snapshot);
     }
 
-    /// Schedules a snapshot that replaces the log after `commit`.
+    /// Schedules a leader's snapshot, which replaces the log after `commit`, for the next request.
     pub(super) fn snapshot_installed(&mut self, snapshot: Snapshot, commit: u64) {
         self.truncated_from(commit + 1);
         self.snapshot_taken(snapshot);
     }
 
-    /// Returns the next `PersistRequest`, if there is something to sync and none is in flight.
+    /// Returns the next request if there is unsynced state and no request is in flight.
     pub(super) fn next_persist(
         &mut self,
         hard_state: HardState,
@@ -130,8 +130,8 @@
         Some(persist)
     }
 
-    /// Notes that a `PersistRequest` is synced, and returns the messages that may be sent now. Returns
-    /// `None` for a sequence that is not in flight.
+    /// Records that a request is synced and returns the messages that may be sent now. Returns
+    /// `None` if that request is not in flight.
     pub(super) fn synced(&mut self, sequence: u64) -> Option<Vec<(ReplicaId, Message)>> {
         let p = self.in_flight.take_if(|p| p.sequence == sequence)?;
         self.synced = sequence;
--- a/crates/agreement/src/core/election.rs
+++ b/crates/agreement/src/core/election.rs
@@ -9,7 +9,7 @@
 use super::api::{ReadResult, Role};
 use super::progress::LeaderState;
 
-/// Answers to the requests of a candidate or pre-candidate.
+/// Votes or pre-votes that a candidate has received.
 #[derive(Debug, Default)]
 pub(super) struct VoteTally {
     granted: Vec<ReplicaId>,
@@ -29,8 +29,8 @@
 }
 
 impl Core {
-    /// Compares a message's term with the current one and adopts a later term. Returns whether the
-    /// message is to be handled.
+    /// Compares a message's term with the current one and adopts a later term. Returns whether to
+    /// handle the message.
     pub(super) fn accept_term(&mut self, from: ReplicaId, message: &Message) -> bool {
         let term = message.term();
         if term < self.hard_state.term {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Tells the sender of a message of an earlier term the current one.
+    /// Answers a message of an earlier term with the current term.
     fn reject_stale(&mut self, from: ReplicaId, message: &Message) {
         let term = self.hard_state.term;
         let answer = match message {
@@ -64,8 +64,8 @@
         self.send_after_vote_sync(from, answer);
     }
 
-    /// Whether a leader may hold a lease that counts on this replica's refusal to vote. A leader
-    /// refuses too; it steps down by itself if it does not hear from a quorum.
+    /// Returns whether a leader may hold a lease that relies on this replica not voting. A leader
+    /// refuses votes too; it steps down when it loses contact with a quorum.
     fn refuses_votes(&self) -> bool {
         self.role == Role::Leader
             || self.heard_at.is_some_and(|at| self.now < at + self.cfg.election_timeout_min)
@@ -105,7 +105,8 @@
         self.reset_election_timer();
     }
 
-    /// Notes a message from the leader of the current term. Returns whether it is to be handled.
+    /// Follows the sender of a message as the leader of the current term. Returns whether to handle
+    /// the message.
     pub(super) fn accept_leader_message(&mut self, from: ReplicaId) -> bool {
         if self.role == Role::Leader || self.leader.is_some_and(|id| id != from) {
             self.report_violation("at most one leader a term");
@@ -117,8 +118,9 @@
         true
     }
 
-    /// Starts a pre-vote, if this replica is a voter or its removal is not known to be committed:
-    /// it may be the only one left with the entry that removes it, and then has to spread it.
+    /// Starts a pre-vote if this replica is a voter or its removal is not known to be committed. It
+    /// may be the only replica with the entry that removes it, and must then replicate that entry,
+    /// because the others cannot win an election against its log.
     pub(super) fn election_timeout(&mut self) {
         self.reset_election_timer();
         self.leader = None;
@@ -203,8 +205,8 @@
 
     fn become_leader(&mut self) {
         if !self.durability.hard_state_synced() {
-            // A quorum of other voters is not enough: after a crash this replica could win the same
-            // term again with another log.
+            // A quorum of other voters is not enough: if this replica crashed before its vote is
+            // synced, it could win the same term again with another log.
             return;
         }
         self.role = Role::Leader;
@@ -228,10 +230,11 @@
         (last.term, last.index) >= (own.term, own.index)
     }
 
-    /// Checks that a leader still may lead, and sends what is due.
+    /// Steps down if this replica may no longer lead; otherwise sends heartbeats and snapshot
+    /// chunks that are due.
     pub(super) fn tick_leader(&mut self) {
         if !self.has_recent_quorum() {
-            warn!("replica {}: no answer from a quorum; stepping down", self.cfg.id.0);
+            warn!("replica {}: lost contact with a quorum; stepping down", self.cfg.id.0);
             self.become_follower(self.hard_state.term, None);
             return;
         }
--- a/crates/agreement/src/core/membership.rs
+++ b/crates/agreement/src/core/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership and leadership transfers.
+//! Membership changes and leadership transfers.
 
 use log::info;
 
@@ -21,7 +21,7 @@
                 self.out.proposals.push((request_id, ProposalResult::Refused(refusal)));
             }
             Ok(membership) => {
-                info!("replica {}: membership change {change:?}", self.cfg.id.0);
+                info!("replica {}: proposing membership change {change:?}", self.cfg.id.0);
                 self.append_proposal(Payload::Membership(membership), request_id);
                 self.update_peers();
                 self.replicate();
@@ -29,9 +29,9 @@
         }
     }
 
-    /// Returns the membership after a change. One change at a time keeps the quorums of successive
-    /// memberships overlapping; the first commit of the term makes sure that a change of an earlier
-    /// leader is not in flight.
+    /// Returns the membership after a change. Allowing one change at a time keeps the quorums of
+    /// successive memberships overlapping. Requiring a commit in the current term ensures that no
+    /// change of an earlier leader is in flight.
     fn changed_membership(
         &self,
         change: MembershipChange,
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Makes the peers those of the membership in force.
+    /// Updates the peers to the membership in force.
     pub(super) fn update_peers(&mut self) {
         let next = self.log.last().index + 1;
         self.leader_state.set_members(self.cfg.id, self.log.membership(), next, self.now);
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Tells the target of a transfer to campaign once it has the whole log. The lease is given up
-    /// first, because voters elect the target although they have just heard from this leader.
+    /// Tells the target of a transfer to campaign once it has the whole log. The lease is released
+    /// first, because voters may elect the target although they have just heard from this leader.
     pub(super) fn continue_transfer(&mut self) {
         let last = self.log.last().index;
         let Some(t) = &mut self.leader_state.transfer else { return };
--- a/crates/agreement/src/core/memory_log.rs
+++ b/crates/agreement/src/core/memory_log.rs
@@ -1,13 +1,13 @@
-//! The part of the replicated log that is held in memory.
+//! The part of the log that is in memory.
 
 use std::collections::VecDeque;
 
 use crate::types::{Entry, LogPosition, Membership, Payload, ReplicaId};
 
-/// Bytes that an entry takes in a message in addition to its command.
+/// Estimated size of an entry in a message, without its payload.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// Entries after a base position, and the memberships that they define.
+/// Entries after a base position and the memberships that they define.
 #[derive(Debug)]
 pub(super) struct MemoryLog {
     /// Position before the first entry in memory.
@@ -15,7 +15,7 @@
     entries: VecDeque<Entry>,
     /// Position of the last snapshot; at or after `base`.
     snapshot: LogPosition,
-    /// Memberships with the indexes from which they hold; never empty, sorted by index.
+    /// Memberships with the indices from which they are in force; sorted by index, never empty.
     memberships: Vec<(u64, Membership)>,
 }
 
@@ -67,14 +67,15 @@
         self.base
     }
 
-    /// Returns the entries of an index range that is in memory.
+    /// Returns the entries with indices `from..=to` that are in memory.
     pub(super) fn range(&self, from: u64, to: u64) -> Vec<Entry> {
         let skip = from.saturating_sub(self.base.index + 1) as usize;
         let len = (to + 1).saturating_sub(from) as usize;
         self.entries.iter().skip(skip).take(len).cloned().collect()
     }
 
-    /// Returns entries from `from` on, of at most `max_bytes` but at least one.
+    /// Returns entries from `from` on with a total size of at most `max_bytes`, but at least one if
+    /// there is any.
     pub(super) fn batch(&self, from: u64, max_bytes: usize) -> Vec<Entry> {
         let skip = from.saturating_sub(self.base.index + 1) as usize;
         let mut bytes = 0;
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Records a snapshot at a position of this log and keeps `trailing` entries before it.
+    /// Records a snapshot at a position of this log and drops the entries before it, except the
+    /// last `trailing` ones.
     pub(super) fn compact(&mut self, position: LogPosition, trailing: u64) {
         self.snapshot = position;
         while self.memberships.get(1).is_some_and(|m| m.0 <= position.index) {
@@ -126,7 +128,7 @@
         self.memberships[self.memberships.len() - 1].0
     }
 
-    /// Returns whether a membership that is in force at `index` or later has `id` as a voter.
+    /// Returns whether `id` is a voter in the membership at `index` or in any later one.
     pub(super) fn is_voter_at_or_after(&self, index: u64, id: ReplicaId) -> bool {
         let after = self.memberships.partition_point(|m| m.0 <= index);
         self.memberships[after.saturating_sub(1)..].iter().any(|m| m.1.voters.contains(&id))
--- a/crates/agreement/src/core/progress.rs
+++ b/crates/agreement/src/core/progress.rs
@@ -1,58 +1,58 @@
-//! A leader's view of its peers and of its own term.
+//! State that a leader keeps about its peers and its term.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::types::{Membership, ReplicaId, Snapshot};
 
-/// Heartbeat rounds whose send times a leader remembers. An answer to an older round does not
-/// extend the lease.
+/// Number of recent heartbeat rounds whose send times a leader keeps. An answer to an older round
+/// does not extend the lease.
 const MAX_TRACKED_ROUNDS: usize = 256;
 
-/// How a peer is sent the log.
+/// How the log is sent to a peer.
 #[derive(Debug)]
 pub(super) enum ProgressState {
-    /// The matching position is not known; one append at a time.
+    /// The matching position is unknown; one append at a time is sent to find it.
     Probe {
-        /// Whether an append has been sent and not been answered.
+        /// Whether an append is unanswered.
         paused: bool,
     },
-    /// Appends are sent without waiting for answers.
+    /// Appends are pipelined without waiting for answers.
     Replicate {
-        /// Last index of each append that is not yet answered.
+        /// Last index of each unanswered append.
         inflight: VecDeque<u64>,
     },
-    /// The peer is behind the log in memory and receives a snapshot.
+    /// The peer needs entries that are no longer in memory and receives a snapshot.
     Snapshot(SnapshotTransfer),
 }
 
-/// A snapshot on its way to a peer; one chunk is in flight.
+/// A snapshot that is being sent to a peer, with one chunk in flight.
 #[derive(Debug)]
 pub(super) struct SnapshotTransfer {
     pub(super) snapshot: Snapshot,
-    /// Offset of the chunk that was sent last.
+    /// Offset of the last chunk sent.
     pub(super) offset: u64,
     pub(super) sent_at: Duration,
 }
 
-/// What a leader knows about a peer.
+/// Replication state of a peer.
 #[derive(Debug)]
 pub(super) struct Progress {
     pub(super) id: ReplicaId,
-    /// Last index that the peer has synced and that equals the leader's log.
+    /// Last index up to which the peer's log is synced and matches the leader's.
     pub(super) matched: u64,
     /// Next index to send.
     pub(super) next: u64,
     pub(super) state: ProgressState,
-    /// When the peer last answered in this term.
+    /// When the peer last answered in this term, or when it became a peer.
     pub(super) heard_at: Duration,
     /// Last heartbeat round that the peer acknowledged.
     pub(super) acked_round: u64,
-    /// When that round was sent.
+    /// When `acked_round` was sent.
     pub(super) acked_sent_at: Option<Duration>,
-    /// When the peer was removed from the membership.
+    /// When the peer was removed from the membership, if it was.
     pub(super) removed_at: Option<Duration>,
-    /// First round that told the peer that its removal is committed.
+    /// First heartbeat round that told the peer that its removal is committed.
     pub(super) removal_round: Option<u64>,
 }
 
@@ -71,13 +71,13 @@
         }
     }
 
-    /// Returns to sending one append at a time, from the first index that is not known to match.
+    /// Returns to the `Probe` state, sending from `next` but not from an index known to match.
     pub(super) fn probe_from(&mut self, next: u64) {
         self.next = next.max(self.matched + 1);
         self.state = ProgressState::Probe { paused: false };
     }
 
-    /// Notes that the peer's log matches up to `index`.
+    /// Records that the peer's log matches up to `index`.
     pub(super) fn matched_up_to(&mut self, index: u64) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched + 1);
@@ -101,11 +101,11 @@
 pub(super) struct PendingRead {
     pub(super) request_id: u64,
     pub(super) index: u64,
-    /// First round that was, or will be, sent after the read arrived.
+    /// First heartbeat round sent after the read arrived.
     pub(super) round: u64,
 }
 
-/// A leadership transfer under way.
+/// A leadership transfer in progress.
 #[derive(Debug)]
 pub(super) struct LeadershipTransfer {
     pub(super) to: ReplicaId,
@@ -116,22 +116,22 @@
 /// State that exists only while this replica leads.
 #[derive(Debug, Default)]
 pub(super) struct LeaderState {
-    /// Peers, voters and learners, sorted by id.
+    /// Voters and learners other than the leader, and recently removed ones; sorted by id.
     pub(super) peers: Vec<Progress>,
-    /// Index of the entry with which the term began.
+    /// Index of the first entry of the term.
     pub(super) first_index: u64,
     /// Last heartbeat round.
     pub(super) round: u64,
-    /// Recent rounds and when they were sent.
+    /// Numbers of recent rounds and when they were sent.
     pub(super) rounds: VecDeque<(u64, Duration)>,
     pub(super) next_heartbeat: Duration,
-    /// Reads that wait for the term's first commit.
+    /// Request ids of reads that wait for the first commit of the term.
     pub(super) deferred_reads: Vec<u64>,
-    /// Reads that wait for a round; the rounds never fall.
+    /// Reads that wait for a heartbeat round, in ascending order of the round.
     pub(super) pending_reads: VecDeque<PendingRead>,
     pub(super) transfer: Option<LeadershipTransfer>,
-    /// Set for the rest of the term once `TimeoutNow` was sent: a late copy of it may let another
-    /// replica win an election at any time.
+    /// Set for the rest of the term once `TimeoutNow` has been sent: a delayed or duplicated copy
+    /// of it may let another replica win an election at any time.
     pub(super) lease_released: bool,
 }
 
@@ -144,8 +144,8 @@
         self.peers.binary_search_by_key(&id, |p| p.id).ok().map(|i| &mut self.peers[i])
     }
 
-    /// Adds the members other than the leader as peers. Peers that are no longer members stay for a
-    /// while, so that they learn of their removal and stop asking for votes.
+    /// Adds the members other than the leader as peers. Removed members remain peers for a while,
+    /// so that they learn of their removal and stop campaigning.
     pub(super) fn set_members(
         &mut self,
         leader: ReplicaId,
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Forgets the removed peers that know of their removal or were removed before `removed_before`.
+    /// Drops the removed peers that know of their removal, and those that were removed at or before
+    /// `removed_before`.
     pub(super) fn drop_removed_peers(&mut self, removed_before: Option<Duration>) {
         self.peers.retain(|p| {
             let informed = p.removal_round.is_some_and(|round| p.acked_round >= round);
@@ -186,7 +187,7 @@
         self.round
     }
 
-    /// Notes that a peer acknowledged a round.
+    /// Records that a peer acknowledged a round.
     pub(super) fn round_acked(&mut self, from: ReplicaId, round: u64) {
         let first = self.rounds.front().map_or(0, |r| r.0);
         let sent_at =
@@ -200,7 +201,7 @@
     }
 }
 
-/// Returns the largest value that a majority of the voters has reached.
+/// Returns the largest value that a majority of the voters has reached, or `None` without voters.
 pub(super) fn quorum_value<T: Ord + Copy>(
     voters: &[ReplicaId],
     value: impl Fn(ReplicaId) -> T,
--- a/crates/agreement/src/core/reads.rs
+++ b/crates/agreement/src/core/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads: the leader's lease and quorum rounds.
+//! Linearizable reads by leader lease or heartbeat round.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use super::progress::{PendingRead, quorum_value};
 
 impl Core {
-    /// Returns whether no other replica can have been elected up to `now`, and this replica's
-    /// commit index covers everything that was acknowledged before.
+    /// Returns whether this replica holds the leader lease at `now`. If so, no other replica can
+    /// have been elected, and the commit index covers everything acknowledged before.
     ///
-    /// The lease runs from when the last heartbeat round that a quorum acknowledged was sent. The
-    /// acknowledging voters refuse other candidates for the shortest election timeout from a later
-    /// moment.
+    /// The lease starts when the last heartbeat round acknowledged by a quorum was sent. The
+    /// acknowledging voters refuse other candidates for the shortest election timeout from when
+    /// they received the heartbeat, which is later.
     pub fn lease_valid(&self, now: Duration) -> bool {
         if self.role != Role::Leader
             || self.leader_state.lease_released
@@ -35,7 +35,7 @@
         self.commit >= self.leader_state.first_index
     }
 
-    /// Returns whether a quorum answered within the shortest election timeout.
+    /// Returns whether a quorum has answered within the shortest election timeout.
     pub(super) fn has_recent_quorum(&self) -> bool {
         let heard_at = quorum_value(self.voters(), |id| {
             if id == self.cfg.id {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Starts the reads that waited for the term's first commit.
+    /// Starts the reads that waited for the first commit of the term.
     pub(super) fn start_deferred_reads(&mut self) {
         if self.has_committed_in_term() {
             for request_id in std::mem::take(&mut self.leader_state.deferred_reads) {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Releases the reads whose round a quorum acknowledged, and starts a round for those that
-    /// arrived during it.
+    /// Completes the reads whose round a quorum has acknowledged, and starts a round for the reads
+    /// that arrived in the meantime.
     pub(super) fn complete_reads(&mut self) {
         let own = self.leader_state.round;
         let acked = quorum_value(self.voters(), |id| {
--- a/crates/agreement/src/core/replication.rs
+++ b/crates/agreement/src/core/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of the log and heartbeats.
+//! Log replication and heartbeats.
 
 use crate::message::{AppendResult, Message};
 use crate::types::{Entry, LogPosition, Payload, ReplicaId};
@@ -16,7 +16,8 @@
         position
     }
 
-    /// Appends a proposal to the leader's log and sends it; it is synced meanwhile.
+    /// Appends a proposal to the leader's log and sends it to the peers without waiting for the
+    /// local sync.
     pub(super) fn append_proposal(&mut self, payload: Payload, request_id: u64) {
         let position = self.append(payload);
         self.proposals.push((position, request_id));
@@ -24,15 +25,15 @@
         self.replicate();
     }
 
-    /// Sends every peer the entries that its window has room for.
+    /// Sends each peer as many entries as its window of in-flight appends allows.
     pub(super) fn replicate(&mut self) {
         for i in 0..self.leader_state.peers.len() {
             self.replicate_to(i, false);
         }
     }
 
-    /// Sends entries to the peer with index `i`. With `check`, sends an empty append if there is
-    /// nothing to send, so that the peer reports a lost one.
+    /// Sends entries to the peer at index `i`. With `send_empty`, sends an empty append if there is
+    /// nothing else to send, so that the peer reports a mismatch if an earlier append was lost.
     fn replicate_to(&mut self, i: usize, send_empty: bool) {
         if self.leader_state.peers[i].next <= self.log.base().index {
             self.start_snapshot(i);
@@ -111,7 +112,8 @@
         self.send_after_sync(from, Message::AppendAnswer { term, result });
     }
 
-    /// Appends entries that follow a matching position; replaces what differs.
+    /// Appends entries that follow a matching position, and replaces entries that conflict with
+    /// them.
     fn merge_entries(&mut self, entries: Vec<Entry>) {
         for e in entries {
             if self.log.matches(e.position) {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Raises the commit index, never above the log's end.
+    /// Advances the commit index to `index`, or to the last entry if the log ends before it.
     pub(super) fn commit_to(&mut self, index: u64) {
         self.commit = self.commit.max(index.min(self.log.last().index));
     }
@@ -164,9 +166,10 @@
         self.continue_transfer();
     }
 
-    /// Returns the next index to send after a mismatch. The follower has no entry after the hint
-    /// with a term up to the rejected one's, and the leader has none that matches between the hint
-    /// and its own last entry of the hint's term or an earlier one.
+    /// Returns the next index to send after a mismatch. Between the hint and the rejected index,
+    /// the follower has no entry whose term is at most the rejected one. The leader's entries
+    /// between the hint and its own last entry with at most the hint's term cannot match either.
+    /// Both are skipped, so that the search takes one message per term and not per entry.
     fn next_after_mismatch(&self, rejected: u64, hint: LogPosition) -> u64 {
         let next = match self.log.term_at(hint.index) {
             Some(_) => self.log.last_at_most(hint.index, hint.term).index + 1,
@@ -175,8 +178,9 @@
         next.min(rejected)
     }
 
-    /// Commits what a quorum has synced, if it is of the current term: an entry of an earlier term
-    /// may still be replaced although a quorum has it.
+    /// Commits the entries that a quorum has synced, if the last of them is of the current term. An
+    /// entry of an earlier term may still be replaced although a quorum has it (section 5.4.2 of
+    /// the Raft paper).
     pub(super) fn advance_commit(&mut self) {
         let quorum = quorum_value(self.voters(), |id| {
             if id == self.cfg.id {
--- a/crates/agreement/src/core/snapshot.rs
+++ b/crates/agreement/src/core/snapshot.rs
@@ -1,4 +1,4 @@
-//! Compaction of the log and transfer of snapshots.
+//! Log compaction and snapshot transfer.
 
 use bytes::Bytes;
 
@@ -10,7 +10,7 @@
 use super::memory_log::MemoryLog;
 use super::progress::{ProgressState, SnapshotTransfer};
 
-/// Chunks of a snapshot that have arrived from the current leader.
+/// The received part of a snapshot from the current leader.
 #[derive(Debug)]
 pub(super) struct PartialSnapshot {
     last: LogPosition,
@@ -18,7 +18,7 @@
 }
 
 impl Core {
-    /// Records the state machine's snapshot and shortens the log in memory.
+    /// Records a snapshot of the state machine and compacts the log in memory.
     pub(super) fn compact(&mut self, mut snapshot: Snapshot) {
         let index = snapshot.last.index;
         let current = self.log.snapshot();
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Starts to send the snapshot to the peer with index `i`.
+    /// Starts to send the snapshot to the peer at index `i`, or asks the driver for one.
     pub(super) fn start_snapshot(&mut self, i: usize) {
         if matches!(self.leader_state.peers[i].state, ProgressState::Snapshot(_)) {
             return;
@@ -73,7 +73,7 @@
         self.send(to, message);
     }
 
-    /// Sends chunks again that were not answered within the shortest election timeout.
+    /// Resends chunks that were not answered within the shortest election timeout.
     pub(super) fn resend_snapshot_chunks(&mut self) {
         for i in 0..self.leader_state.peers.len() {
             if let ProgressState::Snapshot(t) = &self.leader_state.peers[i].state
@@ -141,7 +141,7 @@
         self.send_after_sync(from, Message::AppendAnswer { term, result });
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces the whole log with a snapshot.
     fn install(&mut self, snapshot: Snapshot) {
         let commit = self.commit;
         self.log = MemoryLog::new(snapshot.last, snapshot.membership.clone());
--- a/crates/agreement/src/driver.rs
+++ b/crates/agreement/src/driver.rs
@@ -1,7 +1,8 @@
-//! Runs the groups of a process: storage, transport, clock and state machines around the cores.
+//! Runs the groups of a process: connects the cores with storage, transport, clock and state
+//! machines.
 //!
-//! One task owns the cores and state machines of all groups. When it ends, because the store has
-//! failed or the node was shut down, open requests are answered and later ones are refused.
+//! One task owns the cores and state machines of all groups. When the task ends, because the store
+//! failed or the node was shut down, pending requests are answered and later ones are refused.
 
 mod group;
 mod handle;
@@ -22,37 +23,38 @@
     StoreError,
 };
 
-/// Sends messages to other replicas. It may lose, repeat and reorder them; it must not block.
+/// Sends messages to other replicas. It may lose, duplicate and reorder messages.
 pub trait Transport: Send + Sync + 'static {
-    /// Sends a message.
+    /// Sends a message to a replica. Must not block.
     fn send(&self, to: ReplicaId, message: PeerMessage);
 }
 
 /// The state that a group replicates.
 ///
-/// All replicas apply the same commands in the same order, so `apply` must depend on nothing else.
+/// All replicas apply the same commands in the same order and must reach the same state, so `apply`
+/// must be deterministic.
 pub trait StateMachine: Any + Send {
-    /// Applies the command at an index of the log and returns its result.
+    /// Applies the command at a log index and returns its result.
     fn apply(&mut self, index: u64, data: &[u8]) -> Bytes;
 
-    /// Encodes the whole state.
+    /// Encodes the complete state.
     fn snapshot(&self) -> Bytes;
 
-    /// Replaces the state by an encoded one.
+    /// Replaces the state with one encoded by `snapshot`.
     ///
     /// # Errors
     ///
-    /// Fails when the encoding is unknown. The node then stops.
+    /// Fails if the state cannot be decoded. The node then stops.
     fn restore(&mut self, snapshot: &[u8]) -> anyhow::Result<()>;
 }
 
-/// The clock that leases and election timeouts are measured with.
+/// The clock that measures leases and election timeouts.
 pub trait Clock: std::fmt::Debug + Send + Sync {
-    /// Time since an arbitrary start. Never goes back.
+    /// Returns the time since an arbitrary start. Must be monotonic.
     fn now(&self) -> Duration;
 }
 
-/// The runtime's clock.
+/// The clock of the Tokio runtime.
 #[derive(Debug)]
 pub struct RuntimeClock(tokio::time::Instant);
 
@@ -71,32 +73,36 @@
 /// Parameters of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Clock of leases and election timeouts. Where machines may be suspended, it has to count that
-    /// time, because a leader that wakes up must not count on its lease.
+    /// Clock for leases and election timeouts. If machines may be suspended, the clock must include
+    /// that time: a leader that resumes must not rely on a lease from before.
     pub clock: Arc<dyn Clock>,
-    /// Time between two ticks of the cores.
+    /// Time between two ticks of the cores. Should be several times shorter than
+    /// `heartbeat_interval`.
     pub tick_interval: Duration,
-    /// Time between two heartbeats of a leader.
+    /// Time between two heartbeat rounds of a leader.
     pub heartbeat_interval: Duration,
     /// Shortest election timeout.
     pub election_timeout_min: Duration,
     /// Longest election timeout.
     pub election_timeout_max: Duration,
-    /// Time by which two clocks may drift apart within an election timeout.
+    /// Bound on the drift between two clocks within an election timeout.
     pub drift_margin: Duration,
-    /// Entries after which a snapshot is taken.
+    /// Number of applied entries after which a snapshot is taken.
     pub snapshot_entries: u64,
-    /// Bytes of applied commands after which a snapshot is taken.
+    /// Bytes of applied commands after which a snapshot is taken. Neither limit triggers a snapshot
+    /// before the log has grown by the size of the last one.
     pub snapshot_bytes: u64,
-    /// Entries before a snapshot that stay in memory for followers that lag behind.
+    /// Number of entries before the last snapshot that stay in memory for slow followers.
     pub trailing_entries: u64,
-    /// Proposals of a group that may be open at a time; more are refused.
+    /// Maximum number of pending proposals per group; further ones are refused.
     pub max_proposals: usize,
-    /// Bytes of the open proposals of a group; a single one may be larger, and then has to be alone.
+    /// Maximum bytes of pending proposals per group, in units of 1 KiB. A larger proposal is
+    /// accepted only while no other one with data is pending.
     pub max_proposal_bytes: usize,
-    /// Messages and requests that wait for the node's task; more messages are dropped.
+    /// Capacity of the node task's message queue and of its request queue. When the former is full,
+    /// messages are dropped; when the latter is full, callers wait.
     pub queue_capacity: usize,
-    /// Seed of the election timeouts; random by default.
+    /// Seed of the random election timeouts; random by default.
     pub seed: u64,
 }
 
@@ -124,18 +130,18 @@
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum NodeError {
     /// The store has failed.
-    #[error("the store has failed: {0}")]
+    #[error("storage failed: {0}")]
     Store(#[from] StoreError),
-    /// A state machine cannot read a snapshot.
-    #[error("cannot restore the state of group {}: {source}", group.0)]
+    /// A state machine could not be restored from a snapshot.
+    #[error("cannot restore group {} from its snapshot: {source}", group.0)]
     Restore {
-        /// The group.
+        /// Group whose state machine failed.
         group: GroupId,
-        /// The state machine's error.
+        /// Error that the state machine returned.
         source: Arc<anyhow::Error>,
     },
-    /// The node's task has ended: it was shut down, or a state machine panicked.
-    #[error("the task of the replicated log has ended")]
+    /// The node's task has ended, because it was shut down or a state machine panicked.
+    #[error("the replicated log's task has ended")]
     Ended,
 }
 
@@ -145,17 +151,17 @@
     /// The store has failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The store has groups already.
-    #[error("the store is in use already")]
+    /// The store already has groups.
+    #[error("the store already holds groups")]
     NotEmpty,
 }
 
-/// Writes the first voters of new groups into a fresh store. All first voters must be given the
-/// same list; a replica that joins later must not be given any.
+/// Writes the initial voters of new groups to an empty store. All initial voters must write the
+/// same list. A replica that joins later must not write any.
 ///
 /// # Errors
 ///
-/// Fails when the store holds anything, or cannot be written.
+/// Fails if the store is not empty or cannot be read or written.
 pub async fn init_voters(
     storage: &dyn Storage,
     groups: &[GroupId],
@@ -164,11 +170,11 @@
     init_groups(storage, groups.iter().map(|id| (*id, voters.to_vec())).collect()).await
 }
 
-/// Like [`init_voters`], with first voters of its own for each group.
+/// Like [`init_voters`], but with a separate list of initial voters for each group.
 ///
 /// # Errors
 ///
-/// Fails when the store holds anything, or cannot be written.
+/// Fails if the store is not empty or cannot be read or written.
 pub async fn init_groups(
     storage: &dyn Storage,
     groups: Vec<(GroupId, Vec<ReplicaId>)>,
--- a/crates/agreement/src/driver/group.rs
+++ b/crates/agreement/src/driver/group.rs
@@ -1,4 +1,4 @@
-//! One group in the node's task: its core, its state machine and the open requests.
+//! One group of a node: its core, its state machine and its pending requests.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,27 +16,27 @@
     Snapshot, StoredGroup,
 };
 
-/// Work for the storage that steps of the cores produced.
+/// Requests to storage that the cores have produced and that are not yet submitted.
 #[derive(Default)]
 pub(crate) struct StorageWork {
     pub(crate) persists: Vec<(GroupId, PersistRequest)>,
     pub(crate) snapshots: Vec<(GroupId, Snapshot)>,
 }
 
-/// A proposal in the leader's log.
+/// A proposal that has been appended to this leader's log and is not yet decided.
 struct Appended {
     position: LogPosition,
     request_id: u64,
     responder: Responder,
 }
 
-/// What was applied since the last snapshot, which tells when the next one is due.
+/// Entries applied since the last snapshot, which determine when the next one is due.
 #[derive(Default)]
 struct SinceSnapshot {
     entries: u64,
     bytes: u64,
-    /// Size of the last snapshot. The next one is taken after the log has grown by as much, so that
-    /// snapshots at most double what is written.
+    /// Size of the last snapshot. The next one is taken only after the log has grown by as much, so
+    /// that snapshots at most double the bytes written.
     last_bytes: u64,
     /// Whether a snapshot is being saved.
     saving: bool,
@@ -53,16 +53,18 @@
     /// Membership at `applied`.
     membership: Membership,
     next_request_id: u64,
-    /// Proposals in order of their index.
+    /// Undecided proposals, ordered by index.
     appended: VecDeque<Appended>,
-    /// Proposal of the step under way.
+    /// Request id and responder of the proposal that the current step passes to the core.
     proposing: Option<(u64, Responder)>,
+    /// Pending reads by request id.
     reads: Vec<(u64, Query)>,
+    /// Target, deadline and reply of the leadership transfer in progress.
     transfer: Option<(ReplicaId, Duration, Reply<(), ProposeError>)>,
-    /// When this replica stopped leading while proposals were open.
+    /// When this replica stopped leading, until the proposals undecided at that time expire.
     stepped_down_at: Option<Duration>,
     since_snapshot: SinceSnapshot,
-    /// Position of the last snapshot that storage holds.
+    /// Position of the last snapshot in storage.
     saved: LogPosition,
 }
 
@@ -76,16 +78,16 @@
         cfg: Arc<NodeConfig>,
     ) -> Result<(Self, watch::Receiver<Leadership>), NodeError> {
         let StoredGroup { hard_state, snapshot, entries } = stored;
-        let mut restored = InitialState { hard_state, entries, ..InitialState::default() };
+        let mut initial = InitialState { hard_state, entries, ..InitialState::default() };
         let mut since_snapshot = SinceSnapshot::default();
         if let Some(s) = snapshot {
             restore(id, machine.as_mut(), &s)?;
             since_snapshot.last_bytes = s.data.len() as u64;
-            restored.snapshot = s.last;
-            restored.membership = s.membership;
+            initial.snapshot = s.last;
+            initial.membership = s.membership;
         }
-        let (applied, membership) = (restored.snapshot, restored.membership.clone());
-        let core = Core::new(core_config(id, replica, &cfg), restored);
+        let (applied, membership) = (initial.snapshot, initial.membership.clone());
+        let core = Core::new(core_config(id, replica, &cfg), initial);
         let (leadership, rx) = watch::channel(leadership(&core, Duration::ZERO));
         let group = Self {
             id,
@@ -125,7 +127,7 @@
         status.membership.voters.iter().any(|id| *id != status.id)
     }
 
-    /// Handles a tick.
+    /// Handles a tick: steps the core, expires requests and publishes the leadership.
     pub(crate) fn tick(&mut self, now: Duration, work: &mut StorageWork) -> Result<(), NodeError> {
         self.step(now, Input::Tick, work)?;
         self.expire_requests(now);
@@ -134,10 +136,10 @@
         Ok(())
     }
 
-    /// Answers what can't be expected to be settled any more.
+    /// Answers proposals and transfers that are unlikely to be decided any more.
     fn expire_requests(&mut self, now: Duration) {
-        // A successor is normally elected within two election timeouts. Until then most proposals
-        // are settled by what it commits.
+        // A new leader is normally elected within two election timeouts, and its commits decide
+        // most of the pending proposals.
         let timeout = 2 * self.cfg.election_timeout_max;
         if self.stepped_down_at.is_some_and(|at| now >= at + timeout) {
             self.stepped_down_at = None;
@@ -223,7 +225,7 @@
         Ok(())
     }
 
-    /// Transfers leadership to the voter whose log is most complete.
+    /// Transfers leadership to the voter with the most complete log.
     pub(crate) fn transfer_to_most_complete(
         &mut self,
         now: Duration,
@@ -238,8 +240,8 @@
         self.step(now, Input::TransferLeadership { to }, work)
     }
 
-    /// Transfers leadership while this replica's disk does not respond, to a voter whose disk does:
-    /// one that has synced what this replica has not.
+    /// Transfers leadership while this replica's disk is stalled. The target's disk must work: the
+    /// target must have synced entries that this replica has not.
     pub(crate) fn transfer_off_stalled_disk(
         &mut self,
         now: Duration,
@@ -257,11 +259,11 @@
             return Ok(());
         }
         let (group, heir) = (self.id.0, to.0);
-        log::warn!(group, heir; "the disk does not respond; handing the lead over");
+        log::warn!(group, heir; "disk is stalled; transferring leadership");
         self.step(now, Input::TransferLeadership { to }, work)
     }
 
-    /// Handles the report that a snapshot was saved.
+    /// Records that storage has saved a snapshot, and compacts the log.
     pub(crate) fn snapshot_saved(
         &mut self,
         now: Duration,
@@ -288,7 +290,7 @@
             self.transport.send(to, PeerMessage { group: self.id, message });
         }
         if let Some(mut persist) = persist {
-            // The core also asks for the snapshots that `Storage::save_snapshot` has saved.
+            // The core also requests the snapshots that `Storage::save_snapshot` has already saved.
             persist.snapshot.take_if(|s| s.last == self.saved);
             work.persists.push((self.id, persist));
         }
@@ -344,7 +346,7 @@
         };
         self.since_snapshot.entries += 1;
         self.applied = entry.position;
-        // A proposal at this index with another term is reported by the core.
+        // The core reports a proposal that was overwritten by an entry of another term.
         if let Some(i) = self.find_appended(|a| a.position == entry.position)
             && let Some(a) = self.appended.remove(i)
         {
@@ -352,7 +354,7 @@
         }
     }
 
-    /// Finds a proposal; those that are settled next are at the front.
+    /// Returns the index of an undecided proposal. The next ones to be decided are at the front.
     fn find_appended(&self, f: impl FnMut(&Appended) -> bool) -> Option<usize> {
         self.appended.iter().position(f)
     }
@@ -377,7 +379,7 @@
             }
             ProposalResult::NotLeader { leader } => ProposeError::NotLeader { leader },
             ProposalResult::Refused(refusal) => ProposeError::Refused(refusal),
-            // Another entry took its place, so it is never applied.
+            // Another entry was committed at its index, so it will never be applied.
             ProposalResult::Overwritten => {
                 ProposeError::NotLeader { leader: self.core.status().role.leader }
             }
@@ -394,7 +396,10 @@
         match result {
             ReadResult::Ready { index } => {
                 // Entries are applied in the step that commits them.
-                debug_assert!(index <= self.applied.index, "a read waits for a committed index");
+                debug_assert!(
+                    index <= self.applied.index,
+                    "a read index is applied when the read completes"
+                );
                 query(Ok(self.machine.as_ref()));
             }
             ReadResult::NotLeader { leader } => query(Err(ReadError::NotLeader { leader })),
@@ -425,7 +430,7 @@
         Ok(())
     }
 
-    /// Answers all open requests when the task ends.
+    /// Answers all pending requests when the task ends. Dropping a proposal answers it.
     pub(crate) fn stop(&mut self) {
         self.appended.clear();
         for (_, query) in self.reads.drain(..) {
@@ -439,7 +444,7 @@
     machine: &mut dyn StateMachine,
     snapshot: &Snapshot,
 ) -> Result<(), NodeError> {
-    // The snapshot of a new group has a membership only.
+    // The initial snapshot of a new group holds only its membership.
     if snapshot.last.index == 0 {
         return Ok(());
     }
--- a/crates/agreement/src/driver/handle.rs
+++ b/crates/agreement/src/driver/handle.rs
@@ -9,7 +9,7 @@
 use super::StateMachine;
 use crate::{GroupId, MembershipChange, MembershipChangeError, ReplicaId, Role, Status};
 
-/// Why a proposal has no result.
+/// Why a proposal failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
     /// This replica does not lead the group. The command was not executed and never will be.
@@ -18,13 +18,14 @@
         /// Leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// Too many proposals are open. The command was not executed and never will be.
+    /// Too many proposals are pending. The command was not executed and never will be.
     #[error("too many proposals are open")]
     Overloaded,
-    /// The change of voters is not possible now.
+    /// The membership change is not possible now and was not made.
     #[error(transparent)]
     Refused(#[from] MembershipChangeError),
-    /// The command may be executed, now or later, or not.
+    /// The outcome is unknown: the command may have been executed, may still be executed, or
+    /// neither.
     #[error("the outcome is not known")]
     Unknown,
     /// The node has stopped. The command was not executed and never will be.
@@ -32,7 +33,7 @@
     Stopped,
 }
 
-/// Why a read is not possible.
+/// Why a read failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
     /// This replica does not lead the group.
@@ -41,15 +42,15 @@
         /// Leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// The group's state machine is of another type.
-    #[error("the group's state machine is of another type")]
+    /// The group's state machine is not of the requested type.
+    #[error("the group's state machine is not of the requested type")]
     WrongType,
     /// The node has stopped.
     #[error("the node has stopped")]
     Stopped,
 }
 
-/// What a replica knows about the leadership of its group.
+/// Leadership of a group as known to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leadership {
     /// Leader of the term, if known.
@@ -65,7 +66,7 @@
 /// State of a replica of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupStatus {
-    /// State of the core.
+    /// State of the consensus core.
     pub core: Status,
     /// Last applied index.
     pub applied: u64,
@@ -74,18 +75,18 @@
 }
 
 pub(crate) type Reply<T, E> = oneshot::Sender<Result<T, E>>;
-/// Is run with the state machine once a read is linearizable, or with the reason why it is not.
+/// Callback of a read, run with the state machine once the read is linearizable, or with an error.
 pub(crate) type Query = Box<dyn FnOnce(Result<&dyn StateMachine, ReadError>) + Send>;
 
-/// A proposal's way back to its caller.
+/// Returns a proposal's result to its caller.
 ///
-/// When it is dropped without an answer, the outcome is unknown if the node's task had taken it.
-/// This covers a panic of a state machine too.
+/// Dropping it without a result answers `Unknown` if the proposal had been submitted to the core,
+/// and `Stopped` otherwise. This covers panics of a state machine.
 pub(crate) struct Responder {
     reply: Option<Reply<Bytes, ProposeError>>,
-    /// Whether the node's task has passed the proposal to the core.
+    /// Whether the proposal has been submitted to the core.
     pub(crate) submitted: bool,
-    /// Count against the open proposals until they are dropped.
+    /// Permits from `ProposalLimits`, released on drop.
     _permits: [OwnedSemaphorePermit; 2],
 }
 
@@ -114,11 +115,11 @@
     Transfer(ReplicaId, Reply<(), ProposeError>),
 }
 
-/// Bounds the open proposals of a group.
+/// Limits the number and the bytes of a group's pending proposals.
 #[derive(Debug)]
 pub(crate) struct ProposalLimits {
     count: Arc<Semaphore>,
-    /// In units of `PERMIT_BYTES`, since a semaphore counts 32 bits at a time.
+    /// One permit per `PERMIT_BYTES`, because `acquire_many` takes a 32-bit count.
     bytes: Arc<Semaphore>,
     max_byte_permits: u32,
 }
@@ -155,16 +156,16 @@
 }
 
 impl GroupHandle {
-    /// Returns the group.
+    /// Returns the number of the group.
     pub fn group(&self) -> GroupId {
         self.group
     }
 
-    /// Proposes a command; returns the state machine's result once it is committed and applied.
+    /// Proposes a command and returns the state machine's result once it is committed and applied.
     ///
     /// # Errors
     ///
-    /// All errors but `Unknown` say that the command is never executed.
+    /// Every error except [`ProposeError::Unknown`] guarantees that the command is never executed.
     pub async fn propose(&self, data: Bytes) -> Result<Bytes, ProposeError> {
         self.submit(data.len(), |responder| Request::Propose(data, responder)).await
     }
@@ -173,16 +174,16 @@
     ///
     /// # Errors
     ///
-    /// Like `propose`; also when the change is refused.
+    /// As for [`propose`](Self::propose); also fails with [`ProposeError::Refused`].
     pub async fn add_learner(&self, id: ReplicaId) -> Result<(), ProposeError> {
         self.change(MembershipChange::AddLearner(id)).await
     }
 
-    /// Makes a learner that has caught up a voter.
+    /// Turns a learner that has caught up into a voter.
     ///
     /// # Errors
     ///
-    /// Like `propose`; also when the change is refused.
+    /// As for [`propose`](Self::propose); also fails with [`ProposeError::Refused`].
     pub async fn promote_learner(&self, id: ReplicaId) -> Result<(), ProposeError> {
         self.change(MembershipChange::PromoteLearner(id)).await
     }
@@ -191,7 +192,7 @@
     ///
     /// # Errors
     ///
-    /// Like `propose`; also when the change is refused.
+    /// As for [`propose`](Self::propose); also fails with [`ProposeError::Refused`].
     pub async fn remove_member(&self, id: ReplicaId) -> Result<(), ProposeError> {
         self.change(MembershipChange::RemoveVoter(id)).await
     }
@@ -213,22 +214,23 @@
         result.await.unwrap_or(Err(ProposeError::Unknown))
     }
 
-    /// Returns once the state machine has applied everything that was acknowledged before the call,
-    /// and this replica has led the group after the call.
+    /// Waits until the state machine has applied everything that was acknowledged before the call,
+    /// and confirms that this replica led the group at some time during the call.
     ///
     /// # Errors
     ///
-    /// Fails when this replica does not lead the group.
+    /// Fails if this replica does not lead the group or the node has stopped.
     pub async fn read_barrier(&self) -> Result<(), ReadError> {
         self.read(|_| Ok(())).await
     }
 
-    /// Reads the group's state machine, of type `M`, behind a read barrier. The closure runs in the
-    /// node's task and must be short.
+    /// Runs a linearizable read of the group's state machine of type `M`. The closure runs in the
+    /// node's task and must return quickly.
     ///
     /// # Errors
     ///
-    /// Fails when this replica does not lead the group or the state machine is no `M`.
+    /// Fails if this replica does not lead the group, the state machine is not an `M`, or the node
+    /// has stopped.
     pub async fn query<M, R>(
         &self,
         f: impl FnOnce(&M) -> R + Send + 'static,
@@ -256,27 +258,27 @@
         result.await.unwrap_or(Err(ReadError::Stopped))
     }
 
-    /// Returns the state of this replica, or `None` when the node has stopped.
+    /// Returns the state of this replica, or `None` if the node has stopped.
     pub async fn status(&self) -> Option<GroupStatus> {
         let (reply, result) = oneshot::channel();
         self.tx.send((self.group, Request::Status(reply))).await.ok()?;
         result.await.ok()
     }
 
-    /// Returns a channel with the leadership of the group. The lease in it is as of the last tick;
-    /// what must not be done without the lease needs a `read_barrier`.
+    /// Returns a channel with the leadership of the group. Its lease is as of the last tick; use
+    /// [`read_barrier`](Self::read_barrier) before an action that requires the lease.
     ///
-    /// The node's task waits while a value is borrowed from the channel, so copy it at once.
+    /// A borrowed value blocks the node's task, so copy it immediately.
     pub fn watch(&self) -> watch::Receiver<Leadership> {
         self.leadership.clone()
     }
 
-    /// Transfers leadership to another voter; returns once that voter leads.
+    /// Transfers leadership to another voter and returns once that voter leads.
     ///
     /// # Errors
     ///
-    /// Fails when this replica does not lead, or with `Unknown` when the transfer was not completed
-    /// in time.
+    /// Fails if this replica does not lead, if another transfer is in progress, if the node has
+    /// stopped, or with [`ProposeError::Unknown`] if the transfer was not completed in time.
     pub async fn transfer_leadership(&self, to: ReplicaId) -> Result<(), ProposeError> {
         let (reply, result) = oneshot::channel();
         let request = Request::Transfer(to, reply);
--- a/crates/agreement/src/driver/node.rs
+++ b/crates/agreement/src/driver/node.rs
@@ -1,4 +1,4 @@
-//! Start, message delivery and end of a node.
+//! Starts a node, delivers messages to it and stops it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,7 +12,7 @@
     FolderId, GroupId, IdentityError, PeerIdentities, PeerMessage, ReplicaId, Storage, StoredGroup,
 };
 
-/// Collects what a node needs.
+/// Builder of a [`Node`].
 pub struct NodeBuilder {
     replica: ReplicaId,
     storage: Box<dyn Storage>,
@@ -23,19 +23,19 @@
 }
 
 impl NodeBuilder {
-    /// Sets the recorded folder identities of the peers; kept in memory only by default.
+    /// Sets the recorded folder identities of the peers. By default, they are kept in memory only.
     pub fn peers(mut self, peers: PeerIdentities) -> Self {
         self.peers = peers;
         self
     }
 
-    /// Sets the parameters.
+    /// Sets the parameters of the node.
     pub fn config(mut self, cfg: NodeConfig) -> Self {
         self.cfg = cfg;
         self
     }
 
-    /// Adds a group. A state machine that is given for the same group later replaces this one.
+    /// Adds a group. A later call for the same group replaces its state machine.
     pub fn group(mut self, id: GroupId, machine: Box<dyn StateMachine>) -> Self {
         match self.groups.binary_search_by_key(&id, |(g, _)| *g) {
             Ok(i) => self.groups[i].1 = machine,
@@ -44,15 +44,15 @@
         self
     }
 
-    /// Reads the store, restores the state machines and starts the node's task.
+    /// Loads the store, restores the state machines and starts the node's task.
     ///
     /// # Errors
     ///
-    /// Fails when the store or a snapshot cannot be read.
+    /// Fails if the store cannot be read or a state machine cannot be restored.
     ///
     /// # Panics
     ///
-    /// Panics outside a Tokio runtime, and if the queue of the configuration has no room at all.
+    /// Panics outside a Tokio runtime, or if `queue_capacity` is 0.
     pub async fn start(self) -> Result<Node, NodeError> {
         let mut stored = self.storage.load().await?;
         let cfg = Arc::new(self.cfg);
@@ -84,8 +84,7 @@
     }
 }
 
-/// The replicas of all groups of a process. When it is dropped, they stop without transferring
-/// leadership.
+/// The replicas of all groups of a process. Dropping it stops them without transferring leadership.
 pub struct Node {
     replica: ReplicaId,
     /// Sorted by group.
@@ -96,7 +95,7 @@
 }
 
 impl Node {
-    /// Starts the description of a node.
+    /// Returns a builder for a node with the given replica number.
     pub fn builder(
         replica: ReplicaId,
         storage: Box<dyn Storage>,
@@ -111,31 +110,31 @@
         self.replica
     }
 
-    /// Returns the access to a group.
+    /// Returns a handle to a group, or `None` if the node does not run it.
     pub fn group(&self, id: GroupId) -> Option<GroupHandle> {
         let i = self.handles.binary_search_by_key(&id, |h| h.group).ok()?;
         Some(self.handles[i].clone())
     }
 
-    /// Hands over a message from a peer with its authenticated number and the identity of its data
-    /// folder. Never blocks; a message is dropped when the queue is full, when the peer's folder is
+    /// Delivers a message from a peer, given the peer's authenticated number and the identity of
+    /// its data folder. Never blocks. The message is dropped if the queue is full, if the folder is
     /// not the recorded one, or while a new peer is being recorded.
     pub fn deliver(&self, from: ReplicaId, from_folder: FolderId, message: PeerMessage) {
         self.inbox.deliver(from, from_folder, message);
     }
 
-    /// Waits until the node has failed or ended.
+    /// Waits until the node has failed or stopped.
     pub async fn failed(&self) -> NodeError {
         let mut failure = self.failure.clone();
-        // The other half is dropped when the node's task ends, be it by a panic.
+        // The sender is dropped when the node's task ends, also by a panic.
         match failure.wait_for(Option::is_some).await {
             Ok(e) => e.clone().unwrap_or(NodeError::Ended),
             Err(_) => NodeError::Ended,
         }
     }
 
-    /// Transfers the leadership of all groups, then stops and closes the store. Returns at once if
-    /// the node has failed.
+    /// Transfers the leadership of all groups, then stops the node and closes the store. Returns
+    /// immediately if the node has already stopped.
     pub async fn shutdown(&self) {
         let (reply, stopped) = oneshot::channel();
         if self.stop.send(StopRequest::Shutdown(reply)).await.is_ok() {
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Stops without transferring leadership, then closes the store.
+    /// Stops the node without transferring leadership, then closes the store.
     pub async fn abort(&self) {
         let (reply, stopped) = oneshot::channel();
         if self.stop.send(StopRequest::Abort(reply)).await.is_ok() {
@@ -152,13 +151,13 @@
     }
 }
 
-/// Checks the folder identities of the senders of messages.
+/// Checks the folder identity of each message's sender before queueing the message.
 struct Inbox {
     peers: PeerIdentities,
     tx: mpsc::Sender<(ReplicaId, PeerMessage)>,
-    /// Peers that are being recorded.
+    /// Peers whose folder is being recorded.
     recording: Mutex<Vec<ReplicaId>>,
-    /// Peers and folders that were refused, so that each is logged once.
+    /// Peers with the folders that were refused, so that each is logged only once.
     refused: Mutex<Vec<(ReplicaId, FolderId)>>,
 }
 
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Records a new peer in another thread.
+    /// Records the folder of a new peer on a blocking thread, because it syncs a file.
     fn record(self: &Arc<Self>, from: ReplicaId, folder: FolderId) {
         let mut recording = lock(&self.recording);
         if recording.contains(&from) {
--- a/crates/agreement/src/driver/task.rs
+++ b/crates/agreement/src/driver/task.rs
@@ -15,14 +15,14 @@
 use super::{NodeConfig, NodeError};
 use crate::{GroupId, PeerMessage, ReplicaId, Snapshot, Storage, StoreError};
 
-/// Messages or requests that are handled before their state is handed to storage.
+/// Maximum number of messages or requests handled before the resulting state goes to storage.
 const MAX_INPUTS_PER_BATCH: usize = 256;
 
-/// Ends the task.
+/// Request to end the task, with the channel for its completion.
 pub(crate) enum StopRequest {
-    /// Transfers leadership first.
+    /// Stop after transferring leadership.
     Shutdown(oneshot::Sender<()>),
-    /// At once.
+    /// Stop immediately.
     Abort(oneshot::Sender<()>),
 }
 
@@ -30,7 +30,7 @@
 type Saved = Result<(GroupId, Snapshot), StoreError>;
 
 pub(crate) struct NodeTask {
-    /// Sorted.
+    /// Sorted by group.
     pub(crate) groups: Vec<Group>,
     pub(crate) storage: Box<dyn Storage>,
     pub(crate) cfg: Arc<NodeConfig>,
@@ -41,15 +41,16 @@
     pub(crate) state: TaskState,
 }
 
-/// What the task is waiting for.
+/// Storage work and shutdown in progress.
 pub(crate) struct TaskState {
     work: StorageWork,
-    /// The batch that storage makes durable. The next one collects meanwhile.
+    /// The batch that storage is making durable. `work` collects the next one in the meantime.
     syncing: Option<BoxFuture<'static, Synced>>,
-    /// When that batch was handed to storage.
+    /// When that batch was submitted to storage.
     syncing_since: Instant,
     saving: FuturesUnordered<BoxFuture<'static, Saved>>,
-    /// When the task ends although it still leads, and whom to tell.
+    /// Deadline of a shutdown, after which the task ends even if it still leads, and the channel
+    /// for its completion.
     stopping: Option<(Instant, oneshot::Sender<()>)>,
 }
 
@@ -70,16 +71,16 @@
         let stopped = match self.serve().await {
             Ok(reply) => reply,
             Err(e) => {
-                log::error!("the replica stops: {e}");
+                log::error!("node stopped after an error: {e}");
                 self.failed.send_replace(Some(e));
                 None
             }
         };
-        // No request is taken any more; those that wait are refused when the channels are dropped.
+        // No further request is handled. Queued ones are refused when the channels are dropped.
         for group in &mut self.groups {
             group.stop();
         }
-        // Fails only when the store is closed already.
+        // Fails only if the store is already closed.
         let _ = self.storage.close().await;
         drop(self);
         if let Some(reply) = stopped {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Runs until the node is stopped; returns whom to tell.
+    /// Runs until the node is stopped. Returns the channel for the completion, if there is one.
     async fn serve(&mut self) -> Result<Option<oneshot::Sender<()>>, NodeError> {
         let mut ticks = interval(self.cfg.tick_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -157,7 +158,7 @@
         self.groups[i].snapshot_saved(now, snapshot, &mut self.state.work)
     }
 
-    /// Whether the disk has not made a batch durable for as long as an election takes.
+    /// Returns whether the batch in flight has taken at least the shortest election timeout.
     fn is_disk_stalled(&self) -> bool {
         self.state.syncing.is_some()
             && self.state.syncing_since.elapsed() >= self.cfg.election_timeout_min
@@ -208,7 +209,8 @@
         self.tick()
     }
 
-    /// Reports whether the node was shut down and leads no group that another voter could lead.
+    /// Returns whether a shutdown may complete: the node leads no group that has pending proposals
+    /// or another voter, or the deadline has passed.
     fn can_stop(&mut self) -> bool {
         let Some((deadline, _)) = self.state.stopping else {
             return false;
@@ -218,7 +220,7 @@
     }
 }
 
-/// Waits for the batch in flight, for ever if there is none.
+/// Waits for the batch in flight, or forever if there is none.
 async fn next_synced(syncing: &mut Option<BoxFuture<'static, Synced>>) -> Synced {
     let Some(batch) = syncing else {
         return pending().await;
--- a/crates/agreement/src/identity.rs
+++ b/crates/agreement/src/identity.rs
@@ -1,7 +1,8 @@
-//! Identity of a data folder and of the peers' folders.
+//! Identity of a replica's data folder and of its peers' folders.
 //!
-//! A replica that lost its disk has forgotten its votes and must not vote again under its number.
-//! It is recognised by the random identity of its folder, which each peer records at first contact.
+//! A replica that lost its disk has lost its votes and must not vote again under the same number.
+//! Peers detect such a replica by the random identity of its data folder, which each of them
+//! records at first contact.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Write};
@@ -19,45 +20,45 @@
 const PEERS_FILE: &str = "peers";
 const LOG_FOLDER: &str = "log";
 
-/// Why a data folder or the recorded identities cannot be used.
+/// Why a data folder or the recorded peer identities cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum IdentityError {
-    /// The folder to initialise has files in it.
+    /// The folder to initialise is not empty.
     #[error("{0} is not empty; only an empty or missing folder can be initialised")]
     NotEmpty(PathBuf),
-    /// There is no data folder.
+    /// The folder has no identity file or does not exist.
     #[error("{0} is not a data folder; create one with the init command")]
     Missing(PathBuf),
-    /// Another process uses the folder.
+    /// Another process has locked the folder.
     #[error("data folder {0} is in use by another process")]
     Locked(PathBuf),
     /// A file is corrupt.
     #[error("{path} is corrupt: {reason}")]
     Corrupt {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the corruption.
         reason: &'static str,
     },
     /// The operating system reported an error.
     #[error("cannot {op} {path}: {source}")]
     Io {
-        /// What was tried.
+        /// Operation that failed.
         op: &'static str,
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The operating system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A peer's folder is not the one that was recorded at first contact.
     #[error(
-        "replica {} has another data folder than at first contact; replace it under a new number",
+        "replica {} has another data folder than the recorded one; replace it under a new number",
         .0.0
     )]
     ForeignFolder(ReplicaId),
 }
 
-/// An initialised data folder. Locked while this value lives.
+/// An initialised data folder. It stays locked until this value is dropped.
 #[derive(Debug)]
 pub struct DataDir {
     path: PathBuf,
@@ -67,11 +68,11 @@
 }
 
 impl DataDir {
-    /// Makes a missing or empty folder the data folder of `replica`. Blocks.
+    /// Initialises a missing or empty folder as the data folder of `replica`. Blocks.
     ///
     /// # Errors
     ///
-    /// Fails when the folder is not empty or cannot be written.
+    /// Fails if the folder is not empty or cannot be written.
     pub fn init(path: &Path, replica: ReplicaId) -> Result<Self, IdentityError> {
         if !path.exists() {
             fs::create_dir(path).map_err(io_error("create", path))?;
@@ -92,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the folder was not initialised, is in use, cannot be read or is corrupt.
+    /// Fails if the folder is not initialised, is in use, cannot be read or is corrupt.
     pub fn open(path: &Path) -> Result<Self, IdentityError> {
         let file = path.join(IDENTITY_FILE);
         let lock = File::open(&file).map_err(|e| match e.kind() {
@@ -109,17 +110,17 @@
         Ok(Self { path: path.to_owned(), replica, folder, _lock: lock })
     }
 
-    /// Number of the replica whose data the folder holds.
+    /// Returns the number of the replica that owns the folder.
     pub fn replica(&self) -> ReplicaId {
         self.replica
     }
 
-    /// Random identity of the folder.
+    /// Returns the random identity of the folder.
     pub fn folder(&self) -> FolderId {
         self.folder
     }
 
-    /// Folder of the replica's `FileStore`.
+    /// Returns the path for the replica's [`FileStore`](crate::FileStore).
     pub fn log_folder(&self) -> PathBuf {
         self.path.join(LOG_FOLDER)
     }
@@ -128,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when they cannot be read or are corrupt.
+    /// Fails if they cannot be read or are corrupt.
     pub fn peers(&self) -> Result<PeerIdentities, IdentityError> {
         let file = self.path.join(PEERS_FILE);
         let list: pb::Peers = read(&file)?;
@@ -142,32 +143,32 @@
 /// Folder identities of the peers, recorded at first contact and never changed.
 #[derive(Debug, Default)]
 pub struct PeerIdentities {
-    /// `None` keeps them in memory only.
+    /// Data folder; `None` keeps the identities in memory only.
     path: Option<PathBuf>,
-    /// Sorted by number.
+    /// Sorted by replica number.
     known: Mutex<Vec<(ReplicaId, FolderId)>>,
 }
 
 impl PeerIdentities {
-    /// Returns an empty list that is not written to any disk, for tests.
+    /// Returns an empty list that is never written to disk, for tests.
     pub fn in_memory() -> Self {
         Self::default()
     }
 
-    /// Returns the recorded folder of a peer.
+    /// Returns the recorded folder of a peer, if there is one.
     pub fn get(&self, peer: ReplicaId) -> Option<FolderId> {
         let known = self.lock();
         let i = known.binary_search_by_key(&peer, |(r, _)| *r).ok()?;
         Some(known[i].1)
     }
 
-    /// Accepts a peer with the recorded folder; records the folder at first contact. Blocks at
-    /// first contact until the record is durable.
+    /// Checks a peer's folder against the recorded one. At first contact, records it and blocks
+    /// until the record is durable.
     ///
     /// # Errors
     ///
-    /// Refuses a peer with another folder. Fails when the record cannot be written; the peer is
-    /// then still unknown.
+    /// Fails if the folder is not the recorded one, or if the record cannot be written. In the
+    /// latter case the peer remains unknown.
     pub fn check(&self, peer: ReplicaId, folder: FolderId) -> Result<(), IdentityError> {
         let mut known = self.lock();
         match known.binary_search_by_key(&peer, |(r, _)| *r) {
@@ -191,7 +192,7 @@
     }
 }
 
-/// Replaces a file as a whole; durable on return.
+/// Replaces a file atomically; the new content is durable on return.
 fn write_synced(folder: &Path, name: &str, message: &impl Message) -> Result<(), IdentityError> {
     let path = folder.join(name);
     let temporary = folder.join(format!("{name}.tmp"));
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,31 +1,33 @@
-//! A replicated log for several groups, with storage, transport and clock behind traits.
+//! A Raft library for many replicated logs (groups) in one process, with storage, transport and
+//! clock behind traits.
 //!
-//! Replicas of a group agree on one order of commands, and a [`StateMachine`] at each of them
-//! applies the commands in this order. The protocol is Raft (Ongaro and Ousterhout, "In Search of
+//! The replicas of a group agree on an order of commands, and each of them applies the commands to
+//! its [`StateMachine`] in that order. The protocol is Raft (Ongaro and Ousterhout, "In Search of
 //! an Understandable Consensus Algorithm", 2014), with pre-vote, check-quorum, leader leases,
 //! learners and leadership transfer.
 //!
-//! * [`Node`] runs all groups of a process; [`GroupHandle`] proposes commands and reads. To embed
-//!   it, implement [`StateMachine`] and [`Transport`]. See `examples/replicated_counter.rs`.
-//! * [`Core`] is the protocol of one group as a pure state machine, for other drivers.
-//! * [`FileStore`] keeps the logs of all groups on disk, [`MemoryStore`] in memory, with faults, for
-//!   tests. [`Storage`] is their interface.
-//! * [`DataDir`] identifies a replica's disk, so that a replica that lost it cannot vote again
-//!   under its former number.
+//! * [`Node`] runs all groups of a process; [`GroupHandle`] proposes commands and reads. Users
+//!   implement [`StateMachine`] and [`Transport`]. See `examples/replicated_counter.rs`.
+//! * [`Core`] is the protocol of one group without I/O, for use with another driver.
+//! * [`Storage`] is the interface to durable state. [`FileStore`] keeps the logs of all groups on
+//!   disk; [`MemoryStore`] keeps them in memory and injects faults, for tests.
+//! * [`DataDir`] gives a replica's disk an identity, so that a replica that lost its disk cannot
+//!   vote again under the same number.
 //!
-//! # Owners and failures
+//! # Ownership and failures
 //!
-//! A node's task owns the cores and state machines, its store the files; nothing else writes
-//! there. When a process dies, the other voters elect a leader and go on while a majority of them
-//! is left, and a restarted replica continues from what it had synced. When a write or sync fails,
-//! the node stops for good ([`Node::failed`]) and the process should end. A lost disk is replaced
-//! under a new replica number.
+//! A node's task owns the cores and the state machines, and its store owns the files; nothing else
+//! writes to them. When a process dies, the other voters elect a leader and continue as long as a
+//! majority of them runs. A restarted replica continues from its last synced state. While the disk
+//! is full, writes wait. When a write or sync fails otherwise, the node stops permanently
+//! ([`Node::failed`]) and the process should exit. A replica that lost its disk is replaced by one
+//! with a new number.
 //!
 //! # Units and errors
 //!
-//! Time is a [`Duration`](std::time::Duration) since an arbitrary start, from the runtime's
-//! clock; indices and terms count from 1. [`ProposeError`] distinguishes commands that will never
-//! be executed from those with an unknown outcome.
+//! Time is a [`Duration`](std::time::Duration) since an arbitrary start, read from the configured
+//! [`Clock`]; indices and terms count from 1. [`ProposeError`] distinguishes commands that will
+//! never be executed from those with an unknown outcome.
 //!
 //! # Example
 //!
@@ -41,9 +43,9 @@
 //! };
 //!
 //! #[derive(Default)]
-//! struct Bytewise(u64);
+//! struct ByteCounter(u64);
 //!
-//! impl StateMachine for Bytewise {
+//! impl StateMachine for ByteCounter {
 //!     fn apply(&mut self, _index: u64, data: &[u8]) -> Bytes {
 //!         self.0 += data.len() as u64;
 //!         self.snapshot()
@@ -73,13 +75,13 @@
 //! let store = MemoryStore::open(&disk, StoreOptions::default())?;
 //! init_voters(&store, &[group], &[id]).await?;
 //! let node = Node::builder(id, Box::new(store), Arc::new(NoPeers))
-//!     .group(group, Box::<Bytewise>::default())
+//!     .group(group, Box::<ByteCounter>::default())
 //!     .start()
 //!     .await?;
 //! let handle = node.group(group).expect("added above");
 //! handle.watch().wait_for(|view| view.lease).await?;
 //! handle.propose(Bytes::from_static(b"four")).await?;
-//! assert_eq!(handle.query(|machine: &Bytewise| machine.0).await?, 4);
+//! assert_eq!(handle.query(|machine: &ByteCounter| machine.0).await?, 4);
 //! node.shutdown().await;
 //! # Ok(())
 //! # }
--- a/crates/agreement/src/message.rs
+++ b/crates/agreement/src/message.rs
@@ -6,13 +6,13 @@
 
 /// A message from one replica of a group to another.
 ///
-/// Every message carries a term. It is the sender's own term, except in a pre-vote request and in a
-/// granted pre-vote answer, which carry the term that the candidate would campaign in.
+/// Every message carries the sender's current term, except that a pre-vote request and a granted
+/// pre-vote answer carry the term in which the candidate would campaign.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Asks whether the receiver would vote for the sender in `term`.
+    /// Asks whether the receiver would vote for the sender in `term`. Changes no state.
     PreVote {
-        /// Term that the sender would campaign in.
+        /// Term in which the sender would campaign.
         term: u64,
         /// Last entry of the sender's log.
         last: LogPosition,
@@ -30,8 +30,8 @@
         term: u64,
         /// Last entry of the sender's log.
         last: LogPosition,
-        /// Whether the leader asked the sender to campaign. The receiver then votes even if it has
-        /// just heard from that leader, which has given up its lease.
+        /// Whether the sender campaigns because of a leadership transfer. The receiver then may
+        /// vote although it has just heard from the leader, which has released its lease.
         transfer: bool,
     },
     /// Answers a vote request.
@@ -41,7 +41,7 @@
         /// Whether the sender voted for the receiver.
         granted: bool,
     },
-    /// Entries of the leader's log.
+    /// Replicates entries of the leader's log.
     Append {
         /// Leader's term.
         term: u64,
@@ -52,18 +52,18 @@
         /// Leader's commit index.
         commit: u64,
     },
-    /// Answers entries, or the last chunk of a snapshot.
+    /// Answers an append, or the last chunk of a snapshot.
     AppendAnswer {
         /// Sender's term.
         term: u64,
-        /// Whether the logs match.
+        /// Index up to which the logs match, or where they differ.
         result: AppendResult,
     },
-    /// Keeps followers from campaigning; an acknowledged round confirms leadership.
+    /// Keeps followers from campaigning. A round acknowledged by a quorum confirms leadership.
     Heartbeat {
         /// Leader's term.
         term: u64,
-        /// Number of the round; rises with each round of a term.
+        /// Number of the heartbeat round; increases with each round of a term.
         round: u64,
         /// Commit index, at most the index up to which the receiver's log is known to match.
         commit: u64,
@@ -72,10 +72,10 @@
     HeartbeatAnswer {
         /// Sender's term.
         term: u64,
-        /// Round that is acknowledged.
+        /// Acknowledged round; 0 when the sender only reports its later term.
         round: u64,
     },
-    /// Part of a snapshot.
+    /// Transfers a part of a snapshot.
     SnapshotChunk {
         /// Leader's term.
         term: u64,
@@ -85,7 +85,7 @@
         membership: Membership,
         /// Offset of `data` in the snapshot.
         offset: u64,
-        /// Bytes of the snapshot.
+        /// Bytes of the snapshot from `offset` on.
         data: Bytes,
         /// Whether this is the last chunk.
         done: bool,
@@ -99,7 +99,7 @@
         /// Offset of the next chunk that the sender needs.
         received: u64,
     },
-    /// Tells the receiver to campaign immediately.
+    /// Tells the receiver to campaign immediately, to complete a leadership transfer.
     TimeoutNow {
         /// Leader's term.
         term: u64,
@@ -134,8 +134,8 @@
     Mismatch {
         /// Index of the `previous` position that did not match.
         rejected: u64,
-        /// Last position of the sender's log that may match: its index is at most `rejected` and
-        /// its term at most that of the rejected position.
+        /// Last position of the sender's log that may match: the last one with an index of at most
+        /// `rejected` and a term of at most that of the rejected position.
         hint: LogPosition,
     },
 }
--- a/crates/agreement/src/storage.rs
+++ b/crates/agreement/src/storage.rs
@@ -1,10 +1,10 @@
 //! Durable state of all groups of a process.
 //!
-//! A store owns the write-ahead log and the snapshots under one data directory. Nothing else writes
-//! there. While the disk takes no more bytes, because it or its owner's share of it is full, requests
-//! wait, and go on by themselves when there is room. When a write or a sync fails otherwise, the store
-//! fails for good: what the disk holds is then unknown until the log has been read again, so every
-//! later call returns the same error and the process has to stop.
+//! A store owns the write-ahead log and the snapshots in one folder; nothing else writes there.
+//! While the disk is full or a quota is exceeded, requests wait and resume once there is space.
+//! When a write or sync fails otherwise, the store fails permanently, because the content of the
+//! disk is unknown until the log is read again: every later call returns the same error, and the
+//! process has to exit.
 
 pub(crate) mod checksummed;
 pub(crate) mod disk;
@@ -27,77 +27,82 @@
 
 use crate::{Entry, GroupId, HardState, PersistRequest, Snapshot};
 
-/// Pause before a write that the disk has refused is tried again.
+/// Delay before a write that failed because of a full disk is retried.
 const DISK_FULL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a store holds of one group.
+/// Stored state of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredGroup {
-    /// Term and vote.
+    /// Last stored term and vote.
     pub hard_state: HardState,
     /// The latest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The log after the snapshot, without gaps.
+    /// Entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
 }
 
 /// Counters of a store since it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreStats {
-    /// Syncs of the write-ahead log; each makes one batch durable.
+    /// Syncs of the write-ahead log, each of which makes a batch durable.
     pub syncs: u64,
     /// Bytes written to the write-ahead log.
     pub log_bytes: u64,
     /// Bytes written to snapshot files.
     pub snapshot_bytes: u64,
-    /// Segments of the write-ahead log at present.
+    /// Current number of segments of the write-ahead log.
     pub segments: u64,
 }
 
 /// Durable storage of several groups.
 ///
-/// The futures do their work when they are polled. Calls whose futures are polled in one order are
-/// carried out in this order; several of them may share one sync.
+/// The futures do nothing until they are polled. Requests are executed in the order in which their
+/// futures are first polled; several of them may share a sync.
 pub trait Storage: Send + Sync + 'static {
-    /// Reads everything, sorted by group.
+    /// Reads the state of all groups, sorted by group.
     ///
     /// # Errors
     ///
-    /// Fails when a snapshot cannot be read or its checksum is wrong, or when the store has failed.
+    /// Fails if a snapshot cannot be read or is corrupt, or if the store has failed.
     fn load(&self) -> BoxFuture<'static, Result<Vec<(GroupId, StoredGroup)>, StoreError>>;
 
-    /// Makes a batch durable as one unit: after a crash either all of it is there or none. Entries
-    /// that the stored snapshot covers are left out.
+    /// Makes a batch durable atomically: after a crash, either all of it is stored or none. Entries
+    /// covered by the stored snapshot are skipped.
     ///
     /// # Errors
     ///
-    /// Fails when a write or a sync fails. The store has then failed for good.
+    /// Fails if the request is inconsistent with the stored log, or if a write or sync fails. A
+    /// full disk is an error only once the store is being closed. The store has then failed
+    /// permanently.
     fn persist(
         &self,
         batch: Vec<(GroupId, PersistRequest)>,
     ) -> BoxFuture<'static, Result<(), StoreError>>;
 
-    /// Makes a snapshot of the group's own state machine durable, then drops the log that it covers.
-    /// Unlike a snapshot in a `PersistRequest`, it does not delay later batches while it is written.
+    /// Makes a snapshot of the local state machine durable, then drops the log that it covers.
+    /// Unlike a snapshot in a [`PersistRequest`], it does not delay other batches while it is
+    /// written.
     ///
     /// # Errors
     ///
-    /// Fails when a write or a sync fails. The store has then failed for good.
+    /// Fails if the request is inconsistent with the stored log, or if a write or sync fails. A
+    /// full disk is an error only once the store is being closed. The store has then failed
+    /// permanently.
     fn save_snapshot(
         &self,
         group: GroupId,
         snapshot: Snapshot,
     ) -> BoxFuture<'static, Result<(), StoreError>>;
 
-    /// Finishes the requests before this one, unless the disk takes no more bytes, then gives up the
-    /// files and their lock.
+    /// Completes the earlier batches, except those that wait for space on a full disk, abandons
+    /// unfinished snapshots, then releases the files and their lock.
     ///
     /// # Errors
     ///
-    /// Fails when the store is closed already.
+    /// Fails if the store is already closed.
     fn close(&self) -> BoxFuture<'static, Result<(), StoreError>>;
 
-    /// Returns the counters.
+    /// Returns the counters since the store was opened.
     fn stats(&self) -> StoreStats;
 }
 
@@ -107,56 +112,57 @@
     /// The operating system reported an error.
     #[error("cannot {op} {path}: {source}")]
     Io {
-        /// What was tried.
+        /// Operation that failed.
         op: &'static str,
-        /// The file or folder.
+        /// Path of the file or folder.
         path: String,
-        /// The operating system's error.
+        /// Error of the operating system.
         source: Arc<io::Error>,
     },
-    /// A file's content is not what was written.
+    /// A file's content is invalid.
     #[error("{path} is corrupt at offset {offset}: {reason}")]
     Corrupt {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Offset in the file.
+        /// Offset in the file, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the corruption.
         reason: &'static str,
     },
-    /// Another process uses the folder.
+    /// Another process has locked the folder.
     #[error("{path} is in use by another process")]
     Locked {
-        /// The lock file.
+        /// Path of the lock file.
         path: String,
     },
-    /// There is no log in the folder.
-    #[error("{path} holds no log; a data folder is created by the init command only")]
+    /// The folder contains no log.
+    #[error("{path} contains no log; create a data folder with the init command")]
     Missing {
-        /// The folder.
+        /// Path of the folder.
         path: String,
     },
-    /// There is a log in the folder that was to be created.
-    #[error("{path} already holds a log")]
+    /// The folder in which to create a log already contains one.
+    #[error("{path} already contains a log")]
     Exists {
-        /// The folder.
+        /// Path of the folder.
         path: String,
     },
-    /// The caller's request contradicts what is stored.
-    #[error("request for group {group} contradicts the stored log: {reason}")]
+    /// The request is inconsistent with the stored log.
+    #[error("request for group {group} is inconsistent with the stored log: {reason}")]
     Invalid {
-        /// The group.
+        /// Number of the group.
         group: u32,
-        /// The contradiction.
+        /// Description of the inconsistency.
         reason: &'static str,
     },
-    /// The store's thread has ended.
+    /// The store has been closed.
     #[error("the store is closed")]
     Closed,
 }
 
 impl StoreError {
-    /// Whether the disk took no more bytes. The store waits until it does again.
+    /// Returns whether the error was caused by a full disk or an exceeded quota. A store that is
+    /// already open waits for space and retries.
     pub fn is_disk_full(&self) -> bool {
         matches!(self, Self::Io { source, .. } if disk::is_disk_full(source))
     }
--- a/crates/agreement/src/storage/checksummed.rs
+++ b/crates/agreement/src/storage/checksummed.rs
@@ -1,13 +1,14 @@
-//! Files that are written once: a header with a checksum, a protobuf message, then plain data.
+//! Format of files that are written once: a header with a checksum, a protobuf message and raw
+//! data.
 
 use bytes::Bytes;
 use prost::Message;
 
-/// "PSPNFIL1"
 const MAGIC: [u8; 8] = *b"PSPNFIL1";
+/// Magic, message length, data length, checksum.
 const HEADER_LEN: usize = 8 + 4 + 8 + 4;
 
-/// Returns the header and the encoded message; `data` follows them in the file.
+/// Encodes the header and the message. The caller writes `data` after them.
 pub(crate) fn encode_header(message: &impl Message, data: &[u8]) -> Vec<u8> {
     let meta = message.encode_to_vec();
     let mut buf = Vec::with_capacity(HEADER_LEN + meta.len());
@@ -20,7 +21,7 @@
     buf
 }
 
-/// Splits a whole file into its message and its data.
+/// Decodes a complete file into its message and its data.
 pub(crate) fn decode<M: Message + Default>(file: Vec<u8>) -> Result<(M, Bytes), &'static str> {
     let file = Bytes::from(file);
     if file.len() < HEADER_LEN {
@@ -33,21 +34,25 @@
     let data_len = usize::try_from(u64::from_be_bytes(to_array(&file[12..20]))).ok();
     let expected = data_len.and_then(|n| n.checked_add(meta_len)?.checked_add(HEADER_LEN));
     if expected != Some(file.len()) {
-        return Err("file has the wrong length");
+        return Err("file length does not match its header");
     }
     let meta = file.slice(HEADER_LEN..HEADER_LEN + meta_len);
     let data = file.slice(HEADER_LEN + meta_len..);
     if u32::from_be_bytes(to_array(&file[20..24])) != checksum(&file[..20], &meta, &data) {
-        return Err("wrong checksum");
+        return Err("checksum mismatch");
     }
-    Ok((M::decode(meta).map_err(|_| "undecodable message")?, data))
+    Ok((M::decode(meta).map_err(|_| "cannot decode message")?, data))
 }
 
 fn checksum(header: &[u8], meta: &[u8], data: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c_append(crc32c::crc32c(header), meta), data)
 }
 
-/// Copies a slice of known length.
+/// Copies a slice into an array.
+///
+/// # Panics
+///
+/// Panics if the slice does not have `N` bytes.
 pub(crate) fn to_array<const N: usize>(buf: &[u8]) -> [u8; N] {
     let mut out = [0; N];
     out.copy_from_slice(buf);
--- a/crates/agreement/src/storage/disk.rs
+++ b/crates/agreement/src/storage/disk.rs
@@ -1,4 +1,4 @@
-//! The operations on files that the store needs, and their implementation on a folder.
+//! The file operations of the store, and their implementation on the file system.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -7,39 +7,40 @@
 
 use super::StoreError;
 
-/// A flat folder. Changes of its list of names are durable after `sync_dir`.
+/// A flat folder. Created, renamed and removed names are durable after `sync_dir`.
 pub(crate) trait Disk: Send {
-    /// Path of a file, for messages.
+    /// Returns the path of a file, for messages.
     fn path(&self, name: &str) -> String;
-    /// Names of all files, sorted.
+    /// Returns the names of all files, sorted.
     fn list(&self) -> io::Result<Vec<String>>;
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Creates a file; an existing one is replaced.
+    /// Creates a file or truncates an existing one.
     fn create(&mut self, name: &str) -> io::Result<Box<dyn DiskFile>>;
-    /// Creates a file of the log, which may be followed by zeros.
+    /// Creates a log file, which may have preallocated zeros after its end.
     fn create_log(&mut self, name: &str) -> io::Result<Box<dyn DiskFile>>;
-    /// Cuts a file of the log to `keep` bytes, writes the bytes from `dirty_from` again and syncs them.
+    /// Truncates a log file to `keep` bytes, rewrites the bytes from `dirty_from` on and syncs
+    /// them.
     ///
-    /// A failed sync may have left pages in the kernel's cache that look written but are not on
-    /// disk. Writing the same bytes again makes the next sync write them.
+    /// After a failed sync, the kernel's page cache may hold pages that are marked clean but are
+    /// not on disk. Rewriting the same bytes makes the next sync write them.
     fn reopen(&mut self, name: &str, dirty_from: u64, keep: u64) -> io::Result<Box<dyn DiskFile>>;
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&mut self, name: &str) -> io::Result<()>;
     fn sync_dir(&mut self) -> io::Result<()>;
 }
 
-/// A file that is open for appending. Its content is durable after `sync`.
+/// A file open for appending. Its content is durable after `sync`.
 pub(crate) trait DiskFile: Send {
     fn append(&mut self, buf: &[u8]) -> io::Result<()>;
     fn sync(&mut self) -> io::Result<()>;
-    /// Makes the next append write at `end`, after an append or its sync has failed.
+    /// Makes the next append write at offset `end`, after an append or its sync has failed.
     fn rewind(&mut self, end: u64);
 }
 
-/// Name of the file whose lock keeps a second process away.
+/// Name of the file whose lock prevents use by a second process.
 pub(crate) const LOCK_FILE: &str = "lock";
 
-/// A folder of the file system, locked while it is in use.
+/// A folder in the file system, locked while it is in use.
 pub(crate) struct FolderDisk {
     folder: PathBuf,
     preallocate_bytes: usize,
@@ -128,12 +129,12 @@
     }
 
     fn rewind(&mut self, end: u64) {
-        // Snapshots, which are written without a log file, start over in a new file.
-        debug_assert_eq!(end, 0, "only files of the log go on after a failure");
+        // Only snapshots use a plain file, and a failed snapshot is rewritten in a new one.
+        debug_assert_eq!(end, 0, "only log files are written to after a failure");
     }
 }
 
-/// A file with zeros ahead of its end, so that a sync rarely has to write new metadata.
+/// A file with preallocated zeros after its end, so that a sync rarely has to write metadata.
 struct LogFile {
     file: File,
     end: u64,
@@ -146,7 +147,7 @@
         Self { file, end, allocated: end, preallocate_bytes }
     }
 
-    /// Makes zeros durable beyond `end`.
+    /// Writes and syncs zeros after `end`.
     fn allocate(&mut self, end: u64) -> io::Result<()> {
         let zeros = vec![0; self.preallocate_bytes];
         self.file.write_all_at(&zeros, end)?;
@@ -159,7 +160,7 @@
 impl DiskFile for LogFile {
     fn append(&mut self, buf: &[u8]) -> io::Result<()> {
         let end = self.end + buf.len() as u64;
-        // On a full disk, the bytes themselves may still find room.
+        // On a full disk, there may still be space for the data itself.
         if end > self.allocated
             && self.preallocate_bytes > 0
             && let Err(e) = self.allocate(end)
@@ -181,13 +182,14 @@
     }
 }
 
-/// Whether an error says that a disk takes no more bytes, because it or its owner's share is full.
+/// Returns whether an error means that the disk is full, a quota is exceeded, or the file has
+/// reached its size limit.
 pub fn is_disk_full(e: &io::Error) -> bool {
     use io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
     matches!(e.kind(), StorageFull | QuotaExceeded | FileTooLarge)
 }
 
-/// Makes a folder's list of names durable.
+/// Syncs a folder, which makes its created, renamed and removed names durable.
 pub(crate) fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
--- a/crates/agreement/src/storage/file.rs
+++ b/crates/agreement/src/storage/file.rs
@@ -1,5 +1,5 @@
-//! A store in a folder. One thread owns the files; callers reach it over a bounded channel, so that
-//! no sync ever blocks a task. The thread ends when the store is closed or all its users are gone.
+//! A store in a folder. One thread owns the files. Callers reach it through a bounded channel, so
+//! that syncs never block an async task. The thread ends when the store is closed or dropped.
 
 use std::collections::VecDeque;
 use std::fs;
@@ -17,18 +17,21 @@
 use super::{DISK_FULL_RETRY_DELAY, Storage, StoreError, StoreStats, StoredGroup};
 use crate::{GroupId, PersistRequest, Snapshot};
 
-/// Requests that wait for the thread before callers have to wait.
+/// Capacity of the request queue. Callers wait while it is full.
 const QUEUE_REQUESTS: usize = 1024;
-/// Requests that are made durable with one sync, so that a batch stays of bounded size.
+/// Maximum number of requests per sync, which bounds the size of a batch.
 const MAX_BATCH_REQUESTS: usize = 1024;
 
-/// Parameters of a `FileStore`.
+/// Parameters of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreOptions {
-    /// Length at which a segment of the write-ahead log is followed by a new one.
+    /// Length in bytes from which on a segment of the write-ahead log is followed by a new one.
     pub segment_bytes: u64,
-    /// Zeros that are written ahead of the log and cut off when the store is opened. A sync of an
-    /// append into them changes no metadata of the file.
+    /// Bytes of zeros to preallocate after the end of the log. A sync of data written into this
+    /// space changes no file metadata. The zeros are truncated when the store is opened. A
+    /// [`MemoryStore`] ignores this value.
+    ///
+    /// [`MemoryStore`]: crate::MemoryStore
     pub preallocate_bytes: usize,
 }
 
@@ -52,16 +55,16 @@
 pub struct FileStore {
     tx: mpsc::Sender<Request>,
     counters: Arc<Counters>,
-    /// Set when the store is closed, so that no request goes on waiting for room on the disk.
+    /// Set when the store is closed, so that no request keeps waiting for disk space.
     closing: Arc<AtomicBool>,
 }
 
 impl FileStore {
-    /// Creates an empty store; the folder is created if it is missing. Blocks.
+    /// Creates an empty store, and its folder if that is missing. Blocks.
     ///
     /// # Errors
     ///
-    /// Fails when the folder holds a log already, is in use, or cannot be written.
+    /// Fails if the folder already contains a log, is in use, or cannot be written.
     pub fn create(folder: &Path) -> Result<(), StoreError> {
         let io = |op| move |e| StoreError::io(op, folder.display().to_string(), e);
         if !folder.exists() {
@@ -76,8 +79,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when there is no log, when it is corrupt, when another process uses the folder, or on
-    /// an error of the operating system.
+    /// Fails if there is no log, if it is corrupt, if another process uses the folder, or on an I/O
+    /// error.
     pub fn open(folder: &Path, options: StoreOptions) -> Result<Self, StoreError> {
         if !folder.is_dir() {
             return Err(StoreError::Missing { path: folder.display().to_string() });
@@ -140,23 +143,26 @@
     }
 }
 
-/// A snapshot of a group's own state machine on its way to the disk.
+/// A snapshot of a local state machine that is being written.
 struct PendingSnapshot {
     writer: SnapshotWriter,
     op: WriteOp,
     reply: Reply<()>,
 }
 
+/// State of the store's thread.
 struct Worker {
     wal: Wal,
     rx: mpsc::Receiver<Request>,
     closing: Arc<AtomicBool>,
+    /// First fatal error; every later request fails with it.
     failed: Option<StoreError>,
+    /// Snapshots being written, one chunk per round.
     snapshots: VecDeque<PendingSnapshot>,
     disk_full: DiskFullReport,
 }
 
-/// Whether the disk takes no more bytes, as told to operators.
+/// Reports through the log and metrics whether the disk is full. Logs only changes.
 #[derive(Default)]
 struct DiskFullReport(bool);
 
@@ -166,14 +172,14 @@
         metrics::gauge!("poplarspan_store_disk_refuses").set(1.0);
         if !std::mem::replace(&mut self.0, true) {
             let error = e.to_string();
-            log::error!(error = error.as_str(); "the disk takes no more bytes; requests wait");
+            log::error!(error = error.as_str(); "disk is full; writes wait until space is available");
         }
     }
 
     fn clear(&mut self) {
         if std::mem::take(&mut self.0) {
             metrics::gauge!("poplarspan_store_disk_refuses").set(0.0);
-            log::info!("the disk takes bytes again");
+            log::info!("disk accepts writes again");
         }
     }
 }
@@ -208,7 +214,8 @@
         }
     }
 
-    /// Waits for requests unless a snapshot is being written. Returns `None` at the end.
+    /// Returns the queued requests, and waits for one unless a snapshot is being written. Returns
+    /// `None` once the store has been dropped.
     fn next_requests(&mut self) -> Option<Vec<Request>> {
         let mut requests = Vec::new();
         if self.snapshots.is_empty() {
@@ -234,7 +241,8 @@
         self.snapshots.push_back(PendingSnapshot { writer, op, reply });
     }
 
-    /// Writes one chunk of the first snapshot; adds it to the batch when it is complete.
+    /// Writes a chunk of the first pending snapshot, and adds the snapshot to the batch when it is
+    /// complete.
     fn write_snapshot_chunk(&mut self, ops: &mut Vec<WriteOp>, replies: &mut Vec<Reply<()>>) {
         let Some(mut pending) = self.snapshots.pop_front() else {
             return;
@@ -247,7 +255,7 @@
                 replies.push(pending.reply);
             }
             Err(e) if e.is_disk_full() && !self.closing.load(Ordering::Relaxed) => {
-                // The log goes on meanwhile, as far as it has room.
+                // Meanwhile the log continues as long as there is space for it.
                 self.disk_full.raise(&e);
                 self.snapshots.push_back(pending);
                 thread::sleep(DISK_FULL_RETRY_DELAY);
@@ -272,7 +280,7 @@
         }
     }
 
-    /// Commits a batch, and waits while the disk takes no more bytes.
+    /// Commits a batch; waits and retries while the disk is full.
     fn commit_when_space(&mut self, ops: Vec<WriteOp>) -> Result<(), StoreError> {
         let mut batch = Batch::new(ops);
         loop {
@@ -298,7 +306,7 @@
 
     fn fail(&mut self, e: &StoreError) {
         if self.failed.is_none() {
-            log::error!("the store has failed and accepts no more writes: {e}");
+            log::error!("storage failed; no further writes are accepted: {e}");
             self.failed = Some(e.clone());
         }
     }
--- a/crates/agreement/src/storage/frame.rs
+++ b/crates/agreement/src/storage/frame.rs
@@ -1,9 +1,9 @@
 //! Format of the segments of the write-ahead log.
 //!
-//! A segment is a header followed by frames. A frame holds the records of one batch, which is what
-//! one sync makes durable, under one checksum. A crash can therefore damage at most the last frame,
-//! in whatever order the disk wrote its blocks, and a damaged frame that is followed by a sound one
-//! was damaged after it had been synced.
+//! A segment is a header followed by frames. A frame holds the records of one batch, which one sync
+//! makes durable, under one checksum. A crash can therefore damage only the last frame, regardless
+//! of the order in which the disk wrote its blocks. An invalid frame that is followed by a valid
+//! one was corrupted after it had been synced.
 
 use bytes::Bytes;
 use poplarspan_proto::agreement as pb;
@@ -12,18 +12,20 @@
 use super::checksummed::to_array;
 
 const MAGIC: [u8; 8] = *b"PSPNWAL1";
-/// Magic, number, number of the first frame, salt, checksum.
+/// Magic, segment number, number of the first frame, salt, checksum.
 pub(crate) const SEGMENT_HEADER_LEN: usize = 8 + 8 + 8 + 8 + 4;
-/// Mark, body length, frame number, checksum.
+/// Marker, body length, frame number, checksum.
 pub(crate) const FRAME_HEADER_LEN: usize = 4 + 4 + 8 + 4;
 
 /// Header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SegmentHeader {
+    /// Number of the segment.
     pub(crate) number: u64,
+    /// Number of the first frame; frames are numbered across segments.
     pub(crate) first_frame: u64,
-    /// Random; part of all checksums of the segment, so that bytes of a command can't pass for a
-    /// frame.
+    /// Random value that is part of all frame checksums of the segment, so that the bytes of a
+    /// command cannot be mistaken for a frame.
     pub(crate) salt: u64,
 }
 
@@ -50,7 +52,7 @@
         })
     }
 
-    /// First bytes of each frame of the segment.
+    /// Returns the first bytes of each frame of the segment.
     fn marker(&self) -> [u8; 4] {
         to_array(&self.salt.to_be_bytes()[..4])
     }
@@ -60,12 +62,16 @@
         crc32c::crc32c_append(crc32c::crc32c_append(crc, header), body)
     }
 
-    /// Appends the frame `number` with `batch` to `buf`.
+    /// Encodes `batch` as the frame `number` and appends it to `buf`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the encoded batch is 4 GiB or larger.
     pub(crate) fn encode_frame(&self, number: u64, batch: &pb::Batch, buf: &mut Vec<u8>) {
         let start = buf.len();
         buf.extend_from_slice(&self.marker());
         buf.extend_from_slice(&[0; FRAME_HEADER_LEN - 4]);
-        batch.encode(buf).expect("a vector grows as needed");
+        batch.encode(buf).expect("encoding into a Vec cannot fail");
         let body = start + FRAME_HEADER_LEN;
         let len = u32::try_from(buf.len() - body).expect("a batch is smaller than 4 GiB");
         buf[start + 4..start + 8].copy_from_slice(&len.to_be_bytes());
@@ -74,7 +80,7 @@
         buf[start + 16..start + 20].copy_from_slice(&crc.to_be_bytes());
     }
 
-    /// Returns the number and the body of the frame at the start of `buf` if it is sound.
+    /// Returns the number and the body of the frame at the start of `buf`, if there is a valid one.
     pub(crate) fn frame_at<'a>(&self, buf: &'a [u8]) -> Option<(u64, &'a [u8])> {
         let header = buf.get(..FRAME_HEADER_LEN)?;
         if header[..4] != self.marker() {
@@ -87,7 +93,7 @@
             .then(|| (u64::from_be_bytes(to_array(&header[8..16])), body))
     }
 
-    /// Reports whether a sound frame begins anywhere in `buf`.
+    /// Returns whether a valid frame starts anywhere in `buf`.
     pub(crate) fn contains_frame(&self, buf: &[u8]) -> bool {
         let marker = self.marker();
         (0..buf.len()).any(|i| buf[i..].starts_with(&marker) && self.frame_at(&buf[i..]).is_some())
@@ -96,16 +102,17 @@
 
 /// Decodes a frame's body.
 pub(crate) fn decode_batch(body: &[u8]) -> Option<pb::Batch> {
-    // Copied, so that an entry that stays in memory doesn't keep the whole segment there.
+    // Copied because the decoded entries share the buffer and would keep the whole segment in
+    // memory.
     pb::Batch::decode(Bytes::copy_from_slice(body)).ok()
 }
 
-/// Name of a segment's file.
+/// Returns the file name of a segment.
 pub(crate) fn segment_name(number: u64) -> String {
     format!("wal-{number:016x}.log")
 }
 
-/// Number of the segment with this file name.
+/// Parses a segment's number from its file name; `None` for other files.
 pub(crate) fn segment_number(name: &str) -> Option<u64> {
     let digits = name.strip_prefix("wal-")?.strip_suffix(".log")?;
     (digits.len() == 16).then(|| u64::from_str_radix(digits, 16).ok())?
--- a/crates/agreement/src/storage/group.rs
+++ b/crates/agreement/src/storage/group.rs
@@ -1,4 +1,4 @@
-//! What the log holds of one group, kept in memory by the store's thread.
+//! In-memory state of one group in the write-ahead log.
 
 use std::collections::VecDeque;
 
@@ -7,25 +7,26 @@
 
 use crate::{Entry, GroupId, HardState, LogPosition, Membership, Payload};
 
-/// Estimated size of an entry without its command.
+/// Estimated size of an entry without its payload.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// One entry and the segment that holds its latest copy.
+/// An entry with the number of the segment that holds its latest copy.
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentEntry {
     pub(crate) entry: Entry,
     pub(crate) segment: u64,
 }
 
-/// State of a group as of the last record.
+/// State of a group after the last record.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Group {
     pub(crate) hard_state: HardState,
+    /// Position and membership of the last snapshot.
     pub(crate) snapshot: Option<(LogPosition, Membership)>,
     /// Position before the first entry.
     pub(crate) base: LogPosition,
     pub(crate) log: VecDeque<SegmentEntry>,
-    /// Bytes of all entries of `log`.
+    /// Estimated size of all entries in `log`.
     pub(crate) bytes: usize,
 }
 
@@ -34,7 +35,7 @@
         self.log.back().map_or(self.base.index, |l| l.entry.position.index)
     }
 
-    /// Term of the entry at `index`, if the log has it.
+    /// Returns the term at `index`, or `None` if the log does not have that entry.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -44,10 +45,11 @@
         self.log.get(i).map(|l| l.entry.position.term)
     }
 
-    /// Appends consecutive entries after dropping everything from the first one's index on.
+    /// Drops the log from the first new entry's index on, then appends the consecutive `entries`.
     ///
-    /// A segment may begin after entries that a later record drops. The log then has a gap, which
-    /// is resolved by forgetting what is before it; `has_gap` tells whether one remains.
+    /// During replay, entries may be missing whose segment was removed because a later record drops
+    /// them. The gap in the log is closed by dropping the entries before it. `has_gap` reports a
+    /// gap that remains after replay.
     pub(crate) fn append(&mut self, entries: Vec<Entry>, segment: u64) -> Result<(), &'static str> {
         let Some(first) = entries.first().map(|e| e.position.index) else {
             return Ok(());
@@ -71,7 +73,7 @@
         Ok(())
     }
 
-    /// Drops the log up to `before`, or all of it.
+    /// Drops the log up to `base`, or all of it with `clear`, and sets the base.
     pub(crate) fn start_after(&mut self, base: LogPosition, clear: bool) {
         if clear {
             self.clear();
@@ -84,25 +86,26 @@
         self.base = base;
     }
 
-    /// Reports whether entries are missing between the snapshot and the first entry.
+    /// Returns whether entries are missing between the snapshot and the first entry.
     pub(crate) fn has_gap(&self) -> bool {
         let first = self.log.front().map_or(self.base.index + 1, |l| l.entry.position.index);
         let snapshot = self.snapshot.as_ref().map_or(0, |(last, _)| last.index);
         first != self.base.index + 1 || self.base.index != snapshot
     }
 
-    /// Segment of the first entry.
+    /// Returns the segment of the first entry.
     pub(crate) fn oldest_segment(&self) -> Option<u64> {
         self.log.front().map(|l| l.segment)
     }
 
+    /// Applies a record that was read from `segment`.
     pub(crate) fn apply(&mut self, kind: Kind, segment: u64) -> Result<(), &'static str> {
         match kind {
             Kind::HardState(state) => self.hard_state = state.into(),
             Kind::Entries(list) => {
                 let entries: Result<Vec<Entry>, _> =
                     list.entries.into_iter().map(Entry::try_from).collect();
-                self.append(entries.map_err(|_| "undecodable entry")?, segment)?;
+                self.append(entries.map_err(|_| "cannot decode entry")?, segment)?;
             }
             Kind::Snapshot(meta) => {
                 let last = meta.last.ok_or("snapshot without position")?.into();
@@ -110,9 +113,9 @@
                 self.snapshot = Some((last, membership));
             }
             Kind::LogStart(start) => {
-                let base: LogPosition = start.before.ok_or("start without position")?.into();
+                let base: LogPosition = start.before.ok_or("log start without position")?.into();
                 if base.index >= u64::MAX - 1 {
-                    return Err("start of the log out of range");
+                    return Err("log start out of range");
                 }
                 self.start_after(base, start.clear);
             }
@@ -120,7 +123,7 @@
         Ok(())
     }
 
-    /// Records that restore everything but the entries.
+    /// Returns the records that restore everything except the entries.
     pub(crate) fn checkpoint(&self, group: GroupId) -> Vec<pb::Record> {
         let mut kinds = vec![Kind::HardState(self.hard_state.into())];
         kinds.extend(self.snapshot.as_ref().map(|(last, m)| snapshot_kind(*last, m)));
@@ -128,7 +131,7 @@
         kinds.into_iter().map(|kind| record(group, kind)).collect()
     }
 
-    /// A record that holds the whole log again.
+    /// Returns a record with all entries.
     pub(crate) fn log_record(&self, group: GroupId) -> pb::Record {
         let entries = self.log.iter().map(|l| (&l.entry).into()).collect();
         record(group, Kind::Entries(pb::Entries { entries }))
@@ -170,7 +173,7 @@
         }
 }
 
-/// The groups, sorted by number.
+/// All groups, sorted by number.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Groups(pub(crate) Vec<(GroupId, Group)>);
 
--- a/crates/agreement/src/storage/memory.rs
+++ b/crates/agreement/src/storage/memory.rs
@@ -1,5 +1,6 @@
-//! A store in memory with faults on request, for tests. It runs the same log on a simulated disk,
-//! and does all work in the task that polls, so that it suits a paused clock.
+//! An in-memory store with fault injection, for tests. It runs the same write-ahead log on a
+//! simulated disk. All work is done by the polling task, so that it works with a paused Tokio
+//! clock.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 struct MemoryFile {
     data: Vec<u8>,
-    /// What a crash leaves.
+    /// Content that survives a crash.
     synced: Vec<u8>,
 }
 
@@ -24,14 +25,15 @@
     files: Vec<MemoryFile>,
     /// Names and indices in `files`, sorted.
     names: Vec<(String, usize)>,
+    /// Names that survive a crash.
     synced_names: Vec<(String, usize)>,
-    /// Stores that were opened before the last crash are refused.
+    /// Number of crashes. Operations of stores opened before the last one fail.
     crashes: u64,
     fail_next_sync: bool,
     is_full: bool,
 }
 
-/// A simulated disk that outlives the stores on it.
+/// A simulated disk. Its content outlives the stores on it.
 #[derive(Clone, Debug)]
 pub struct MemoryDisk {
     files: Arc<Mutex<Files>>,
@@ -50,8 +52,8 @@
         Self::default()
     }
 
-    /// Ends the use of this disk by all open stores and loses what was not synced, but for at most
-    /// `torn_bytes` bytes at the end of each file.
+    /// Simulates a crash: fails all open stores and drops unsynced data, except up to `torn_bytes`
+    /// bytes at the end of each file.
     pub fn crash(&self, torn_bytes: usize) {
         let mut files = self.lock();
         files.crashes += 1;
@@ -65,23 +67,23 @@
         }
     }
 
-    /// Ends the use of this disk by all open stores and loses everything.
+    /// Simulates the loss of the disk: fails all open stores and drops all data.
     pub fn erase(&self) {
         let mut files = self.lock();
         *files = Files { crashes: files.crashes + 1, ..Files::default() };
     }
 
-    /// Makes the next sync of a file fail.
+    /// Makes the next sync of any file fail.
     pub fn fail_next_sync(&self) {
         self.lock().fail_next_sync = true;
     }
 
-    /// While `full`, all writes are refused.
+    /// While `full` is set, writes fail as on a full disk.
     pub fn set_full(&self, full: bool) {
         self.lock().is_full = full;
     }
 
-    /// While `held`, writes wait before they begin, as on a disk that doesn't respond.
+    /// While `stalled` is set, requests wait before they start, as on a disk that does not respond.
     pub fn set_stalled(&self, stalled: bool) {
         self.stalled.send_replace(stalled);
     }
@@ -202,7 +204,7 @@
 impl DiskFile for FileHandle {
     fn append(&mut self, buf: &[u8]) -> io::Result<()> {
         let mut files = self.disk.lock()?;
-        // As on a real disk, the first bytes may still be taken.
+        // As on a real disk, part of the data may still be written.
         let accepted = if files.is_full { &buf[..buf.len() / 2] } else { buf };
         files.files[self.file].data.extend_from_slice(accepted);
         files.check_space()
@@ -213,17 +215,17 @@
     }
 
     fn rewind(&mut self, end: u64) {
-        // Fails only after a crash, when the store on the disk is not used any more.
+        // Fails only after a crash, when this store is no longer in use.
         if let Ok(mut files) = self.disk.lock() {
             files.files[self.file].data.truncate(usize::try_from(end).unwrap_or(usize::MAX));
         }
     }
 }
 
-/// A store on a `MemoryDisk`.
+/// A store on a [`MemoryDisk`].
 #[derive(Clone)]
 pub struct MemoryStore {
-    /// Held by a request until it is carried out.
+    /// Locked by a request until it is complete.
     state: Arc<tokio::sync::Mutex<State>>,
     counters: Arc<Counters>,
     stalled: watch::Sender<bool>,
@@ -235,20 +237,20 @@
 }
 
 impl MemoryStore {
-    /// Creates an empty store on a disk without one.
+    /// Creates an empty store on a disk.
     ///
     /// # Errors
     ///
-    /// Fails when the disk holds a log already.
+    /// Fails if the disk already contains a log or cannot be written.
     pub fn create(disk: &MemoryDisk) -> Result<(), StoreError> {
         Wal::create(&mut disk.handle())
     }
 
-    /// Opens the store on a disk.
+    /// Opens the store on a disk and reads its log.
     ///
     /// # Errors
     ///
-    /// Fails when there is no log or it is corrupt.
+    /// Fails if there is no log or it is corrupt, or if the disk's next sync is set to fail.
     pub fn open(disk: &MemoryDisk, options: StoreOptions) -> Result<Self, StoreError> {
         let wal = Wal::open(Box::new(disk.handle()), options.segment_bytes)?;
         let counters = wal.counters();
--- a/crates/agreement/src/storage/replay.rs
+++ b/crates/agreement/src/storage/replay.rs
@@ -1,4 +1,4 @@
-//! Reading the segments when a store is opened.
+//! Reads the segments when a store is opened.
 
 use super::StoreError;
 use super::disk::{Disk, DiskFile};
@@ -7,27 +7,29 @@
 };
 use super::group::Groups;
 
-/// What the segments hold.
+/// State read from the segments.
 pub(crate) struct ReplayResult {
     pub(crate) groups: Groups,
-    /// Number and length of each segment, oldest first.
+    /// Number and length in bytes of each segment, oldest first.
     pub(crate) segments: Vec<(u64, u64)>,
-    /// The last segment.
+    /// Header of the last segment.
     pub(crate) header: SegmentHeader,
+    /// The last segment.
     pub(crate) file: Box<dyn DiskFile>,
     pub(crate) next_frame: u64,
 }
 
-/// Position of the end of a segment's sound frames.
+/// Extent of a segment's valid frames.
 struct SegmentExtent {
     header: SegmentHeader,
     next_frame: u64,
-    /// Where the last sound frame begins, or 0 while there are fewer than two.
+    /// Offset of the last valid frame, or 0 if there are fewer than two.
     last_frame_at: usize,
+    /// Offset of the end of the last valid frame.
     end: usize,
 }
 
-/// Reads all segments; cuts a torn tail; makes durable what was read.
+/// Reads all segments, truncates a torn write at the end and makes what was read durable.
 pub(crate) fn replay(disk: &mut dyn Disk) -> Result<ReplayResult, StoreError> {
     let mut numbers = segment_numbers(disk)?;
     remove_unfinished_segment(disk, &mut numbers)?;
@@ -41,12 +43,13 @@
         let name = segment_name(number);
         let buf = read(disk, &name)?;
         let extent = replay_segment(disk, &buf, number, previous.as_ref(), &mut groups)?;
-        // Zeros are written ahead of the log. Frames that became zeros are missed by the header of
-        // the next segment; at the end of the log they can't be told from a torn write.
+        // Trailing zeros are preallocated space. If frames were overwritten with zeros, the header
+        // of the next segment reveals the missing frames. In the last segment they look like a torn
+        // write.
         if buf[extent.end..].iter().any(|b| *b != 0) {
             check_torn_write(disk, &buf, &extent, number == last)?;
             log::warn!(path = disk.path(&name), offset = extent.end, bytes = buf.len() - extent.end;
-                "cutting a torn write at the end of the log");
+                "truncating a torn write at the end of the log");
         }
         segments.push((number, extent.end as u64));
         previous = Some(extent);
@@ -58,7 +61,7 @@
         .and_then(|file| disk.sync_dir().map(|()| file))
         .map_err(|e| StoreError::io("sync", disk.path(&name), e))?;
     if groups.0.iter().any(|(_, g)| g.has_gap()) {
-        return Err(StoreError::corrupt(disk.path(&name), extent.end, "entries are missing"));
+        return Err(StoreError::corrupt(disk.path(&name), extent.end, "log entries are missing"));
     }
     Ok(ReplayResult {
         groups,
@@ -69,7 +72,7 @@
     })
 }
 
-/// Numbers of the segments in the folder, sorted.
+/// Returns the numbers of the segments on the disk, sorted. Fails if one is missing in between.
 pub(crate) fn segment_numbers(disk: &dyn Disk) -> Result<Vec<u64>, StoreError> {
     let names = disk.list().map_err(|e| StoreError::io("list", disk.path(""), e))?;
     let mut numbers: Vec<u64> = names.iter().filter_map(|name| segment_number(name)).collect();
@@ -81,7 +84,8 @@
     Ok(numbers)
 }
 
-/// Removes a last segment whose header was never synced. Frames are written only after that.
+/// Removes the last segment if its header was never synced. Frames are written only after that
+/// sync.
 fn remove_unfinished_segment(
     disk: &mut dyn Disk,
     numbers: &mut Vec<u64>,
@@ -115,10 +119,10 @@
     let corrupt = |at, reason| StoreError::corrupt(disk.path(&segment_name(number)), at, reason);
     let header = SegmentHeader::decode(buf).ok_or_else(|| corrupt(0, "invalid segment header"))?;
     if header.number != number {
-        return Err(corrupt(0, "segment has the number of another one"));
+        return Err(corrupt(0, "segment number does not match the file name"));
     }
     if previous.is_some_and(|p| p.next_frame != header.first_frame) {
-        return Err(corrupt(0, "frames before the segment are missing"));
+        return Err(corrupt(0, "frames before this segment are missing"));
     }
     let mut extent = SegmentExtent {
         header,
@@ -130,9 +134,9 @@
         if frame != extent.next_frame {
             return Err(corrupt(extent.end, "frame is out of order"));
         }
-        let batch = decode_batch(body).ok_or_else(|| corrupt(extent.end, "undecodable frame"))?;
+        let batch = decode_batch(body).ok_or_else(|| corrupt(extent.end, "cannot decode frame"))?;
         groups.apply(batch, number).map_err(|reason| corrupt(extent.end, reason))?;
-        // The header is written again too while the segment has one frame only.
+        // While the segment has only one frame, reopening it also rewrites the header.
         extent.last_frame_at = if frame == header.first_frame { 0 } else { extent.end };
         extent.end += FRAME_HEADER_LEN + body.len();
         extent.next_frame = frame.saturating_add(1);
@@ -140,7 +144,7 @@
     Ok(extent)
 }
 
-/// Accepts the bytes after the last sound frame as a torn write, or reports corruption.
+/// Fails if the bytes after the last valid frame cannot be the result of a torn write.
 fn check_torn_write(
     disk: &dyn Disk,
     buf: &[u8],
@@ -150,7 +154,7 @@
     let reason = if !is_last {
         "invalid frame in a segment that is not the last"
     } else if extent.header.contains_frame(&buf[extent.end + 1..]) {
-        "invalid frame before a sound one"
+        "invalid frame followed by a valid one"
     } else {
         return Ok(());
     };
--- a/crates/agreement/src/storage/wal.rs
+++ b/crates/agreement/src/storage/wal.rs
@@ -1,4 +1,4 @@
-//! The write-ahead log and the snapshots of a store, without threads.
+//! The write-ahead log and the snapshots of a store, as synchronous code.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,17 +15,18 @@
 use crate::{Entry, GroupId, LogPosition, Membership, PersistRequest, Snapshot};
 use pb::record::Kind;
 
-/// The log is written anew when it is this many times larger than what is live in it.
+/// Live entries are rewritten when the log is more than this many times larger than they are.
 const MAX_LOG_TO_LIVE_RATIO: u64 = 4;
-/// Sealed segments that are kept before the log is written anew.
+/// Number of sealed segments up to which live entries are never rewritten.
 const MIN_SEALED_SEGMENTS: usize = 2;
-/// Bytes of a snapshot that are written and synced at a time.
+/// Bytes of a snapshot that are written and synced at a time, so that log writes can be
+/// interleaved.
 const SNAPSHOT_CHUNK_BYTES: usize = 1 << 20;
 
 const SNAPSHOT_PREFIX: &str = "snap-";
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Counters that are read from other threads.
+/// Counters of a store, readable from other threads.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     syncs: AtomicU64,
@@ -45,10 +46,10 @@
     }
 }
 
-/// One request to make something durable.
+/// A request to make state durable.
 pub(crate) enum WriteOp {
     Persist(Vec<(GroupId, PersistRequest)>),
-    /// A snapshot whose file has been written by `SnapshotWriter`.
+    /// A snapshot whose file has already been written by `SnapshotWriter`.
     Snapshot {
         group: GroupId,
         last: LogPosition,
@@ -56,12 +57,12 @@
     },
 }
 
-/// Requests that one sync makes durable.
+/// Requests that become durable with one sync.
 pub(crate) struct Batch {
     ops: Vec<WriteOp>,
-    /// Snapshots of `ops` whose files have been written.
+    /// Number of snapshots in `ops` whose files have been written.
     written_snapshots: usize,
-    /// The records of the batch, once they are part of the groups in memory.
+    /// Encoded records of the batch. Once set, `ops` have been applied to the groups in memory.
     frame: Option<Vec<u8>>,
     replaces_snapshot: bool,
 }
@@ -75,17 +76,19 @@
 pub(crate) struct Wal {
     disk: Box<dyn Disk>,
     groups: Groups,
-    /// Number and length, oldest first; the last one is written to.
+    /// Number and length in bytes of each segment, oldest first. The last one is being written.
     segments: VecDeque<(u64, u64)>,
     segment_bytes: u64,
+    /// Header of the last segment.
     header: SegmentHeader,
+    /// The last segment.
     file: Box<dyn DiskFile>,
     next_frame: u64,
     counters: Arc<Counters>,
 }
 
 impl Wal {
-    /// Creates the first segment in a folder without one.
+    /// Creates the first segment on a disk without segments.
     pub(crate) fn create(disk: &mut dyn Disk) -> Result<(), StoreError> {
         if !segment_numbers(disk)?.is_empty() {
             return Err(StoreError::Exists { path: disk.path("") });
@@ -132,13 +135,17 @@
         let (meta, data) = checksummed::decode::<pb::SnapshotMeta>(file)
             .map_err(|reason| StoreError::corrupt(path.as_str(), 0, reason))?;
         if meta.last != Some(last.into()) || meta.membership != Some(membership.into()) {
-            return Err(StoreError::corrupt(path, 0, "snapshot is not the one the log names"));
+            return Err(StoreError::corrupt(
+                path,
+                0,
+                "snapshot does not match its record in the log",
+            ));
         }
         Ok(Snapshot { last, membership: membership.clone(), data })
     }
 
-    /// Makes a batch durable with one sync. After an error for which [`StoreError::is_disk_full`] holds,
-    /// the same batch may be tried again; nothing else may be committed before it.
+    /// Makes a batch durable with one sync. After an error with [`StoreError::is_disk_full`], the
+    /// same batch may be retried, and no other one may be committed before it.
     pub(crate) fn commit(&mut self, batch: &mut Batch) -> Result<(), StoreError> {
         if batch.frame.is_none() {
             self.write_snapshots(batch)?;
@@ -171,7 +178,7 @@
             self.write_frame(frame)?;
             batch.frame = None;
         }
-        // What is left over takes space only, and is removed at the next chance.
+        // Files that could not be removed only take space. Their removal is retried later.
         if batch.replaces_snapshot
             && let Err(e) = self.remove_old_snapshots(false)
         {
@@ -183,7 +190,7 @@
         Ok(())
     }
 
-    /// Writes the files of the snapshots that a batch installs.
+    /// Writes the files of the snapshots that a batch installs; skips those already written.
     fn write_snapshots(&mut self, batch: &mut Batch) -> Result<(), StoreError> {
         let persists = batch.ops.iter().filter_map(|op| match op {
             WriteOp::Persist(persists) => Some(persists),
@@ -203,7 +210,7 @@
         let written = self.file.append(frame).map_err(|e| ("write", e));
         let synced = written.and_then(|()| self.file.sync().map_err(|e| ("sync", e)));
         if let Err((op, e)) = synced {
-            // The same bytes are written again in place of what may have been written of them.
+            // A retry overwrites any part of the frame that was written.
             self.file.rewind(end);
             return Err(StoreError::io(op, self.disk.path(&name), e));
         }
@@ -242,13 +249,13 @@
     ) -> Result<(), StoreError> {
         let segment = self.header.number;
         let group = self.groups.entry(id);
-        // What a snapshot covers is committed and does not change any more.
+        // Entries covered by a snapshot are committed and cannot change.
         entries.retain(|e| e.position.index > group.base.index);
         let Some(first) = entries.first().map(|e| e.position.index) else {
             return Ok(());
         };
         if first > group.last_index() + 1 {
-            return Err(invalid(id, "entries leave a gap"));
+            return Err(invalid(id, "entries do not follow the last stored one"));
         }
         let list = pb::Entries { entries: entries.iter().map(Into::into).collect() };
         group.append(entries, segment).map_err(|reason| invalid(id, reason))?;
@@ -256,8 +263,8 @@
         Ok(())
     }
 
-    /// Replaces the log up to a snapshot whose file has been written. An older snapshot than the
-    /// present one was overtaken by it and is ignored.
+    /// Replaces the log up to a snapshot whose file has been written. A snapshot older than the
+    /// stored one is ignored.
     fn stage_snapshot(
         &mut self,
         id: GroupId,
@@ -272,7 +279,8 @@
         if last.index >= u64::MAX - 1 {
             return Err(invalid(id, "snapshot position out of range"));
         }
-        // The log after the snapshot belongs to it only if the snapshot's last entry is in the log.
+        // The entries after the snapshot follow from it only if the log has the snapshot's last
+        // entry.
         let clear = group.term_at(last.index) != Some(last.term);
         group.start_after(last, clear);
         records.push(record(id, snapshot_kind(last, &membership)));
@@ -281,8 +289,8 @@
         Ok(())
     }
 
-    /// Starts a new segment. Returns the records that make older ones superfluous: the state of all
-    /// groups without entries and, when little of the log is live, the live entries too.
+    /// Starts a new segment. Returns the records that supersede older segments: the state of all
+    /// groups without their entries and, if little of the log is live, also the live entries.
     fn rotate(&mut self) -> Result<Vec<pb::Record>, StoreError> {
         let number = self.header.number + 1;
         let (header, file) = create_segment(self.disk.as_mut(), number, self.next_frame)?;
@@ -309,8 +317,9 @@
         Ok(records)
     }
 
-    /// Removes the oldest segments that hold no live entry. Only the oldest: a record in the middle
-    /// may have dropped entries that are still in older segments.
+    /// Removes the oldest segments up to the first one with a live entry. Later segments must stay
+    /// even without live entries, because they may hold records that drop entries of older
+    /// segments.
     fn remove_old_segments(&mut self) -> Result<(), StoreError> {
         let oldest = self.groups.0.iter().filter_map(|(_, g)| g.oldest_segment()).min();
         let keep = oldest.unwrap_or(self.header.number).min(self.header.number);
@@ -330,8 +339,8 @@
         Ok(())
     }
 
-    /// Removes snapshot files that the log doesn't name. An unfinished one is in the way only after
-    /// a restart.
+    /// Removes snapshot files that are not referenced by the log. Temporary files are removed only
+    /// with `include_unfinished`, after a restart; before, they are still being written.
     fn remove_old_snapshots(&mut self, include_unfinished: bool) -> Result<(), StoreError> {
         let names = self.disk.list().map_err(|e| StoreError::io("list", self.disk.path(""), e))?;
         let mut live = Vec::new();
@@ -380,12 +389,13 @@
     format!("{SNAPSHOT_PREFIX}{:08x}-{:016x}-{:016x}", group.0, last.index, last.term)
 }
 
-/// A snapshot's file while it is written in chunks, between which the log can be written.
+/// Writes a snapshot's file in chunks, so that log writes can be interleaved.
 pub(crate) struct SnapshotWriter {
     name: String,
+    /// Encoded header and metadata, which precede `data` in the file.
     head: Vec<u8>,
     data: Bytes,
-    /// Bytes of `data` that are durable.
+    /// Number of bytes of `data` that are durable.
     written: usize,
     file: Option<Box<dyn DiskFile>>,
 }
@@ -401,8 +411,8 @@
         Self { name, head, data: snapshot.data, written: 0, file: None }
     }
 
-    /// Writes the next chunk; returns whether the snapshot is complete and durable. After an error it
-    /// starts over.
+    /// Writes the next chunk. Returns whether the snapshot is complete and durable. After an error,
+    /// the next call starts over.
     pub(crate) fn write_chunk(&mut self, wal: &mut Wal) -> Result<bool, StoreError> {
         let temporary = format!("{}{TEMPORARY_SUFFIX}", self.name);
         match self.try_write_chunk(wal, &temporary) {
@@ -443,7 +453,7 @@
         Ok((done, bytes as u64))
     }
 
-    /// Writes the rest.
+    /// Writes all remaining chunks.
     pub(crate) fn finish(mut self, wal: &mut Wal) -> Result<(), StoreError> {
         while !self.write_chunk(wal)? {}
         Ok(())
--- a/crates/agreement/src/types.rs
+++ b/crates/agreement/src/types.rs
@@ -1,8 +1,9 @@
-//! Types shared by the pure core, the storage and the driver.
+//! Types shared by the core, the storage and the driver.
 
 use bytes::Bytes;
 
-/// Number of a replica. An operator chooses it; it is never used again after a lost disk.
+/// Number of a replica, assigned by the operator or the embedding program. It must not be used
+/// again after the replica lost its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u64);
 
@@ -10,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u32);
 
-/// Random identity of a data folder, fixed when the folder is initialised.
+/// Random identity of a data folder, assigned when the folder is initialised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FolderId(pub u128);
 
@@ -23,12 +24,12 @@
     pub term: u64,
 }
 
-/// Term and vote, which must be synced before an answer that depends on them is sent.
+/// Term and vote. They must be synced before any message that depends on them is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// Highest term seen.
+    /// Latest term that this replica has seen.
     pub term: u64,
-    /// Replica that got this replica's vote in `term`.
+    /// Candidate that this replica voted for in `term`.
     pub vote: Option<ReplicaId>,
 }
 
@@ -41,47 +42,49 @@
     pub learners: Vec<ReplicaId>,
 }
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// No command; a new leader commits one to commit the entries of earlier terms.
+    /// No command. A new leader appends one, because it can commit entries of earlier terms only
+    /// together with an entry of its own term.
     Empty,
     /// A command for the state machine.
     Command(Bytes),
-    /// The membership that holds from this entry on.
+    /// The membership in force from this entry on, even before the entry is committed.
     Membership(Membership),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Index and term.
+    /// Index and term of the entry.
     pub position: LogPosition,
-    /// Command or membership.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
-/// A state machine's state at a position of the log.
+/// State of a state machine at a position in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     /// Last entry that the snapshot covers.
     pub last: LogPosition,
     /// Membership at `last`.
     pub membership: Membership,
-    /// The state machine's own encoding.
+    /// State as encoded by the state machine.
     pub data: Bytes,
 }
 
-/// What storage must make durable, in this order, before it reports the request as synced.
+/// State that storage must make durable, in the order of the fields, before it reports the request
+/// as synced.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistRequest {
-    /// Identifies this request in the report that it was synced. Rises by one each time.
+    /// Sequence number of the request, returned in `Input::Synced`. Increases by one per request.
     pub sequence: u64,
-    /// New term and vote.
+    /// New term and vote, if they changed.
     pub hard_state: Option<HardState>,
-    /// Replaces the state machine's state and the whole log up to its position.
+    /// Snapshot that replaces the log up to its position.
     pub snapshot: Option<Snapshot>,
-    /// Entries to append. The first one's index may be inside the log: everything from that index
-    /// on is then replaced.
+    /// Consecutive entries to append. If the first index is inside the log, they replace everything
+    /// from that index on.
     pub entries: Vec<Entry>,
 }
--- a/crates/agreement/tests/common/cluster.rs
+++ b/crates/agreement/tests/common/cluster.rs
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Reads all commands from the leader, which must be `commands`, each once; returns their order.
+    /// Reads all commands from the leader, which must be `commands`, each once; returns their
+    /// order.
     pub async fn journal_of(&self, commands: &[String]) -> Vec<String> {
         let journal = self.journal().await;
         let sorted = |list: &[String]| {
--- a/crates/agreement/tests/full_disk.rs
+++ b/crates/agreement/tests/full_disk.rs
@@ -1,5 +1,5 @@
-//! Replicas whose disks take no more bytes, or do not respond: nothing unsynced is acknowledged, the
-//! lead moves, and they go on by themselves.
+//! Replicas whose disks take no more bytes, or do not respond: nothing unsynced is acknowledged,
+//! the lead moves, and they go on by themselves.
 
 mod common;
 
