--- a/crates/agreement/benches/commit.rs
+++ b/crates/agreement/benches/commit.rs
@@ -1,4 +1,5 @@
-//! Commit latency, syncs per commit and restart time of nodes in one process, with stores on disk.
+//! Measures commit latency, syncs per commit and restart time of nodes in one process with stores
+//! on disk.
 #![allow(missing_docs, reason = "criterion_group! generates a function without documentation")]
 
 use std::path::Path;
@@ -20,7 +21,7 @@
 const COMMAND_BYTES: usize = 256;
 const RESTART_ENTRIES: usize = 10_000;
 
-/// Counts the commands.
+/// State machine that counts the commands.
 struct Counter(u64);
 
 impl StateMachine for Counter {
@@ -39,8 +40,10 @@
     }
 }
 
+/// Nodes of a cluster, which own the transports that refer back to them.
 type Nodes = Arc<Mutex<Vec<Weak<Node>>>>;
 
+/// Delivers messages to the nodes of this process.
 struct LocalTransport {
     from: ReplicaId,
     nodes: Nodes,
@@ -57,7 +60,7 @@
     }
 }
 
-/// Lets the benchmark read the counters of a store that a node owns.
+/// Shares a store with the benchmark, which reads its counters while a node owns it.
 struct SharedStore(Arc<FileStore>);
 
 impl Storage for SharedStore {
@@ -155,7 +158,7 @@
     }
 }
 
-/// Commits `commits` commands by each of `writers` tasks that wait for each one.
+/// Runs `writers` tasks, each of which commits `commits` commands one after the other.
 async fn write(group: &GroupHandle, writers: u64, commits: u64) {
     let tasks = (0..writers).map(|_| {
         let group = group.clone();
@@ -171,7 +174,7 @@
     }
 }
 
-/// Measures the latency of a commit as a writer sees it.
+/// Measures the commit latency that a writer observes.
 fn commit(c: &mut Criterion) {
     let runtime = Runtime::new().expect("runtime");
     let mut benches = c.benchmark_group("commit_latency");
@@ -202,7 +205,7 @@
     benches.finish();
 }
 
-/// Measures the time to open and read a store with one batch per entry.
+/// Measures the time to open and load a store whose entries were written one per batch.
 fn restart(c: &mut Criterion) {
     let runtime = Runtime::new().expect("runtime");
     let folder = tempfile::tempdir().expect("folder");
--- a/crates/agreement/examples/replicated_counter.rs
+++ b/crates/agreement/examples/replicated_counter.rs
@@ -1,6 +1,6 @@
-//! Replicates a counter over three nodes in one process, which exchange messages in memory and keep
-//! their logs in a temporary folder: proposals, the loss of a replica, a restart of all, and a
-//! read.
+//! Replicates a counter over three nodes in one process. The nodes exchange messages in memory and
+//! keep their logs in a temporary folder. Shows proposals, the loss of a replica, a restart of all
+//! replicas, and a linearizable read.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex, Weak};
@@ -45,7 +45,7 @@
 impl Transport for LocalTransport {
     fn send(&self, to: ReplicaId, message: PeerMessage) {
         let nodes = self.nodes.lock().expect("no thread panics");
-        // Without such a node the message is lost, which the log tolerates.
+        // If the node is not running, the message is lost, which the protocol tolerates.
         if let Some(node) = nodes.iter().filter_map(Weak::upgrade).find(|n| n.replica() == to) {
             node.deliver(self.from.0, self.from.1, message);
         }
@@ -68,7 +68,7 @@
     Ok(running)
 }
 
-/// The group at the replica that leads it.
+/// Waits for a leader and returns its handle to the group.
 async fn leader(running: &[Arc<Node>]) -> GroupHandle {
     loop {
         for group in running.iter().filter_map(|node| node.group(GROUP)) {
@@ -83,7 +83,7 @@
 #[tokio::main]
 async fn main() -> anyhow::Result<()> {
     let folder = tempfile::tempdir()?;
-    // Done once per replica; a data folder is never created when a node starts.
+    // Initialise each replica once. Starting a node never creates a data folder.
     for id in VOTERS {
         let dir = DataDir::init(&folder.path().join(id.0.to_string()), id)?;
         FileStore::create(&dir.log_folder())?;
@@ -93,20 +93,20 @@
     }
     let nodes = Nodes::default();
     let mut running = start(folder.path(), &nodes).await?;
-    // After `ProposeError::Unknown` a proposal may have been executed, so a command that must not
-    // be repeated carries an id by which the state machine recognises it.
+    // After `ProposeError::Unknown`, the command may have been executed. A command that must not be
+    // executed twice needs an id that lets the state machine detect a retry.
     for _ in 0..3 {
         println!("committed: {:?}", leader(&running).await.propose(Bytes::new()).await?);
     }
 
     running.remove(0).abort().await;
-    println!("one replica stopped; the other two go on");
+    println!("one replica stopped; the other two continue");
     println!("committed: {:?}", leader(&running).await.propose(Bytes::new()).await?);
 
     for node in running.drain(..) {
         node.abort().await;
     }
-    println!("all stopped; started again from their folders");
+    println!("all replicas stopped; restarting them from their folders");
     let running = start(folder.path(), &nodes).await?;
     println!("read: {}", leader(&running).await.query(|counter: &Counter| counter.0).await?);
     for node in running {
--- a/crates/agreement/tests/common/cluster.rs
+++ b/crates/agreement/tests/common/cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes in one process, connected in memory, with stores in temporary folders.
+//! A cluster of nodes in one process, with an in-memory network and stores in a temporary folder.
 
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, Weak};
@@ -13,7 +13,7 @@
 
 pub const GROUP: GroupId = GroupId(1);
 
-/// Keeps all commands in order.
+/// State machine that records all commands in order.
 #[derive(Debug, Default)]
 pub struct Journal(pub Vec<Bytes>);
 
@@ -38,11 +38,11 @@
 #[derive(Default)]
 struct Links {
     nodes: Vec<(ReplicaId, Weak<Node>)>,
-    /// Replicas whose messages are lost in both directions.
+    /// Replicas that neither send nor receive messages.
     isolated: Vec<ReplicaId>,
 }
 
-/// Delivers messages directly, through their encoding.
+/// In-memory network that encodes and decodes each message.
 #[derive(Clone, Default)]
 pub struct Network(Arc<Mutex<Links>>);
 
@@ -66,6 +66,7 @@
     }
 }
 
+/// Transport of one replica on a `Network`.
 struct LocalTransport {
     network: Network,
     from: ReplicaId,
@@ -111,7 +112,7 @@
         self.folder.path().join(id.0.to_string())
     }
 
-    /// Makes a data folder. `voters` is empty for a replica that is to join.
+    /// Initialises a replica's data folder. `voters` is empty for a replica that joins later.
     pub async fn init(&self, id: ReplicaId, voters: &[ReplicaId]) {
         let dir = DataDir::init(&self.path(id), id).expect("initialised");
         FileStore::create(&dir.log_folder()).expect("created");
@@ -149,7 +150,7 @@
         self.nodes.iter().map(|(id, _)| *id).collect()
     }
 
-    /// Stops a node as a crash of its process would.
+    /// Stops a node without a leadership transfer, like a process crash.
     pub async fn kill(&mut self, id: ReplicaId) {
         self.node(id).abort().await;
         self.nodes.retain(|(n, _)| *n != id);
@@ -160,6 +161,7 @@
         self.nodes.retain(|(n, _)| *n != id);
     }
 
+    /// Waits for a leader with a lease.
     pub async fn leader(&self) -> ReplicaId {
         loop {
             for (id, node) in &self.nodes {
@@ -172,7 +174,8 @@
         }
     }
 
-    /// Proposes to whichever replica leads until it succeeds. For commands that may be repeated.
+    /// Proposes to the current leader until it succeeds. The command may be executed more than
+    /// once.
     pub async fn propose(&self, data: &str) -> Bytes {
         loop {
             let leader = self.leader().await;
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Proposes many commands at once to the leader, which may order them as it likes.
+    /// Proposes commands concurrently to the leader. Their order is arbitrary.
     pub async fn propose_all(&self, commands: &[String]) {
         let group = self.group(self.leader().await);
         let proposals = commands.iter().map(|c| group.propose(Bytes::from(c.clone())));
@@ -191,8 +194,8 @@
         }
     }
 
-    /// Reads all commands from the leader, which must be `commands`, each once; returns their
-    /// order.
+    /// Reads all commands from the leader and returns them in their order. Panics unless they are
+    /// `commands`, each exactly once.
     pub async fn journal_of(&self, commands: &[String]) -> Vec<String> {
         let journal = self.journal().await;
         let sorted = |list: &[String]| {
@@ -200,7 +203,10 @@
             list.sort();
             list
         };
-        assert!(sorted(&journal) == sorted(commands), "commands are lost or repeated: {journal:?}");
+        assert!(
+            sorted(&journal) == sorted(commands),
+            "commands were lost or executed twice: {journal:?}"
+        );
         journal
     }
 
@@ -237,7 +243,7 @@
     (0..count).map(|i| format!("command {i}")).collect()
 }
 
-/// Repeats a change of voters while the group is not ready for it.
+/// Retries a membership change until the group accepts it.
 pub async fn until_accepted<F>(mut change: impl FnMut() -> F)
 where
     F: Future<Output = Result<(), ProposeError>>,
--- a/crates/agreement/tests/common/mod.rs
+++ b/crates/agreement/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the storage tests.
+//! Helpers for the storage and driver tests.
 #![allow(dead_code, reason = "not every test file uses every helper")]
 
 pub mod cluster;
@@ -40,19 +40,19 @@
     FileStore::open(folder, StoreOptions { segment_bytes, preallocate_bytes: 0 })
 }
 
-/// Configuration of all property tests here; a failure prints the seed.
+/// Configuration of all property tests. The fixed seed makes failures reproducible.
 pub fn proptest_config() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_204);
     ProptestConfig { cases: 128, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
-/// Removes the groups of which nothing is stored.
+/// Removes the groups without stored state.
 pub fn not_empty(mut groups: Vec<(GroupId, StoredGroup)>) -> Vec<(GroupId, StoredGroup)> {
     groups.retain(|(_, stored)| *stored != StoredGroup::default());
     groups
 }
 
-/// Opens the store of a folder, returns what it holds and closes it.
+/// Opens the store in a folder, loads its non-empty groups and closes it.
 pub fn contents(folder: &Path) -> Result<Vec<(GroupId, StoredGroup)>, StoreError> {
     let store = open(folder, 1 << 20)?;
     let loaded = block_on(store.load());
@@ -60,6 +60,7 @@
     loaded.map(not_empty)
 }
 
+/// Returns the paths of the log segments in a folder, oldest first.
 pub fn segments(folder: &Path) -> Vec<PathBuf> {
     let names = std::fs::read_dir(folder).expect("readable folder");
     let mut paths: Vec<_> = names.map(|item| item.expect("readable name").path()).collect();
@@ -68,7 +69,7 @@
     paths
 }
 
-/// What a store should hold, kept in the simplest way.
+/// Expected content of a store, as a simple reference model.
 #[derive(Clone, Debug, Default)]
 pub struct Model(pub Vec<(GroupId, StoredGroup)>);
 
@@ -81,6 +82,7 @@
         &mut self.0[i].1
     }
 
+    /// Returns the last position of a group's log, or of its snapshot if the log is empty.
     pub fn last(&mut self, id: GroupId) -> LogPosition {
         let g = self.group(id);
         let snapshot = g.snapshot.as_ref().map(|s| s.last).unwrap_or_default();
--- a/crates/agreement/tests/core_interleavings.rs
+++ b/crates/agreement/tests/core_interleavings.rs
@@ -1,5 +1,5 @@
-//! Guards against lost, reordered or doubly decided entries, stale reads and groups that do not
-//! recover, under random interleavings of faults.
+//! Guards against lost, reordered or conflicting committed entries, stale reads, and groups that do
+//! not recover, under random interleavings of faults.
 
 mod harness;
 
@@ -39,7 +39,8 @@
     run_seeds(3_000_000, faults::CHANGES);
 }
 
-/// Longer runs with all kinds of faults, from POPLARSPAN_SOAK_SEED on, POPLARSPAN_SOAK_RUNS times.
+/// Longer runs of all fault mixes. `POPLARSPAN_SOAK_SEED` sets the first seed and
+/// `POPLARSPAN_SOAK_RUNS` the number of runs.
 #[test]
 fn soak() {
     let number = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
--- a/crates/agreement/tests/core_rules.rs
+++ b/crates/agreement/tests/core_rules.rs
@@ -1,5 +1,5 @@
-//! Guards single rules of the core that random interleavings reach rarely, on one replica whose
-//! peers are played by the test.
+//! Guards protocol rules of the core that random interleavings rarely exercise. Each test drives a
+//! single replica and plays the part of its peers.
 
 use std::time::Duration;
 
@@ -25,17 +25,18 @@
     Entry { position: position(index, term), payload: Payload::Command(Bytes::from_static(b"x")) }
 }
 
-/// Replica 1 of a group of `voters`, with entries of the given terms from index 1 on.
+/// Returns replica 1 of a group with voters `1..=voters`, in term `term` and with entries of the
+/// given terms from index 1 on.
 fn replica(voters: u64, term: u64, entry_terms: &[u64]) -> Core {
     let ids = (1..=voters).map(ReplicaId).collect();
     let entries = entry_terms.iter().zip(1..).map(|(&term, index)| entry(index, term));
-    let restored = InitialState {
+    let initial = InitialState {
         hard_state: HardState { term, vote: None },
         membership: Membership { voters: ids, learners: Vec::new() },
         entries: entries.collect(),
         ..InitialState::default()
     };
-    Core::new(CoreConfig::new(ReplicaId(1), 7), restored)
+    Core::new(CoreConfig::new(ReplicaId(1), 7), initial)
 }
 
 fn receive(core: &mut Core, now: u64, from: ReplicaId, message: Message) -> Output {
@@ -46,7 +47,8 @@
     Message::Append { term, previous, entries, commit }
 }
 
-/// Makes the replica the leader at 1 s with the votes of `A` and `B`, its writes synced.
+/// Makes the replica the leader at 1 s with the votes of `A` and `B`, and syncs its writes. Returns
+/// its term.
 fn lead(core: &mut Core) -> u64 {
     core.step(ms(0), Input::Tick);
     core.step(ms(1000), Input::Tick);
@@ -72,9 +74,10 @@
     out.messages.iter().map(|(_, m)| m).collect()
 }
 
-/// An entry of an earlier term that a quorum has may still be replaced.
+/// Guards against committing an entry of an earlier term because a quorum has it: a later leader
+/// may still replace it.
 #[test]
-fn earlier_terms_wait() {
+fn earlier_terms_not_committed_directly() {
     let mut core = replica(5, 3, &[1, 2]);
     let term = lead(&mut core);
     matched(&mut core, 1000, A, term, 2);
@@ -85,9 +88,10 @@
     assert_eq!(out.apply.len(), 3);
 }
 
-/// A leader that has not committed in its term may not know of an earlier leader's change.
+/// Guards against two membership changes in flight: until a leader has committed an entry of its
+/// term, a change of an earlier leader may be pending.
 #[test]
-fn early_changes_refused() {
+fn changes_refused_before_first_commit() {
     let mut core = replica(3, 1, &[1]);
     let term = lead(&mut core);
     let change = |core: &mut Core, id| {
@@ -101,7 +105,8 @@
     assert_eq!(change(&mut core, 5), ProposalResult::Refused(MembershipChangeError::Pending));
 }
 
-/// A commit index beyond what an append has checked would commit old entries of the follower.
+/// Guards against committing entries that an append has not verified: its commit index may lie
+/// beyond them, where the follower's log may differ from the leader's.
 #[test]
 fn unchecked_entries_stay_uncommitted() {
     let mut core = replica(3, 1, &[1, 1, 1]);
@@ -109,7 +114,8 @@
     assert_eq!(core.status().commit, 1);
 }
 
-/// An entry that is replaced before it is written must not be acknowledged, nor count as synced.
+/// Guards against acknowledging an entry, or counting it as synced, that was replaced before its
+/// write was complete.
 #[test]
 fn replaced_entries_unacknowledged() {
     let mut core = replica(3, 1, &[]);
@@ -124,7 +130,8 @@
     assert_eq!(answers(&second), [&Message::AppendAnswer { term: 2, result }]);
 }
 
-/// A vote that is lost in a crash could be given twice; so could the own vote of a candidate.
+/// Guards against voting twice in a term: a vote sent before it is synced is lost in a crash. The
+/// same holds for a candidate's vote for itself.
 #[test]
 fn votes_synced_first() {
     let mut core = replica(3, 1, &[]);
@@ -141,14 +148,15 @@
     assert_eq!((answers(&out).len(), core.status().role.role), (2, Role::Candidate));
 }
 
-/// A vote against a lease lets another leader commit while the old one serves reads.
+/// Guards against stale lease reads: a vote during a leader's lease lets another leader commit
+/// while the old one still serves reads.
 #[test]
 fn votes_respect_leases() {
     let request = Message::Vote { term: 9, last: position(9, 9), transfer: false };
     let granted = |out: &Output| !out.messages.is_empty() || out.persist.is_some();
     let mut core = replica(3, 1, &[1]);
     core.step(ms(0), Input::Tick);
-    // It may have acknowledged a heartbeat just before its restart.
+    // The replica may have acknowledged a heartbeat just before its restart.
     assert!(!granted(&receive(&mut core, 290, B, request.clone())));
     receive(&mut core, 291, A, Message::Heartbeat { term: 1, round: 1, commit: 0 });
     assert!(!granted(&receive(&mut core, 590, B, request.clone())));
@@ -158,7 +166,8 @@
     assert!(granted(&receive(&mut core, 592, B, request)));
 }
 
-/// A command whose entry was only removed from this log may still be committed by a third replica.
+/// Guards against reporting a proposal as lost because its entry was truncated here: another
+/// replica may still have the entry and commit it.
 #[test]
 fn truncated_proposals_stay_undecided() {
     let mut core = replica(3, 1, &[]);
@@ -172,7 +181,8 @@
     assert_eq!(out.proposals, [(5, ProposalResult::Overwritten)]);
 }
 
-/// The lease runs from when the acknowledged round was sent, and ends for good at a transfer.
+/// The lease starts when the acknowledged round was sent, and ends permanently with a leadership
+/// transfer.
 #[test]
 fn lease_limits() {
     let mut core = replica(3, 1, &[]);
@@ -191,7 +201,7 @@
     assert!(!core.lease_valid(ms(1250)));
 }
 
-/// A cut-off leader steps down by itself and refuses its waiting reads.
+/// An isolated leader steps down and fails its pending reads.
 #[test]
 fn leader_steps_down_without_quorum() {
     let mut core = replica(3, 1, &[]);
@@ -204,7 +214,7 @@
     assert_eq!(out.reads, [(1, ReadResult::NotLeader { leader: None })]);
 }
 
-/// A replica outside of the membership must not disturb the group with elections.
+/// A replica that is not a member must not disturb the group with elections.
 #[test]
 fn non_members_do_not_campaign() {
     let mut core = Core::new(CoreConfig::new(ReplicaId(9), 1), InitialState::default());
@@ -213,8 +223,9 @@
     }
 }
 
-/// A removed replica may be the only one with the entry that removes it; the others cannot win an
-/// election against its log.
+/// Guards against a group without a leader: a removed replica may be the only one with the entry
+/// that removes it, and the others cannot win an election against its longer log. It has to lead
+/// once to replicate the entry.
 #[test]
 fn removed_replica_replicates_its_removal() {
     let mut core = replica(2, 1, &[1]);
@@ -231,7 +242,8 @@
     }
 }
 
-/// A removed replica that is not told of the commit would ask for pre-votes for ever.
+/// Guards against a removed replica that sends pre-vote requests forever because it never learned
+/// that its removal is committed.
 #[test]
 fn removed_peers_informed() {
     let mut core = replica(3, 1, &[]);
@@ -248,7 +260,7 @@
     assert_eq!(core.status().peers, [(A, 2)]);
 }
 
-/// One sync covers the proposals that arrived during the one before.
+/// One sync covers all proposals that arrived during the previous sync.
 #[test]
 fn group_commit() {
     let mut core = replica(1, 0, &[]);
@@ -265,7 +277,7 @@
     assert_eq!(core.step(ms(1000), Input::Synced { sequence: 3 }).apply.len(), 10);
 }
 
-/// Appends to a peer that does not answer stay within the configured count and size.
+/// Unanswered appends to a peer stay within the configured count and size.
 #[test]
 fn appends_bounded() {
     let mut core = replica(3, 1, &[]);
@@ -288,7 +300,7 @@
     assert!(!sizes.is_empty() && sizes.iter().all(|&n| n <= 2), "entries per append: {sizes:?}");
 }
 
-/// After a mismatch the leader steps over whole terms instead of single entries.
+/// After a mismatch, the leader skips a whole term instead of a single entry.
 #[test]
 fn backs_off_by_terms() {
     let mut core = replica(3, 9, &[vec![1; 50], vec![5; 50]].concat());
@@ -300,16 +312,16 @@
     assert_eq!(*previous, position(50, 1));
 }
 
-/// After a restart a leader has no snapshot in memory and must ask for one.
+/// After a restart, a leader has no snapshot in memory and must ask the driver for one.
 #[test]
 fn snapshot_wanted() {
-    let restored = InitialState {
+    let initial = InitialState {
         snapshot: position(10, 1),
         membership: Membership { voters: vec![ReplicaId(1), A, B], learners: Vec::new() },
         hard_state: HardState { term: 1, vote: None },
         entries: Vec::new(),
     };
-    let mut core = Core::new(CoreConfig::new(ReplicaId(1), 7), restored);
+    let mut core = Core::new(CoreConfig::new(ReplicaId(1), 7), initial);
     let term = lead(&mut core);
     let result = AppendResult::Mismatch { rejected: 10, hint: position(2, 1) };
     let out = receive(&mut core, 1000, A, Message::AppendAnswer { term, result });
--- a/crates/agreement/tests/driver_cluster.rs
+++ b/crates/agreement/tests/driver_cluster.rs
@@ -1,4 +1,5 @@
-//! Guards against lost, repeated or reordered commands when replicas stop, return and are replaced.
+//! Guards against lost, duplicated or reordered commands when replicas stop, restart, change
+//! leaders and are replaced.
 
 mod common;
 
@@ -25,7 +26,7 @@
     for id in 1..=3 {
         cluster.start_node(ReplicaId(id)).await;
     }
-    assert!(cluster.journal().await == journal, "the order has changed");
+    assert!(cluster.journal().await == journal, "the commands or their order have changed");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
@@ -39,7 +40,7 @@
     let journal = cluster.journal_of(&commands).await;
     cluster.kill(ReplicaId(1)).await;
     cluster.start_node(ReplicaId(1)).await;
-    assert!(cluster.journal().await == journal, "the order has changed");
+    assert!(cluster.journal().await == journal, "the commands or their order have changed");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
@@ -60,7 +61,7 @@
     assert!(status.core.snapshot.index > 500, "{status:?}");
     cluster.start_node(lagging).await;
     cluster.wait_applied(lagging, cluster.applied(leader).await).await;
-    // The follower's own copy is read after it has been made leader, and again after a restart.
+    // To read the follower's own copy, make it the leader; read again after a restart.
     until_accepted(|| async {
         let leader = cluster.leader().await;
         cluster.group(leader).transfer_leadership(lagging).await.map_err(|e| match e {
@@ -69,14 +70,14 @@
         })
     })
     .await;
-    assert!(cluster.journal().await == journal, "the order has changed");
+    assert!(cluster.journal().await == journal, "the commands or their order have changed");
     for id in cluster.running() {
         cluster.kill(id).await;
     }
     for id in 1..=3 {
         cluster.start_node(ReplicaId(id)).await;
     }
-    assert!(cluster.journal().await == journal, "the order has changed");
+    assert!(cluster.journal().await == journal, "the commands or their order have changed");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
@@ -100,15 +101,15 @@
     let status = leader().await.status().await.expect("running");
     let mut voters: Vec<_> = (1..=4).map(ReplicaId).filter(|id| *id != old).collect();
     assert_eq!(status.core.membership.voters, voters);
-    // The group needs the new voter now: of the three voters, one of the first is stopped.
+    // With one of the original voters stopped, the group has a quorum only with the new voter.
     voters.retain(|id| *id != new);
     cluster.kill(voters[0]).await;
-    assert!(cluster.journal().await == journal, "the order has changed");
+    assert!(cluster.journal().await == journal, "the commands or their order have changed");
     cluster.propose("last").await;
 }
 
-/// Proposes distinct commands until told to stop; returns those that were acknowledged, refused and
-/// of unknown outcome.
+/// Proposes distinct commands until `stop` is set. Returns those that were acknowledged, those that
+/// were refused and those with an unknown outcome.
 async fn write(
     handles: Vec<poplarspan_agreement::GroupHandle>,
     writer: usize,
@@ -181,7 +182,7 @@
     assert!(acknowledged.iter().all(was_executed), "an acknowledged command is lost");
     assert!(!refused.iter().any(was_executed), "a refused command was executed");
     let total = acknowledged.len() + unknown.iter().filter(|c| was_executed(c)).count();
-    assert_eq!(executed, total, "a command was executed that nobody sent");
+    assert_eq!(executed, total, "a command was executed that was not proposed");
     assert!(acknowledged.len() > 1000);
 }
 
@@ -203,12 +204,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
-async fn lost_folder_does_not_take_part_again() {
+async fn replica_with_lost_folder_is_refused() {
     let mut cluster = Cluster::start(3, NodeConfig::default()).await;
     cluster.propose("first").await;
     let leader = cluster.leader().await;
     let lost = cluster.running().into_iter().find(|id| *id != leader).expect("follower");
-    // All replicas know each other's folders once each of them has led or voted.
+    // Each replica records a peer's folder when it first receives a message from that peer.
     for id in cluster.running() {
         cluster.wait_applied(id, cluster.applied(leader).await).await;
     }
@@ -218,7 +219,7 @@
     cluster.init(lost, &voters).await;
     cluster.start_node(lost).await;
     let third = cluster.running().into_iter().find(|id| *id != leader && *id != lost);
-    // Without the third replica the leader depends on the lost one's answers, which are dropped.
+    // Without the third replica, the leader needs answers of the lost one, which it must drop.
     cluster.kill(third.expect("third replica")).await;
     let old = cluster.group(leader);
     while old.read_barrier().await.is_ok() {
--- a/crates/agreement/tests/driver_faults.rs
+++ b/crates/agreement/tests/driver_faults.rs
@@ -1,4 +1,5 @@
-//! Guards against wrong answers of a node whose store, queue or requests are at fault.
+//! Guards against wrong answers of a node when its store fails, its limits are exceeded, its leader
+//! changes or its state machine fails.
 
 mod common;
 
@@ -37,7 +38,7 @@
     node
 }
 
-/// Starts the only replica of a group and waits until it leads.
+/// Starts a group with a single replica and waits until it leads.
 async fn start_single(cfg: &NodeConfig) -> (MemoryDisk, Arc<Node>, GroupHandle) {
     let disk = new_disk(&[ID]).await;
     let node = start(ID, &disk, &Network::default(), cfg).await;
@@ -128,7 +129,7 @@
     assert_eq!(follower.add_learner(ReplicaId(9)).await, Err(not_leader));
 }
 
-/// ThreeReplicas connected replicas with a leader.
+/// Three connected replicas with a leader.
 struct ThreeReplicas {
     network: Network,
     nodes: Vec<Arc<Node>>,
@@ -154,14 +155,14 @@
         node.group(GROUP).expect("group")
     }
 
-    /// Waits until the replica `at` knows a leader other than `old`.
+    /// Waits until the replica `at` knows a leader other than `old`, and returns it.
     async fn wait_for_leader(&self, at: ReplicaId, old: Option<ReplicaId>) -> ReplicaId {
         let mut view = self.group(at).watch();
         let view = view.wait_for(|v| v.leader.is_some() && v.leader != old).await;
         view.expect("running").leader.expect("leader")
     }
 
-    /// Isolates the leader; returns the next one.
+    /// Isolates the leader and waits for its successor.
     async fn isolate_leader(&self) -> ReplicaId {
         self.network.isolate(self.leader, true);
         let other = self.nodes.iter().map(|n| n.replica()).find(|id| *id != self.leader);
@@ -170,7 +171,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn isolated_leader_gives_up_and_settles_its_proposals() {
+async fn isolated_leader_steps_down_and_answers_its_proposals() {
     let three = ThreeReplicas::start().await;
     let old = three.group(three.leader);
     three.network.isolate(three.leader, true);
@@ -186,7 +187,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn overwritten_proposal_is_known_not_to_run() {
+async fn overwritten_proposal_is_reported_as_not_executed() {
     let three = ThreeReplicas::start().await;
     let old = three.group(three.leader);
     three.network.isolate(three.leader, true);
@@ -197,11 +198,12 @@
     assert_eq!(result, Err(ProposeError::NotLeader { leader: Some(new) }));
 }
 
+/// State machine that panics on every command and cannot restore a snapshot.
 struct FaultyStateMachine;
 
 impl StateMachine for FaultyStateMachine {
     fn apply(&mut self, _: u64, _: &[u8]) -> Bytes {
-        panic!("the state machine is at fault")
+        panic!("simulated failure of the state machine")
     }
 
     fn snapshot(&self) -> Bytes {
@@ -223,7 +225,7 @@
     group.watch().wait_for(|v| v.lease).await.expect("leads");
     assert_eq!(group.query(|_: &Journal| ()).await, Err(ReadError::WrongType));
     assert_eq!(group.propose(Bytes::new()).await, Err(ProposeError::Unknown));
-    // The process must learn of it: a log that is dead must not look alive.
+    // The embedding process must be notified, so that a dead log does not go unnoticed.
     assert!(matches!(node.failed().await, NodeError::Ended));
 }
 
@@ -245,7 +247,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn used_store_gets_no_first_voters() {
+async fn init_refuses_store_in_use() {
     let disk = new_disk(&[ID]).await;
     let result = init_voters(&store(&disk), &[GroupId(7)], &[ID]).await;
     assert!(matches!(result, Err(InitError::NotEmpty)));
@@ -262,7 +264,8 @@
     let store = store(&disk);
     let loaded = poplarspan_agreement::Storage::load(&store).await.expect("loaded");
     let size = loaded[0].1.snapshot.as_ref().expect("snapshot").data.len();
-    // The state grows as fast as the log, so that each snapshot is twice as large as the last one.
+    // The state grows as fast as the log, so each snapshot is about twice as large as the previous
+    // one.
     assert!(size >= 1000 * 101 / 4, "{size}");
     assert!(loaded[0].1.entries.len() < 750, "{}", loaded[0].1.entries.len());
 }
--- a/crates/agreement/tests/file_limit.rs
+++ b/crates/agreement/tests/file_limit.rs
@@ -1,4 +1,5 @@
-//! A store on files that cannot grow for a while.
+//! Guards against a store that fails or acknowledges a write while its files cannot grow. The file
+//! size limit of the process simulates a full disk.
 
 mod common;
 
@@ -16,10 +17,10 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 const FIRST_ENTRIES: u64 = 4;
 
-/// The only test of its process, since the limit holds for all of it.
+/// The only test in this file, because the file size limit applies to the whole process.
 #[test]
 fn waits_for_room() {
-    // The signal of a write beyond the limit would end the process.
+    // A write beyond the limit raises SIGXFSZ, which would kill the process.
     let mut signals = SigSet::empty();
     signals.add(Signal::SIGXFSZ);
     signals.thread_block().expect("the signal can be blocked");
@@ -31,7 +32,7 @@
     }
     let length = fs::metadata(&segments(folder.path())[0]).expect("a segment").len();
     let (soft, hard) = getrlimit(Resource::RLIMIT_FSIZE).expect("a limit");
-    // The first bytes of the next frame find room, the others do not.
+    // Leaves space for only the first 20 bytes of the next frame.
     setrlimit(Resource::RLIMIT_FSIZE, length + 20, hard).expect("lowered");
 
     let (tx, rx) = mpsc::channel();
@@ -42,11 +43,11 @@
         });
         let early = rx.recv_timeout(NO_ANSWER_WAIT);
         setrlimit(Resource::RLIMIT_FSIZE, soft, hard).expect("raised");
-        assert!(early.is_err(), "answered without room: {early:?}");
+        assert!(early.is_err(), "answered without space: {early:?}");
         rx.recv_timeout(ANSWER_TIMEOUT).expect("an answer").expect("persisted");
     });
     persist(&store, 1, entries(FIRST_ENTRIES + 2, 1, &[9; 100])).expect("persisted");
     block_on(store.close()).expect("closed");
-    let stored = contents(folder.path()).expect("sound");
+    let stored = contents(folder.path()).expect("readable store");
     assert_eq!(stored[0].1.entries.len() as u64, FIRST_ENTRIES + 2);
 }
--- a/crates/agreement/tests/folder_identity.rs
+++ b/crates/agreement/tests/folder_identity.rs
@@ -1,4 +1,5 @@
-//! Guards against a replica that forgot its votes and takes part under its former number.
+//! Guards against a replica that lost its disk, and thus its votes, and votes again under the same
+//! number.
 
 mod common;
 
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn another_folder_is_refused_for_good() {
+fn another_folder_is_always_refused() {
     let path = tempfile::tempdir().expect("folder");
     let dir = DataDir::init(path.path(), ReplicaId(1)).expect("initialised");
     let peers = dir.peers().expect("peers");
@@ -85,7 +86,7 @@
     drop((peers, dir));
     let peers = DataDir::open(path.path()).expect("opened").peers().expect("peers");
     refused(&peers);
-    peers.check(ReplicaId(3), FolderId(30)).expect("the recorded folder stays accepted");
+    peers.check(ReplicaId(3), FolderId(30)).expect("the recorded folder is still accepted");
     assert_eq!(peers.get(ReplicaId(2)), Some(FolderId(20)));
     assert_eq!(peers.get(ReplicaId(4)), None);
 }
--- a/crates/agreement/tests/full_disk.rs
+++ b/crates/agreement/tests/full_disk.rs
@@ -1,5 +1,6 @@
-//! Replicas whose disks take no more bytes, or do not respond: nothing unsynced is acknowledged,
-//! the lead moves, and they go on by themselves.
+//! Guards against unsynced acknowledgements, stuck leaders and replicas that do not recover when a
+//! disk is full or does not respond. Nothing unsynced may be acknowledged, leadership must move to
+//! another replica, and the replica must resume once its disk works again.
 
 mod common;
 
@@ -16,7 +17,8 @@
 
 /// Much longer than any timeout of a replica.
 const LONG_WAIT: Duration = Duration::from_secs(20);
-/// Time in which another replica leads: the disk is found silent, and the lead is handed over.
+/// Time within which another replica must lead: detection of the stalled disk and the transfer of
+/// leadership.
 const MAX_TRANSFER_TIME: Duration = Duration::from_secs(1);
 
 struct Replica {
@@ -70,7 +72,7 @@
     replicas
 }
 
-/// Waits for a leader other than `old`.
+/// Waits for a leader other than `old` and returns its index.
 async fn leader(replicas: &[Replica], old: Option<usize>) -> usize {
     loop {
         let leading = replicas.iter().position(Replica::leads);
@@ -107,7 +109,7 @@
     assert_eq!(again[0].journal().await, ["before", "meanwhile", "after"].map(bytes));
 }
 
-/// What a full disk took of a frame that was never acknowledged does not damage the log.
+/// Guards against a log corrupted by the part of an unacknowledged frame that a full disk accepted.
 #[tokio::test(start_paused = true)]
 async fn crash_while_full() {
     let replicas = start_all(1).await;
@@ -122,22 +124,24 @@
     assert_eq!(again[0].journal().await, ["before"].map(bytes));
 }
 
+/// Checks that leadership moves away from a leader while its disk has a fault, and that the replica
+/// is a working voter again afterwards.
 async fn check_leadership_moves(set_fault: impl Fn(&MemoryDisk, bool)) {
     let replicas = start_all(3).await;
     let old = leader(&replicas, None).await;
     replicas[old].group.propose(bytes("before")).await.expect("committed");
     set_fault(&replicas[old].disk, true);
-    // Finds the disk silent.
+    // The stalled disk is detected only with a write in progress.
     let first = replicas[old].group.propose(bytes("first"));
     let new =
         timeout(MAX_TRANSFER_TIME, async { tokio::join!(first, leader(&replicas, Some(old))).1 });
-    let new = new.await.expect("the lead moves in time");
+    let new = new.await.expect("leadership moves in time");
     replicas[new].group.propose(bytes("second")).await.expect("committed");
     sleep(LONG_WAIT).await;
     assert!(!replicas[old].has_failed());
     set_fault(&replicas[old].disk, false);
     sleep(LONG_WAIT).await;
-    // It is a sound voter again: the group bears the loss of another one.
+    // The group tolerates the loss of another replica only if this one votes again.
     let other = (0..3).find(|at| *at != old && *at != new).expect("a third replica");
     replicas[other].node.abort().await;
     let now = leader(&replicas, None).await;
--- a/crates/agreement/tests/harness/disk.rs
+++ b/crates/agreement/tests/harness/disk.rs
@@ -1,4 +1,5 @@
-//! A disk that keeps what was synced and any prefix of what was not.
+//! A simulated disk that, after a crash, holds all synced data and any prefix of the unsynced
+//! write.
 
 use poplarspan_agreement::{
     Entry, HardState, InitialState, LogPosition, Membership, PersistRequest, ReplicaId, Snapshot,
@@ -21,12 +22,12 @@
         }
     }
 
-    /// Number of parts that are written one after the other.
+    /// Returns the number of parts of a request, which are written one after the other.
     pub fn parts(p: &PersistRequest) -> usize {
         usize::from(p.hard_state.is_some()) + usize::from(p.snapshot.is_some()) + p.entries.len()
     }
 
-    /// Writes the first `parts` parts.
+    /// Writes the first `parts` parts of a request.
     pub fn write(&mut self, p: &PersistRequest, mut parts: usize) {
         let mut next = || {
             parts = parts.wrapping_sub(1);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Entries after the snapshot stay only if the log has the entry at the snapshot's position.
+    /// Writes a snapshot. Entries after it are kept only if the log has the entry at its position.
     fn write_snapshot(&mut self, s: &Snapshot) {
         if self.entries.iter().any(|e| e.position == s.last) {
             self.entries.retain(|e| e.position.index > s.last.index);
@@ -72,7 +73,7 @@
         self.entries.last().map_or(self.start(), |e| e.position)
     }
 
-    /// Term of the entry before `index`, if it is known.
+    /// Returns the term of the entry before `index`, if the disk holds it.
     pub fn term_before(&self, index: u64) -> Option<u64> {
         let before = |p: &LogPosition| p.index + 1 == index;
         let start = self.start();
@@ -80,7 +81,7 @@
         positions.find(before).or(Some(start).filter(before)).map(|p| p.term)
     }
 
-    pub fn restored(&self) -> InitialState {
+    pub fn initial_state(&self) -> InitialState {
         let membership = match &self.snapshot {
             Some(s) => s.membership.clone(),
             None => self.first_membership.clone(),
--- a/crates/agreement/tests/harness/faults.rs
+++ b/crates/agreement/tests/harness/faults.rs
@@ -1,4 +1,4 @@
-//! Random steps.
+//! Random interleavings of events and faults.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use super::{Cluster, MAX_REPLICAS, ms};
 
-/// Kinds of random steps.
+/// Random actions on a cluster.
 #[derive(Clone, Copy, Debug)]
 enum Action {
-    /// Delivers one message, an older one more likely.
+    /// Delivers one message; older ones are more likely.
     Deliver,
-    /// Delivers what is on its way and completes all writes.
+    /// Completes all writes and delivers all messages in flight.
     DeliverAll,
     AdvanceTime,
     Sync,
@@ -30,7 +30,7 @@
     ChangeMembers,
     Transfer,
     Compact,
-    /// Cuts a leader off until another one is elected.
+    /// Isolates a leader until another one is elected.
     Depose,
 }
 
@@ -55,21 +55,21 @@
     Depose,
 ];
 
-/// Weights of the actions, in their order.
+/// Weights of the actions, in the order of `ACTIONS`.
 pub type Mix = [u32; ACTIONS.len()];
 
-/// Everything at once.
+/// All faults at moderate rates.
 pub const MIXED: Mix = [400, 40, 140, 120, 80, 50, 16, 40, 14, 10, 6, 6, 16, 6, 24, 1];
-/// Crashes while writes are not synced.
+/// Crashes during unsynced writes.
 pub const CRASHES: Mix = [400, 20, 240, 60, 40, 0, 60, 140, 30, 20, 0, 20, 0, 10, 8, 1];
-/// Leaders that are cut off before their first entries reach a quorum.
+/// Leaders that are isolated before their first entries reach a quorum.
 pub const ELECTIONS: Mix = [200, 100, 100, 120, 40, 0, 20, 100, 20, 20, 0, 0, 0, 0, 0, 20];
-/// Leaders that are cut off while reads arrive.
+/// Leaders that are isolated while reads arrive.
 pub const READS: Mix = [400, 40, 140, 160, 80, 120, 4, 20, 30, 12, 8, 0, 0, 12, 0, 4];
-/// Changes of voters while replicas are cut off.
+/// Membership changes while replicas are isolated.
 pub const CHANGES: Mix = [400, 40, 140, 120, 60, 20, 8, 40, 24, 12, 0, 0, 60, 8, 24, 1];
 
-/// Draws a configuration with small limits, so that short runs reach them.
+/// Derives a configuration with small limits from a seed, so that short runs reach the limits.
 fn small_limits(seed: u64) -> impl Fn(&mut CoreConfig) {
     move |cfg| {
         cfg.max_append_bytes = [1, 64, 4096][(seed % 3) as usize];
@@ -83,8 +83,8 @@
     }
 }
 
-/// Runs one random interleaving. The first steps elect a leader without faults, so that the rest
-/// is spent on a working group.
+/// Runs one random interleaving. A leader is first elected without faults, so that the random steps
+/// act on a working group.
 pub fn run(seed: u64, mix: Mix, steps: usize) {
     let voters = [3, 3, 5, 2, 4, 5, 3, 1][(seed % 8) as usize];
     let mut c = Cluster::new(seed, voters, small_limits(seed / 8));
@@ -106,7 +106,10 @@
     if seed.is_multiple_of(8) {
         c.heal();
     }
-    assert!(c.statuses().iter().all(|s| s.violations == 0), "invariant violated inside the core");
+    assert!(
+        c.statuses().iter().all(|s| s.violations == 0),
+        "the core reported a violated invariant"
+    );
 }
 
 fn apply_action(c: &mut Cluster, action: Action) {
@@ -122,7 +125,7 @@
             c.deliver_all();
             c.deliver_all();
         }
-        AdvanceTime => pass_time(c),
+        AdvanceTime => advance_time(c),
         Sync => {
             let waiting: Vec<_> =
                 (0..MAX_REPLICAS).filter(|&i| c.replicas[i].pending.is_some()).collect();
@@ -159,7 +162,8 @@
     }
 }
 
-/// Kills a replica, half of the time one with an unsynced write, which often restarts at once.
+/// Kills a replica. With probability 1/2 it is one with an unsynced write, which then restarts
+/// immediately with probability 1/2.
 fn crash(c: &mut Cluster, i: usize) {
     let unsynced: Vec<_> = (0..MAX_REPLICAS).filter(|&i| c.replicas[i].pending.is_some()).collect();
     match unsynced.choose(&mut c.rng) {
@@ -173,8 +177,8 @@
     }
 }
 
-/// Advances the time, mostly by a little, and ticks most replicas.
-fn pass_time(c: &mut Cluster) {
+/// Advances the time, usually by up to 30 ms, and ticks most replicas.
+fn advance_time(c: &mut Cluster) {
     let most = if c.rng.random_ratio(1, 4) { 300 } else { 30 };
     c.now += Duration::from_millis(c.rng.random_range(1..=most));
     for i in 0..MAX_REPLICAS {
@@ -184,12 +188,12 @@
     }
 }
 
-/// Picks one of the replicas that believe to lead; an old one is as likely as the new one.
+/// Picks a replica that considers itself leader; a deposed one is as likely as the current one.
 fn pick_leader(c: &mut Cluster) -> Option<usize> {
     c.leaders().choose(&mut c.rng).copied()
 }
 
-/// Cuts a replica off, often the leader, or splits the group; in one or both directions.
+/// Blocks the links of one or two replicas, often of the leader, in one or both directions.
 fn cut_off(c: &mut Cluster) {
     let one = match pick_leader(c) {
         Some(leader) if c.rng.random_ratio(1, 2) => leader,
@@ -215,8 +219,9 @@
     }
 }
 
-/// Cuts a leader off until the others elect a new one. Half of the time the old one is also slow:
-/// it is not ticked, and what was sent to it arrives only then, with reads in between.
+/// Isolates a leader until the others elect a new one. With probability 1/2 the old leader is also
+/// slow: it is not ticked, and messages to it are delivered only after the election, with reads in
+/// between.
 fn depose(c: &mut Cluster) {
     let Some(old) = pick_leader(c) else { return };
     let id = c.replicas[old].id;
@@ -246,7 +251,7 @@
     }
 }
 
-/// Settles, but for the messages to one replica.
+/// Completes all writes and delivers all messages except those to one replica.
 fn deliver_all_except(c: &mut Cluster, id: Option<ReplicaId>) {
     let (late, net) = std::mem::take(&mut c.net).into_iter().partition(|m| Some(m.1) == id);
     c.net = net;
@@ -254,7 +259,7 @@
     c.net.splice(0..0, Vec::into_iter(late));
 }
 
-/// Asks a leader for up to three changes at once.
+/// Requests up to three membership changes from a leader at once.
 fn change_members(c: &mut Cluster) {
     let Some(leader) = pick_leader(c) else { return };
     for _ in 0..c.rng.random_range(1..=3) {
--- a/crates/agreement/tests/harness/mod.rs
+++ b/crates/agreement/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! Deterministic simulation of one group: a lossy network, disks that lose unsynced writes, clocks
-//! with their own offsets, and the invariants that must hold after each step.
+//! Deterministic simulation of a group: a lossy network, disks that lose unsynced writes, clocks
+//! with different offsets and rates, and checks of the invariants after each step.
 
 mod disk;
 pub mod faults;
@@ -20,10 +20,10 @@
 use oracle::Oracle;
 
 pub const MAX_REPLICAS: usize = 5;
-/// Messages on their way; beyond that the oldest is lost.
+/// Messages in flight beyond which the oldest is dropped.
 const MAX_MESSAGES: usize = 80;
-/// Simulated time within which a healed group must accept a proposal and bring all members up to
-/// date; some ten times the longest election timeout.
+/// Simulated time within which a group without further faults must commit a proposal and bring all
+/// members up to date: ten times the longest election timeout.
 const MAX_RECOVERY: Duration = Duration::from_secs(6);
 
 pub fn ms(millis: u64) -> Duration {
@@ -37,18 +37,21 @@
     pub core: Option<Core>,
     pub cfg: CoreConfig,
     pub disk: Disk,
-    /// Write that is not yet synced.
+    /// Write in progress that is not yet synced.
     pub pending: Option<PersistRequest>,
     pub applied: u64,
+    /// Hash of the applied entries.
     digest: u64,
+    /// Offset of the local clock from the simulated time.
     clock_offset: Duration,
-    /// Speed of the clock in thousandths.
+    /// Rate of the local clock relative to the simulated time, in thousandths.
     clock_rate_permille: u32,
     pub frozen_until: Duration,
+    /// Number of starts of the process.
     incarnation: u64,
-    /// Proposals in this replica's log, by index, term and request_id.
+    /// Index, term and request id of undecided proposals in this replica's log.
     pending_proposals: Vec<(u64, u64, u64)>,
-    /// Reads under way, with the index that they have to cover.
+    /// Request ids of pending reads, with the lowest index at which they may be answered.
     reads: Vec<(u64, u64)>,
     snapshot_wanted: bool,
 }
@@ -69,7 +72,7 @@
         let (digest, applied) = snapshot.data.split_at(8);
         self.digest = u64::from_be_bytes(digest.try_into().expect("digest"));
         self.applied = u64::from_be_bytes(applied.try_into().expect("index"));
-        assert_eq!(self.applied, snapshot.last.index, "snapshot data belongs to its position");
+        assert_eq!(self.applied, snapshot.last.index, "snapshot data does not match its position");
     }
 }
 
@@ -78,16 +81,18 @@
     pub rng: SmallRng,
     pub now: Duration,
     pub replicas: Vec<SimReplica>,
-    /// Messages on their way: sender, receiver, message.
+    /// Messages in flight: sender, receiver, message.
     pub net: Vec<(ReplicaId, ReplicaId, Message)>,
-    /// Pairs of sender and receiver between which nothing is sent.
+    /// Blocked links, as pairs of sender and receiver.
     pub cut: BTreeSet<(ReplicaId, ReplicaId)>,
-    /// Messages lost and duplicated, in thousandths.
+    /// Probability that a message is lost, in thousandths.
     pub loss_permille: u32,
+    /// Probability that a message is duplicated, in thousandths.
     pub duplicate_permille: u32,
-    /// Appends lost in addition, so that logs differ although leaders are elected.
+    /// Loss of appends if higher than `loss_permille`, so that logs diverge although leaders are
+    /// elected.
     pub append_loss_permille: u32,
-    /// Whether clocks may jump on their own, which leases do not bear.
+    /// Whether clocks may jump. Leases are unsafe then, so the configuration has to disable them.
     pub clock_jumps: bool,
     pub oracle: Oracle,
     last_request_id: u64,
@@ -102,7 +107,7 @@
 }
 
 impl Cluster {
-    /// Creates a group with the given number of voters; the other replicas are not members.
+    /// Creates `MAX_REPLICAS` replicas, the first `voters` of which are the voters of a group.
     pub fn new(seed: u64, voters: usize, adjust: impl Fn(&mut CoreConfig)) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let ids: Vec<_> = (1..=MAX_REPLICAS as u64).map(ReplicaId).collect();
@@ -145,7 +150,7 @@
         cluster
     }
 
-    /// Starts the process of a replica that is down, from what its disk holds.
+    /// Starts the process of a replica that is down, with the state on its disk.
     pub fn start(&mut self, i: usize) {
         let sim = &mut self.replicas[i];
         if sim.core.is_some() {
@@ -157,11 +162,11 @@
         if let Some(snapshot) = sim.disk.snapshot.clone() {
             sim.restore(&snapshot);
         }
-        sim.core = Some(Core::new(sim.cfg.clone(), sim.disk.restored()));
+        sim.core = Some(Core::new(sim.cfg.clone(), sim.disk.initial_state()));
         self.step(i, Input::Tick);
     }
 
-    /// Kills the process of a replica. Of the write that is not synced, a random prefix survives.
+    /// Kills the process of a replica. A random prefix of its unsynced write survives.
     pub fn crash(&mut self, i: usize) {
         let sim = &mut self.replicas[i];
         if let Some(p) = sim.pending.take() {
@@ -181,7 +186,7 @@
         self.replicas[i].core.is_some() && self.replicas[i].frozen_until <= self.now
     }
 
-    /// Steps a replica, unless it is down or frozen, and handles what it asks for.
+    /// Steps a replica and handles the output, unless the replica is down or frozen.
     pub fn step(&mut self, i: usize, input: Input) {
         let now = self.clock(i);
         if !self.runs(i) {
@@ -199,7 +204,10 @@
         }
         let sim = &mut self.replicas[i];
         if let Some(p) = out.persist {
-            assert!(sim.pending.is_none(), "one write is in flight at a time");
+            assert!(
+                sim.pending.is_none(),
+                "a second write was requested before the first was synced"
+            );
             sim.pending = Some(p);
         }
         if let Some(snapshot) = &out.install {
@@ -207,7 +215,7 @@
             self.oracle.installed(sim.applied, sim.digest);
         }
         for e in out.apply {
-            assert_eq!(e.position.index, sim.applied + 1, "entries are applied in order");
+            assert_eq!(e.position.index, sim.applied + 1, "entries were applied out of order");
             sim.applied += 1;
             sim.digest = self.oracle.applied(&e, sim.digest);
             let position = (e.position.index, e.position.term);
@@ -250,7 +258,10 @@
             let k = reads.iter().position(|r| r.0 == request_id).expect("read is under way");
             let (_, floor) = reads.swap_remove(k);
             if let ReadResult::Ready { index } = result {
-                assert!(index >= floor, "read at {index} misses what was acknowledged at {floor}");
+                assert!(
+                    index >= floor,
+                    "stale read at index {index}; entries up to {floor} were acknowledged before"
+                );
                 self.oracle.read_floor = self.oracle.read_floor.max(index);
             }
         }
@@ -279,7 +290,7 @@
         self.step(to.0 as usize - 1, Input::Message { from, message });
     }
 
-    /// Completes the write of a replica that is not yet synced.
+    /// Completes the unsynced write of a replica.
     pub fn sync(&mut self, i: usize) {
         if !self.runs(i) {
             return;
@@ -321,7 +332,7 @@
         (0..MAX_REPLICAS).filter(|&i| self.replicas[i].is_leader()).collect()
     }
 
-    /// Lets time pass without faults: all messages arrive and all writes are synced.
+    /// Advances the time without faults: delivers all messages and completes all writes.
     pub fn run_quietly(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -338,7 +349,7 @@
         }
     }
 
-    /// Completes all writes and delivers the messages that are on their way.
+    /// Completes all writes and delivers the messages in flight.
     pub fn deliver_all(&mut self) {
         (0..MAX_REPLICAS).for_each(|i| self.sync(i));
         for (from, to, message) in std::mem::take(&mut self.net) {
@@ -346,7 +357,7 @@
         }
     }
 
-    /// Ends all faults and checks that the group recovers.
+    /// Ends all faults and checks that the group recovers within `MAX_RECOVERY`.
     pub fn heal(&mut self) {
         self.cut.clear();
         (self.loss_permille, self.duplicate_permille, self.append_loss_permille) = (0, 0, 0);
@@ -366,15 +377,15 @@
                 }
             }
         }
-        panic!("the group does not recover: {:#?}", self.statuses());
+        panic!("the group did not recover: {:#?}", self.statuses());
     }
 
-    /// Checks that nothing deposes a leader without faults, also no replica that was removed.
+    /// Checks that a leader stays in office without faults; removed replicas must not disturb it.
     fn check_stable(&mut self, leader: usize) {
         let role = |c: &Self| c.replicas[leader].core.as_ref().map(|core| core.status().role);
         let before = role(self);
         self.run_quietly(ms(1000));
-        assert_eq!(role(self), before, "a leader is deposed without a fault");
+        assert_eq!(role(self), before, "a leader was deposed without a fault");
     }
 
     fn all_caught_up(&self, leader: usize) -> bool {
--- a/crates/agreement/tests/harness/oracle.rs
+++ b/crates/agreement/tests/harness/oracle.rs
@@ -1,4 +1,4 @@
-//! What has happened in the group as a whole, and the invariants over it.
+//! The global history of a group and the invariants over it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,23 +8,25 @@
 
 #[derive(Default)]
 pub struct Oracle {
-    /// Leader of each term and the run of its process.
+    /// Leader of each term, with the incarnation of its process.
     leaders: BTreeMap<u64, (ReplicaId, u64)>,
-    /// Applied entries by index, with the digest after each.
+    /// Applied entries by index, each with the digest of the state after it.
     history: Vec<(Entry, u64)>,
-    /// Payload and term of the predecessor of each entry that was synced, by index and term.
+    /// Payload and predecessor's term of each synced entry, by index and term.
     synced: BTreeMap<(u64, u64), (Payload, u64)>,
-    /// Request ids of commands that were reported as not applied.
+    /// Request ids of commands that were reported as never applied.
     not_applied: BTreeSet<u64>,
-    /// Request ids of commands in the history.
+    /// Request ids of the commands in the history.
     applied_requests: BTreeSet<u64>,
+    /// Highest index whose result a proposer received.
     acked: Option<u64>,
-    /// Index that reads issued from now on have to cover.
+    /// Lowest index at which new reads may be answered.
     pub read_floor: u64,
 }
 
 impl Oracle {
-    /// One leader a term; leader completeness: a new leader has all applied entries.
+    /// Checks election safety (one leader per term) and leader completeness (a new leader has all
+    /// applied entries).
     pub fn elected(&mut self, core: &Core, term: u64, id: ReplicaId, incarnation: u64) {
         let leader = *self.leaders.entry(term).or_insert((id, incarnation));
         assert_eq!(leader, (id, incarnation), "two leaders in term {term}");
@@ -32,25 +34,29 @@
         assert!(last > self.len(), "leader of term {term} lacks committed entries");
         for e in core.entries_from(core.status().snapshot.index + 1) {
             if let Some((applied, _)) = self.history.get(e.position.index as usize - 1) {
-                assert_eq!(&e, applied, "leader of term {term} differs from a committed entry");
+                assert_eq!(
+                    &e, applied,
+                    "log of the leader of term {term} differs from a committed entry"
+                );
             }
         }
     }
 
-    /// State machine safety: the same entry at each index. Returns the digest after the entry.
+    /// Checks state machine safety: all replicas apply the same entry at an index. Returns the
+    /// digest after the entry.
     pub fn applied(&mut self, e: &Entry, digest: u64) -> u64 {
         let i = e.position.index as usize - 1;
         if let Some((first, after)) = self.history.get(i) {
-            assert_eq!(e, first, "two entries were applied at one index");
+            assert_eq!(e, first, "different entries were applied at one index");
             return *after;
         }
-        assert_eq!(self.history.len(), i, "history has no gap");
+        assert_eq!(self.history.len(), i, "the history has a gap");
         let mut value = e.position.term;
         if let Payload::Command(data) = &e.payload {
-            let request_id = u64::from_be_bytes(data[..].try_into().expect("request_id"));
+            let request_id = u64::from_be_bytes(data[..].try_into().expect("request id"));
             assert!(
                 !self.not_applied.contains(&request_id),
-                "command {request_id} was reported as lost"
+                "command {request_id} was applied although reported as never applied"
             );
             assert!(
                 self.applied_requests.insert(request_id),
@@ -69,19 +75,22 @@
     }
 
     pub fn not_applied(&mut self, request_id: u64) {
-        assert!(!self.applied_requests.contains(&request_id), "command {request_id} was applied");
+        assert!(
+            !self.applied_requests.contains(&request_id),
+            "command {request_id} was reported as never applied although applied"
+        );
         self.not_applied.insert(request_id);
     }
 
     pub fn acknowledged(&mut self, e: &Entry, request_id: u64) {
         if let Payload::Command(data) = &e.payload {
-            assert_eq!(data[..], request_id.to_be_bytes(), "the entry is the proposed one");
+            assert_eq!(data[..], request_id.to_be_bytes(), "the entry is not the proposed one");
         }
         self.acked = self.acked.max(Some(e.position.index));
         self.read_floor = self.read_floor.max(e.position.index);
     }
 
-    /// Log matching: an index and a term identify an entry and its predecessor.
+    /// Checks log matching: index and term identify an entry and its predecessor's term.
     pub fn synced(&mut self, disk: &Disk, p: &PersistRequest) {
         for e in &p.entries {
             let at = (e.position.index, e.position.term);
--- a/crates/agreement/tests/peer_messages.rs
+++ b/crates/agreement/tests/peer_messages.rs
@@ -1,4 +1,5 @@
-//! Guards against messages that change on the wire or that stop their receiver.
+//! Guards against messages that change when encoded and decoded, and against received bytes that
+//! panic or overflow the receiver.
 
 mod common;
 
@@ -61,7 +62,7 @@
     )
 }
 
-fn short() -> impl Strategy<Value = Message> {
+fn small_message() -> impl Strategy<Value = Message> {
     (0..12, any::<u64>(), position(), any::<bool>(), index(), index()).prop_map(
         |(kind, term, last, flag, a, b)| match kind {
             0 => Message::PreVote { term, last },
@@ -85,8 +86,8 @@
     #![proptest_config(common::proptest_config())]
 
     #[test]
-    fn messages_survive_the_wire(
-        group in any::<u32>(), message in prop_oneof![append(), chunk(), short(), short()],
+    fn messages_round_trip(
+        group in any::<u32>(), message in prop_oneof![append(), chunk(), small_message(), small_message()],
     ) {
         let message = PeerMessage { group: GroupId(group), message };
         prop_assert_eq!(PeerMessage::decode(message.encode()), Ok(message));
--- a/crates/agreement/tests/storage_faults.rs
+++ b/crates/agreement/tests/storage_faults.rs
@@ -1,4 +1,4 @@
-//! Guards against lost or invented records after crashes and on faulty disks.
+//! Guards against lost or spurious records after crashes and on faulty disks.
 
 mod common;
 
@@ -12,7 +12,8 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// Writes `bodies` as one batch each; returns the lengths of the only segment after each batch.
+/// Writes each body as its own batch. Returns the length of the only segment and the expected
+/// content after each batch.
 fn write_batches(folder: &std::path::Path, bodies: &[Vec<u8>]) -> (Vec<usize>, Vec<Model>) {
     FileStore::create(folder).expect("created");
     let store = open(folder, 1 << 20).expect("opened");
@@ -33,7 +34,7 @@
     #![proptest_config(common::proptest_config())]
 
     #[test]
-    fn cut_loses_only_the_unsynced_batch(
+    fn truncation_loses_only_the_unsynced_batch(
         bodies in vec(vec(any::<u8>(), 0..100), 2..8), at in any::<prop::sample::Index>(),
         garbage in vec(any::<u8>(), 0..50), zeros in 0..100usize,
     ) {
@@ -48,7 +49,7 @@
         fs::write(path, buf)?;
         for _ in 0..2 {
             prop_assert_eq!(&contents(folder.path())?, &models[models.len() - 2].0);
-            // The cut is durable: the second open finds no torn tail.
+            // The truncation is durable: the second open finds no torn write.
             prop_assert_eq!(fs::read(path)?.len(), synced);
         }
     }
@@ -71,9 +72,9 @@
                 prop_assert_eq!(reported, path.display().to_string());
                 prop_assert!(offset <= at as u64);
             }
-            other => prop_assert!(false, "byte {at} was flipped, result {other:?}"),
+            other => prop_assert!(false, "byte {at} was corrupted, but the result is {other:?}"),
         }
-        prop_assert_eq!(fs::read(path)?, buf, "a corrupt segment is left as it is");
+        prop_assert_eq!(fs::read(path)?, buf, "a corrupt segment was modified");
     }
 
     #[test]
@@ -103,6 +104,7 @@
     }
 }
 
+/// Creates a store with several sealed segments.
 fn sealed_segments(folder: &std::path::Path) {
     FileStore::create(folder).expect("created");
     let store = open(folder, 100).expect("opened");
--- a/crates/agreement/tests/storage_reopen.rs
+++ b/crates/agreement/tests/storage_reopen.rs
@@ -1,4 +1,4 @@
-//! Guards against a store that returns something else after a reopen than what it was given.
+//! Guards against a store that returns other state after a reopen than was written to it.
 
 mod common;
 
@@ -24,12 +24,12 @@
         back: u64,
         data: Vec<Vec<u8>>,
     },
-    /// Snapshot of the own state machine, `back` entries before the end of the log.
+    /// Saves a snapshot of the local state machine, `back` entries before the end of the log.
     Save {
         back: u64,
         data: Vec<u8>,
     },
-    /// Snapshot from a leader near the end of the log, whose entries it may contradict.
+    /// Installs a leader's snapshot near the end of the log, whose entries may conflict with it.
     Install {
         ahead: i64,
         data: Vec<u8>,
@@ -48,7 +48,7 @@
     ]
 }
 
-/// Carries out one operation on the store and on the model.
+/// Executes an operation on the store and on the model.
 fn run(store: &dyn Storage, model: &mut Model, term: u64, id: GroupId, op: &Op) {
     let last = model.last(id);
     let base = model.group(id).snapshot.as_ref().map_or(0, |s| s.last.index);
@@ -119,7 +119,7 @@
         for (term, (group, op)) in (1..).zip(&ops) {
             run(&store, &mut model, term, GroupId(*group), op);
             if matches!(op, Op::Reopen) {
-                // The write whose sync fails may be found after the crash, but only as a whole.
+                // A write whose sync fails may survive the crash, but only as a whole.
                 let mut longer = model.clone();
                 let request = hard_state(term, None);
                 longer.apply(GroupId(*group), &request);
@@ -129,7 +129,7 @@
                 store = MemoryStore::open(&disk, options)?;
                 let loaded = not_empty(block_on(store.load())?);
                 let expected = [not_empty(model.0), not_empty(longer.0)];
-                prop_assert!(expected.contains(&loaded), "{loaded:?} is none of {expected:?}");
+                prop_assert!(expected.contains(&loaded), "{loaded:?} is not one of {expected:?}");
                 model = Model(loaded);
             }
         }
@@ -142,7 +142,7 @@
     FileStore::create(folder.path()).expect("created");
     let store = open(folder.path(), 1000).expect("opened");
     let mut model = Model::default();
-    // Group 0 writes once and is then idle; its entry must not keep all later segments.
+    // Group 0 writes once and is then idle. Its entry must not retain all later segments.
     let op = Op::Append { back: 0, data: vec![vec![1; 100]] };
     run(&store, &mut model, 1, GroupId(0), &op);
     for round in 0..50 {
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn snapshots_are_written_side_by_side() {
+fn snapshots_are_written_concurrently() {
     let folder = tempfile::tempdir().expect("folder");
     FileStore::create(folder.path()).expect("created");
     let store = open(folder.path(), 1000).expect("opened");
@@ -191,7 +191,8 @@
     for group in [1, 2] {
         run(&store, &mut model, 1, GroupId(group), &Op::Append { back: 0, data: vec![vec![1]; 9] });
     }
-    // The large one is unfinished while those of the other group replace each other.
+    // The large snapshot is still being written while snapshots of the other group replace each
+    // other.
     let large = snapshot(9, 1, &vec![7; 5 << 20]);
     let install = |index| {
         let s = snapshot(index, 1, &[1; 50]);
