--- a/crates/agreement/src/driver/group.rs
+++ b/crates/agreement/src/driver/group.rs
@@ -24,7 +24,7 @@
 }
 
 /// A proposal that has been appended to this leader's log and is not yet decided.
-struct Appended {
+struct PendingProposal {
     position: LogPosition,
     request_id: u64,
     responder: Responder,
@@ -54,7 +54,7 @@
     membership: Membership,
     next_request_id: u64,
     /// Undecided proposals, ordered by index.
-    appended: VecDeque<Appended>,
+    proposals: VecDeque<PendingProposal>,
     /// Request id and responder of the proposal that the current step passes to the core.
     proposing: Option<(u64, Responder)>,
     /// Pending reads by request id.
@@ -99,7 +99,7 @@
             applied,
             membership,
             next_request_id: 1,
-            appended: VecDeque::new(),
+            proposals: VecDeque::new(),
             proposing: None,
             reads: Vec::new(),
             transfer: None,
@@ -118,8 +118,8 @@
         self.core.status().role.role == Role::Leader
     }
 
-    pub(crate) fn has_open_proposals(&self) -> bool {
-        !self.appended.is_empty()
+    pub(crate) fn has_pending_proposals(&self) -> bool {
+        !self.proposals.is_empty()
     }
 
     pub(crate) fn has_other_voters(&self) -> bool {
@@ -143,7 +143,7 @@
         let timeout = 2 * self.cfg.election_timeout_max;
         if self.stepped_down_at.is_some_and(|at| now >= at + timeout) {
             self.stepped_down_at = None;
-            for a in self.appended.drain(..) {
+            for a in self.proposals.drain(..) {
                 a.responder.send(Err(ProposeError::Unknown));
             }
         }
@@ -347,26 +347,26 @@
         self.since_snapshot.entries += 1;
         self.applied = entry.position;
         // The core reports a proposal that was overwritten by an entry of another term.
-        if let Some(i) = self.find_appended(|a| a.position == entry.position)
-            && let Some(a) = self.appended.remove(i)
+        if let Some(i) = self.find_proposal(|a| a.position == entry.position)
+            && let Some(a) = self.proposals.remove(i)
         {
             a.responder.send(Ok(result));
         }
     }
 
     /// Returns the index of an undecided proposal. The next ones to be decided are at the front.
-    fn find_appended(&self, f: impl FnMut(&Appended) -> bool) -> Option<usize> {
-        self.appended.iter().position(f)
+    fn find_proposal(&self, f: impl FnMut(&PendingProposal) -> bool) -> Option<usize> {
+        self.proposals.iter().position(f)
     }
 
     fn proposal_result(&mut self, request_id: u64, result: ProposalResult) {
         let responder = match self.proposing.take_if(|(t, _)| *t == request_id) {
             Some((_, responder)) => responder,
             None => {
-                let Some(i) = self.find_appended(|a| a.request_id == request_id) else {
+                let Some(i) = self.find_proposal(|a| a.request_id == request_id) else {
                     return;
                 };
-                let Some(a) = self.appended.remove(i) else {
+                let Some(a) = self.proposals.remove(i) else {
                     return;
                 };
                 a.responder
@@ -374,7 +374,7 @@
         };
         let error = match result {
             ProposalResult::Appended(position) => {
-                self.appended.push_back(Appended { position, request_id, responder });
+                self.proposals.push_back(PendingProposal { position, request_id, responder });
                 return;
             }
             ProposalResult::NotLeader { leader } => ProposeError::NotLeader { leader },
@@ -432,7 +432,7 @@
 
     /// Answers all pending requests when the task ends. Dropping a proposal answers it.
     pub(crate) fn stop(&mut self) {
-        self.appended.clear();
+        self.proposals.clear();
         for (_, query) in self.reads.drain(..) {
             query(Err(ReadError::Stopped));
         }
--- a/crates/agreement/src/driver/task.rs
+++ b/crates/agreement/src/driver/task.rs
@@ -215,7 +215,7 @@
         let Some((deadline, _)) = self.state.stopping else {
             return false;
         };
-        let done = |g: &Group| !(g.leads() && (g.has_open_proposals() || g.has_other_voters()));
+        let done = |g: &Group| !(g.leads() && (g.has_pending_proposals() || g.has_other_voters()));
         Instant::now() >= deadline || self.groups.iter().all(done)
     }
 }
--- a/crates/agreement/src/storage/wal.rs
+++ b/crates/agreement/src/storage/wal.rs
@@ -393,7 +393,7 @@
 pub(crate) struct SnapshotWriter {
     name: String,
     /// Encoded header and metadata, which precede `data` in the file.
-    head: Vec<u8>,
+    header: Vec<u8>,
     data: Bytes,
     /// Number of bytes of `data` that are durable.
     written: usize,
@@ -406,9 +406,9 @@
             last: Some(snapshot.last.into()),
             membership: Some((&snapshot.membership).into()),
         };
-        let head = checksummed::encode_header(&meta, &snapshot.data);
+        let header = checksummed::encode_header(&meta, &snapshot.data);
         let name = snapshot_name(group, snapshot.last);
-        Self { name, head, data: snapshot.data, written: 0, file: None }
+        Self { name, header, data: snapshot.data, written: 0, file: None }
     }
 
     /// Writes the next chunk. Returns whether the snapshot is complete and durable. After an error,
@@ -434,8 +434,8 @@
             Some(file) => file,
             None => {
                 let file = self.file.insert(wal.disk.create(temporary)?);
-                file.append(&self.head)?;
-                bytes += self.head.len();
+                file.append(&self.header)?;
+                bytes += self.header.len();
                 file
             }
         };
--- a/crates/agreement/tests/harness/faults.rs
+++ b/crates/agreement/tests/harness/faults.rs
@@ -89,9 +89,9 @@
     let voters = [3, 3, 5, 2, 4, 5, 3, 1][(seed % 8) as usize];
     let mut c = Cluster::new(seed, voters, small_limits(seed / 8));
     c.clock_jumps = (seed / 8).is_multiple_of(4);
-    c.run_quietly(ms(300));
+    c.run_without_faults(ms(300));
     while c.leaders().is_empty() && c.now < ms(2000) {
-        c.run_quietly(ms(50));
+        c.run_without_faults(ms(50));
     }
     (c.loss_permille, c.duplicate_permille) =
         (c.rng.random_range(0..60), c.rng.random_range(0..60));
@@ -144,7 +144,7 @@
         Crash => crash(c, i),
         Start => c.start(i),
         CutOff => cut_off(c),
-        Heal => c.cut.clear(),
+        Heal => c.blocked_links.clear(),
         Freeze => c.replicas[i].frozen_until = c.now + ms(c.rng.random_range(50..800)),
         JumpClock if c.clock_jumps => {
             c.replicas[i].clock_offset += ms(c.rng.random_range(10..1000))
@@ -210,10 +210,10 @@
         for &j in side.iter().filter(|_| !side.contains(&i)) {
             let (a, b) = (ReplicaId(i as u64 + 1), ReplicaId(j as u64 + 1));
             if inwards {
-                c.cut.insert((a, b));
+                c.blocked_links.insert((a, b));
             }
             if outwards {
-                c.cut.insert((b, a));
+                c.blocked_links.insert((b, a));
             }
         }
     }
@@ -225,7 +225,7 @@
 fn depose(c: &mut Cluster) {
     let Some(old) = pick_leader(c) else { return };
     let id = c.replicas[old].id;
-    c.cut = c.replicas.iter().flat_map(|s| [(s.id, id), (id, s.id)]).collect();
+    c.blocked_links = c.replicas.iter().flat_map(|s| [(s.id, id), (id, s.id)]).collect();
     let slow = c.rng.random_ratio(1, 2);
     for _ in 0..c.rng.random_range(30..100) {
         c.now += ms(10);
@@ -238,7 +238,7 @@
         }
     }
     if c.rng.random_ratio(1, 2) {
-        c.cut.clear();
+        c.blocked_links.clear();
     }
     if let Some(new) = c.leaders().into_iter().find(|&i| slow && i != old) {
         c.propose(new);
--- a/crates/agreement/tests/harness/mod.rs
+++ b/crates/agreement/tests/harness/mod.rs
@@ -84,7 +84,7 @@
     /// Messages in flight: sender, receiver, message.
     pub net: Vec<(ReplicaId, ReplicaId, Message)>,
     /// Blocked links, as pairs of sender and receiver.
-    pub cut: BTreeSet<(ReplicaId, ReplicaId)>,
+    pub blocked_links: BTreeSet<(ReplicaId, ReplicaId)>,
     /// Probability that a message is lost, in thousandths.
     pub loss_permille: u32,
     /// Probability that a message is duplicated, in thousandths.
@@ -138,7 +138,7 @@
             rng,
             now: Duration::ZERO,
             net: Vec::new(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             loss_permille: 0,
             duplicate_permille: 0,
             append_loss_permille: 0,
@@ -272,7 +272,7 @@
             Message::Append { .. } => self.loss_permille.max(self.append_loss_permille),
             _ => self.loss_permille,
         };
-        if self.cut.contains(&(from, to)) || self.rng.random_ratio(loss, 1000) {
+        if self.blocked_links.contains(&(from, to)) || self.rng.random_ratio(loss, 1000) {
             return;
         }
         if self.net.len() > MAX_MESSAGES {
@@ -333,7 +333,7 @@
     }
 
     /// Advances the time without faults: delivers all messages and completes all writes.
-    pub fn run_quietly(&mut self, time: Duration) {
+    pub fn run_without_faults(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += ms(10);
@@ -359,7 +359,7 @@
 
     /// Ends all faults and checks that the group recovers within `MAX_RECOVERY`.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked_links.clear();
         (self.loss_permille, self.duplicate_permille, self.append_loss_permille) = (0, 0, 0);
         for i in 0..MAX_REPLICAS {
             self.replicas[i].frozen_until = Duration::ZERO;
@@ -367,11 +367,11 @@
         }
         let end = self.now + MAX_RECOVERY;
         while self.now < end {
-            self.run_quietly(ms(100));
+            self.run_without_faults(ms(100));
             if let &[leader] = &self.leaders()[..] {
                 self.propose(leader);
                 let acked = self.oracle.acked_index();
-                self.run_quietly(ms(100));
+                self.run_without_faults(ms(100));
                 if self.oracle.acked_index() > acked && self.all_caught_up(leader) {
                     return self.check_stable(leader);
                 }
@@ -384,7 +384,7 @@
     fn check_stable(&mut self, leader: usize) {
         let role = |c: &Self| c.replicas[leader].core.as_ref().map(|core| core.status().role);
         let before = role(self);
-        self.run_quietly(ms(1000));
+        self.run_without_faults(ms(1000));
         assert_eq!(role(self), before, "a leader was deposed without a fault");
     }
 
