--- a/crates/agreement/src/core/durability.rs
+++ b/crates/agreement/src/core/durability.rs
@@ -21,6 +21,7 @@
 pub(super) struct Durability {
     in_flight: Option<InFlight>,
     next_sequence: u64,
+    /// Last synced sequence number.
     synced: u64,
     hard_state_changed: bool,
     /// Sequence number of the request that makes the current hard state durable.
@@ -28,6 +29,7 @@
     snapshot: Option<Snapshot>,
     /// Last index that has been part of a request.
     submitted: u64,
+    /// Last index whose entry is synced.
     stable: u64,
     /// Messages of the current term, each with the sequence number that must be synced before it
     /// may be sent.
--- a/crates/agreement/src/core/progress.rs
+++ b/crates/agreement/src/core/progress.rs
@@ -32,6 +32,7 @@
     pub(super) snapshot: Snapshot,
     /// Offset of the last chunk sent.
     pub(super) offset: u64,
+    /// When that chunk was sent.
     pub(super) sent_at: Duration,
 }
 
@@ -100,6 +101,7 @@
 #[derive(Debug)]
 pub(super) struct PendingRead {
     pub(super) request_id: u64,
+    /// Commit index when the read arrived.
     pub(super) index: u64,
     /// First heartbeat round sent after the read arrived.
     pub(super) round: u64,
@@ -109,7 +111,9 @@
 #[derive(Debug)]
 pub(super) struct LeadershipTransfer {
     pub(super) to: ReplicaId,
+    /// When the transfer is abandoned.
     pub(super) deadline: Duration,
+    /// Whether `TimeoutNow` has been sent.
     pub(super) sent: bool,
 }
 
--- a/crates/agreement/src/driver/group.rs
+++ b/crates/agreement/src/driver/group.rs
@@ -240,8 +240,9 @@
         self.step(now, Input::TransferLeadership { to }, work)
     }
 
-    /// Transfers leadership while this replica's disk is stalled. The target's disk must work: the
-    /// target must have synced entries that this replica has not.
+    /// Transfers leadership while this replica's disk is stalled. The target's disk must work, so
+    /// it must have synced more of the log than this replica, or as much if this replica has synced
+    /// all of it.
     pub(crate) fn transfer_off_stalled_disk(
         &mut self,
         now: Duration,
--- a/crates/agreement/src/storage.rs
+++ b/crates/agreement/src/storage.rs
@@ -161,8 +161,8 @@
 }
 
 impl StoreError {
-    /// Returns whether the error was caused by a full disk or an exceeded quota. A store that is
-    /// already open waits for space and retries.
+    /// Returns whether the error was caused by a full disk, an exceeded quota or a file size
+    /// limit. A store that is already open waits for space and retries.
     pub fn is_disk_full(&self) -> bool {
         matches!(self, Self::Io { source, .. } if disk::is_disk_full(source))
     }
