--- a/crates/policy/src/containment.rs
+++ b/crates/policy/src/containment.rs
@@ -2,28 +2,29 @@
 //!
 //! A request is identified by the BLAKE3 digest of its route and body. When an endpoint crashes,
 //! each request that it was running is recorded with it. A request that is recorded with one
-//! endpoint may run on one more; with two, it is refused. The table is a set of (fingerprint,
-//! endpoint, time), so instances merge theirs by union, in any order and repeatedly.
+//! endpoint may run on one more; a request that is recorded with two is refused. The table is a set
+//! of (fingerprint, endpoint, time), so instances merge their tables by union, in any order and
+//! repeatedly.
 //!
-//! To keep a resent request from a third endpoint, the instance that saw a crash neither runs the
-//! request again nor answers its caller before every live instance has the record
-//! ([`Containment::is_replicated`]): an instance either acknowledges it or has lost its membership
-//! lease, so this ends after one lease duration at the latest. Copies that a caller sent in parallel
-//! before the first crash was known cannot be stopped this way.
+//! A request that is sent again must not reach a third endpoint. So the instance that saw a crash
+//! neither runs the request again nor answers its caller before every live instance has the record
+//! ([`Containment::is_replicated`]). An instance either acknowledges the record or has lost its
+//! membership lease, so this takes one lease duration at most. Copies that a caller sent in
+//! parallel before the first crash was known cannot be stopped this way.
 //!
-//! An endpoint runs at most one recorded request of this instance at a time, so that requests that
-//! merely ran beside the one that crashed an endpoint are not recorded beside it a second time.
+//! An endpoint runs at most one recorded request of this instance at a time, so that a request that
+//! merely ran next to the one that crashes endpoints is not recorded next to it a second time.
 //!
-//! Time is wall-clock time in milliseconds, since records travel between instances.
+//! Time is wall-clock time in milliseconds, since records are exchanged between instances.
 //!
-//! Owner of the state: each instance has a copy; a restarted one receives the others'.
+//! Each instance has a copy of the table; a restarted instance receives the records of the others.
 
 use std::fmt;
 
 use crate::Name;
 use crate::invariants::check_invariant;
 
-/// Endpoints after which a request is refused.
+/// Crashed endpoints after which a request is refused.
 pub const MAX_CRASHED_ENDPOINTS: usize = 2;
 
 /// Digest of the route and body of a request.
@@ -41,7 +42,7 @@
     }
 }
 
-/// The first bytes, for logs.
+/// Formats the first 8 bytes as hexadecimal digits, for logs.
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         const SHOWN_BYTES: usize = 8;
@@ -56,29 +57,31 @@
     pub fingerprint: Fingerprint,
     /// The endpoint.
     pub endpoint: Name,
-    /// When it crashed.
+    /// Time of the crash, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
 /// Whether and where a request may run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Anywhere.
+    /// The request may run on any endpoint.
     Anywhere,
-    /// On one more endpoint, through [`Containment::reserve_endpoint`]; not on these.
+    /// The request may run on one more endpoint, reserved with [`Containment::reserve_endpoint`],
+    /// but not on these.
     Excluding(Vec<Name>),
-    /// Not before other instances know of its last crash; ask again soon.
+    /// The request may not run yet: a crash record is not replicated, or the request is already
+    /// running on a reserved endpoint. Check again later.
     Pending,
-    /// Nowhere; it has crashed two endpoints.
+    /// The request has crashed [`MAX_CRASHED_ENDPOINTS`] endpoints and may not run.
     Refused,
 }
 
-/// Bounds of the table.
+/// Limits of a [`Containment`] table.
 #[derive(Clone, Copy, Debug)]
 pub struct ContainmentConfig {
-    /// Records kept.
+    /// Maximum number of records.
     pub max_records: usize,
-    /// Age after which a record is dropped.
+    /// Age after which a record is dropped, in milliseconds.
     pub retention_ms: u64,
 }
 
@@ -95,12 +98,13 @@
     missing_peers: Vec<Name>,
 }
 
-/// Records of crashes, sorted by fingerprint and endpoint.
+/// Table of crash records.
 #[derive(Debug)]
 pub struct Containment {
     cfg: ContainmentConfig,
+    /// Sorted by fingerprint and endpoint.
     records: Vec<Crash>,
-    /// Own records that some live instances have not acknowledged yet.
+    /// Records of this instance that some live instances have not acknowledged yet.
     pending_records: Vec<PendingRecord>,
     reservations: Vec<(Name, Fingerprint)>,
 }
@@ -111,13 +115,13 @@
         Self { cfg, records: Vec::new(), pending_records: Vec::new(), reservations: Vec::new() }
     }
 
-    /// All records, to be sent to an instance that has none.
+    /// Returns all records, for an instance that has none.
     pub fn records(&self) -> &[Crash] {
         &self.records
     }
 
-    /// Records a crash that this instance saw; `peers` are the other instances in the view. Each of
-    /// them is sent the record until it acknowledges ([`Containment::unacknowledged`]).
+    /// Records a crash that this instance observed. `peers` are the other instances in the view;
+    /// each of them must acknowledge the record ([`Containment::unacknowledged`]).
     pub fn record(&mut self, crash: Crash, peers: &[Name], now_ms: u64) {
         let (fingerprint, endpoint) = (crash.fingerprint, crash.endpoint.clone());
         self.release_endpoint(&endpoint, fingerprint);
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Adds records of another instance. Returns how many were new.
+    /// Merges the records of another instance and returns the number of new ones.
     pub fn merge(&mut self, records: &[Crash], now_ms: u64) -> usize {
         let before = self.records.len();
         for crash in records {
@@ -146,8 +150,8 @@
         new
     }
 
-    /// Notes that `peer` has these records. An acknowledgement names records, since that of an
-    /// earlier record of a request says nothing of a later one.
+    /// Marks `records` as received by `peer`. An acknowledgement names records and not requests,
+    /// since one for an earlier record of a request does not cover a later record.
     pub fn acknowledge(&mut self, peer: &Name, records: &[Crash]) {
         self.pending_records.retain_mut(|r| {
             let named = |c: &Crash| c.fingerprint == r.fingerprint && c.endpoint == r.endpoint;
@@ -158,7 +162,8 @@
         });
     }
 
-    /// Notes the instances of a new view: those that are missing have lost their lease.
+    /// Applies a new membership view. Instances that are missing in it have lost their lease, so
+    /// their acknowledgements are no longer needed.
     pub fn observe_view(&mut self, instances: &[Name]) {
         self.pending_records.retain_mut(|r| {
             r.missing_peers.retain(|name| instances.contains(name));
@@ -166,7 +171,7 @@
         });
     }
 
-    /// Records of this instance that `peer` has not acknowledged yet; to be sent until it does.
+    /// Returns the records of this instance that `peer` has not acknowledged yet.
     pub fn unacknowledged(&self, peer: &Name) -> Vec<Crash> {
         let waits = |c: &Crash| {
             self.pending_records.iter().any(|r| {
@@ -177,13 +182,13 @@
         self.records.iter().filter(|c| waits(c)).cloned().collect()
     }
 
-    /// Whether all live instances have this instance's records of `fingerprint`. Only then may its
-    /// caller be answered or the request run again.
+    /// Returns whether all live instances have this instance's records of `fingerprint`. Only then
+    /// may the request be answered or run again.
     pub fn is_replicated(&self, fingerprint: Fingerprint) -> bool {
         self.pending_records.iter().all(|r| r.fingerprint != fingerprint)
     }
 
-    /// Whether and where a request may run.
+    /// Returns whether and where a request may run.
     pub fn admission(&self, fingerprint: Fingerprint, now_ms: u64) -> Admission {
         let is_current = |c: &&Crash| c.at_ms.saturating_add(self.cfg.retention_ms) > now_ms;
         let endpoints: Vec<Name> = self
@@ -194,7 +199,8 @@
             .collect();
         match endpoints.len() {
             0 => Admission::Anywhere,
-            // A refusal is an answer too: the caller may resend to an instance without the record.
+            // A refusal is an answer too: the caller may send the request again to an instance that
+            // does not have the record.
             _ if !self.is_replicated(fingerprint) => Admission::Pending,
             n if n >= MAX_CRASHED_ENDPOINTS => Admission::Refused,
             _ if self.reservations.iter().any(|(_, running)| *running == fingerprint) => {
@@ -204,7 +210,8 @@
         }
     }
 
-    /// Reserves `endpoint` for a request with [`Admission::Excluding`]; false when it is taken.
+    /// Reserves `endpoint` for a request with [`Admission::Excluding`]. Returns false if the
+    /// endpoint is reserved for another request or the request has a reservation.
     pub fn reserve_endpoint(&mut self, endpoint: &Name, fingerprint: Fingerprint) -> bool {
         let taken = self.reservations.iter().any(|(e, f)| e == endpoint || *f == fingerprint);
         if !taken {
@@ -213,7 +220,7 @@
         !taken
     }
 
-    /// Ends the reservation.
+    /// Ends a reservation.
     pub fn release_endpoint(&mut self, endpoint: &str, fingerprint: Fingerprint) {
         self.reservations.retain(|(e, f)| **e != *endpoint || *f != fingerprint);
     }
@@ -233,8 +240,8 @@
         }
     }
 
-    /// Drops old records, and when too many are left, the oldest of requests with one endpoint
-    /// before those of refused requests.
+    /// Drops expired records. If too many are left, drops the oldest ones, those of requests with
+    /// one endpoint before those of refused requests.
     fn evict(&mut self, now_ms: u64) {
         let retention_ms = self.cfg.retention_ms;
         self.records.retain(|c| c.at_ms.saturating_add(retention_ms) > now_ms);
@@ -251,7 +258,7 @@
         }
         check_invariant(
             self.records.len() <= self.cfg.max_records,
-            "containment: the table is within its bound",
+            "containment: the table has at most max_records records",
         );
     }
 }
--- a/crates/policy/src/departures.rs
+++ b/crates/policy/src/departures.rs
@@ -1,20 +1,21 @@
-//! Endpoints that have said in an answer that they are about to stop.
+//! Endpoints that have announced in a response that they are about to stop.
 //!
-//! It answers releases and endpoints that are taken away while control cannot be reached: the answer
-//! is then the only word of it. What an endpoint has said holds until its next start is known. Each
-//! front remembers it for itself; after a restart it relies on the list of endpoints again.
+//! During a release, and when endpoints are removed while the control plane is unreachable, that
+//! announcement is the only information that an instance has. It is valid until the next start of
+//! the endpoint is known. Each instance keeps its own set; after a restart it relies on the list of
+//! endpoints again.
 
 use crate::Name;
 
-/// Departures that are remembered; beyond, the first one noted is forgotten.
+/// Maximum number of departures; the oldest one is dropped first.
 const MAX_DEPARTURES: usize = 4_096;
 
-/// One start of an endpoint, as a list names it.
+/// One run of an endpoint's process, as the list of endpoints identifies it.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointRun<'a> {
     /// Name of the endpoint.
     pub name: &'a str,
-    /// Time of the start in milliseconds since 1970, if the list says it.
+    /// Start time in milliseconds since the Unix epoch, if the list has it.
     pub started_ms: Option<u64>,
 }
 
@@ -22,20 +23,21 @@
 struct Departure {
     name: Name,
     started_ms: Option<u64>,
-    /// Counts up, to find the first one.
+    /// Insertion order.
     sequence: u64,
 }
 
-/// What endpoints have said of their departure.
+/// Set of endpoint runs that are about to end.
 #[derive(Debug, Default)]
 pub struct Departures {
-    // Sorted by name.
+    /// Sorted by name.
     entries: Vec<Departure>,
     next_sequence: u64,
 }
 
 impl Departures {
-    /// Takes note that a start of an endpoint is about to end.
+    /// Records that a run of an endpoint is about to end. Replaces an earlier record of the
+    /// endpoint.
     pub fn record(&mut self, name: &Name, started_ms: Option<u64>) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -54,14 +56,14 @@
         }
     }
 
-    /// Whether a start of an endpoint has said that it is about to end.
-    pub fn contains(&self, start: EndpointRun<'_>) -> bool {
-        self.find(start.name).is_ok_and(|at| self.entries[at].started_ms == start.started_ms)
+    /// Returns whether a run of an endpoint has announced that it is about to end.
+    pub fn contains(&self, run: EndpointRun<'_>) -> bool {
+        self.find(run.name).is_ok_and(|at| self.entries[at].started_ms == run.started_ms)
     }
 
-    /// Follows a list, sorted by name: forgets the departures of endpoints that have started again.
-    /// Where starts have no time, an endpoint that was absent from a list has started again when it
-    /// is back.
+    /// Drops the departures of endpoints that have restarted, according to `listed`, which must be
+    /// sorted by name. Without start times, an endpoint counts as restarted once it has been absent
+    /// from a list.
     pub fn reconcile(&mut self, listed: &[EndpointRun<'_>]) {
         self.entries.retain(|entry| {
             let at = listed.binary_search_by(|s| s.name.cmp(&entry.name));
--- a/crates/policy/src/invariants.rs
+++ b/crates/policy/src/invariants.rs
@@ -4,12 +4,12 @@
 
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// Returns how many invariant violations this process has seen; the server exports it as a counter.
+/// Returns the number of invariant violations that this process has logged.
 pub fn invariant_violations() -> u64 {
     VIOLATIONS.load(Ordering::Relaxed)
 }
 
-/// Panics in debug builds when `holds` is false; counts and logs the violation in release builds.
+/// Counts and logs a violation if `condition` is false; panics in debug builds.
 pub(crate) fn check_invariant(condition: bool, description: &str) {
     if !condition {
         VIOLATIONS.fetch_add(1, Ordering::Relaxed);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,47 +1,50 @@
-//! Decisions of the scheduler as pure functions and small state machines.
+//! Scheduling decisions as pure functions and small state machines.
 //!
-//! * [`rate`]: rate limits of teams, counted over all instances.
-//! * [`quota`]: rate limits of teams, shared out by one allocator to the instances that lease from it.
+//! * [`rate`]: rate limits of teams, enforced over all instances.
+//! * [`quota`]: rate limits of teams, divided by one allocator among the instances that lease from
+//!   it.
 //! * [`fair`]: fair queueing between teams and ordering of programs within a team.
-//! * [`route`]: choice of an endpoint, with the baselines round robin and least connections.
+//! * [`route`]: endpoint selection, with the baselines round robin and least connections.
 //! * [`ramp`]: load of endpoints that have just started.
-//! * [`cold_start`]: bound on the calls that start at a cold endpoint in a second.
-//! * [`retry`]: budget for retries.
-//! * [`containment`]: requests that crash the endpoints that run them, known by all instances.
+//! * [`cold_start`]: limit on the calls that start at a cold endpoint per second.
+//! * [`retry`]: retry budget.
+//! * [`containment`]: requests that crash the endpoints that run them, replicated to all instances.
 //! * [`quarantine`]: the same, decided by a leader that all instances lease from.
-//! * [`placement`]: models on endpoints.
+//! * [`departures`]: endpoints that have announced that they are about to stop.
+//! * [`placement`]: assignment of models to endpoints.
 //!
 //! `examples/rate_shares.rs`, `examples/fair_queue.rs` and `examples/route_calls.rs` each use one
 //! of them alone; `examples/compare.rs` simulates them together against baselines.
 //!
-//! # Owners and failures
+//! # State and failures
 //!
 //! All state is in memory, belongs to the instance that holds it and is rebuilt after a crash; the
-//! module comments say how. Rate buckets have one owner in the fleet: when it dies, a successor
-//! waits until every grant of the former owner must have expired.
+//! module docs say how. Each rate bucket has one owner in the fleet: when the owner fails, its
+//! successor waits until every grant of the former owner must have expired.
 //!
 //! # Units
 //!
 //! Nothing in this crate reads a clock, opens a socket or spawns a task. Time is an argument: a
-//! [`std::time::Duration`] since an arbitrary start that is the same for all calls on one object
-//! (for example the elapsed time of the runtime's clock since the process started); only
-//! [`containment`] takes wall-clock milliseconds, because its records travel between instances.
-//! Randomness is an argument too. A token of [`rate`] admits one request; the cost of a call in
-//! [`fair`] is in model tokens, and that of an endpoint in [`route`] in seconds.
+//! [`std::time::Duration`] since an arbitrary origin that is the same for all calls on one object
+//! (for example the time since the process started); only [`containment`] and [`fair::Priorities`]
+//! take wall-clock time, because their records and priorities leave the instance. Randomness is an
+//! argument too. A token of [`rate`] admits one request; the cost of a call in [`fair`] is in model
+//! tokens, and that of an endpoint in [`route`] in seconds.
 //!
 //! # Errors
 //!
-//! A refusal is a value that says what the caller may do next, for example
-//! [`Admission::Refused`](rate::Admission::Refused) or [`NoRoute`](route::NoRoute). A broken
-//! invariant panics in debug builds; in release builds it is logged and counted ([`violations`]).
+//! A refusal is a value that tells the caller what it may do next, for example
+//! [`Admission::Refused`](rate::Admission::Refused) or [`NoRoute`](route::NoRoute). A violated
+//! invariant panics in debug builds; in release builds it is logged and counted
+//! ([`invariant_violations`]).
 //!
 //! # Sources
 //!
 //! [`fair`] is start-time fair queueing (Goyal, Vin and Cheng, "Start-time Fair Queuing", 1996),
-//! and within a team orders programs by least attained service. [`rate::owner_of`] is rendezvous
-//! hashing (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998).
-//! Routing among near-equal costs uses two random choices (Mitzenmacher, "The Power of Two Choices
-//! in Randomized Load Balancing", 2001).
+//! and orders the programs within a team by least attained service. [`rate::owner_of`] is
+//! rendezvous hashing (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates",
+//! 1998). Routing among endpoints of nearly equal cost uses two random choices (Mitzenmacher, "The
+//! Power of Two Choices in Randomized Load Balancing", 2001).
 //!
 //! # Example
 //!
@@ -56,7 +59,7 @@
 //!     let deadline = Duration::from_secs(60);
 //!     let (team, cost) = (team.into(), 100);
 //!     let call = Call { team, weight: 1, program: None, cost, deadline, payload: number };
-//!     queue.push(call, now).expect("room in the queue");
+//!     queue.push(call, now).expect("the queue has room");
 //! }
 //! let mut limit = FixedLimit::new(2);
 //! let mut served = Vec::new();
@@ -64,7 +67,7 @@
 //!     served.push(entry.call.payload);
 //! }
 //! served.sort();
-//! assert_eq!(served, [1, 3], "one of each team");
+//! assert_eq!(served, [1, 3], "one call of each team");
 //! ```
 
 pub mod cold_start;
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -1,16 +1,16 @@
-//! Placement of models on endpoints: load orders follow demand.
+//! Placement of models on endpoints according to demand.
 //!
-//! Per model, the demand (unit: calls in flight and waiting) divided by the capacity of one
-//! endpoint at [`PlacementConfig::target_utilization`] gives the number of endpoints that should hold it,
-//! at least one. Loads are paced by the rate of the weight store (unit: bytes per second). A model
-//! that holds more endpoints than it needs for [`PlacementConfig::scale_in_delay`] is drained from one of
-//! them, and unloaded only when no call runs there.
+//! The number of endpoints that should hold a model is its demand (in calls in flight and waiting)
+//! divided by the capacity of one endpoint at [`PlacementConfig::target_utilization`], and at least
+//! one. Loads are limited by the rate of the weight store (in bytes per second). A model that is on
+//! more endpoints than it needs for [`PlacementConfig::scale_in_delay`] is drained from one of
+//! them, and unloaded there once no call of it runs.
 //!
-//! Every order carries a fencing number that is higher than that of any earlier order: the term of
-//! the planner in the upper half, a count in the lower. Some endpoints ignore it, so a planner must
-//! also check its lease before it sends an order.
+//! Every order carries a fencing token that is higher than that of any earlier order: the term of
+//! the planner in the upper 32 bits, a counter in the lower. Some endpoints ignore it, so a planner
+//! must also check its lease before it sends an order.
 //!
-//! Owner of the state: the leader of group 0. Its successor has a higher term, sees from the hosts'
+//! The planner runs on the leader of group 0. A successor has a higher term, learns from the hosts'
 //! reports what is loaded, and repeats orders that had no effect.
 
 use std::time::Duration;
@@ -20,13 +20,13 @@
 /// Parameters of a [`Placement`].
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementConfig {
-    /// Part of the capacity that demand should use.
+    /// Fraction of the capacity that demand should use.
     pub target_utilization: f64,
     /// Rate of the weight store in bytes per second.
     pub store_bytes_per_s: f64,
-    /// Bytes that may be requested from the store at once.
+    /// Burst of the weight store in bytes.
     pub store_burst_bytes: f64,
-    /// Time for which an endpoint must be superfluous before it is drained.
+    /// Time for which a model must be on too many endpoints before it is drained from one.
     pub scale_in_delay: Duration,
     /// Time after which a load order that had no effect is repeated.
     pub load_timeout: Duration,
@@ -49,9 +49,9 @@
 pub struct ModelDemand {
     /// The model.
     pub model: Name,
-    /// Calls in flight and waiting, smoothed.
+    /// Calls in flight and waiting, as a moving average.
     pub calls: f64,
-    /// Size of its weights.
+    /// Size of its weights in bytes.
     pub bytes: f64,
 }
 
@@ -60,7 +60,7 @@
 pub struct LoadedModel {
     /// The model.
     pub model: Name,
-    /// Calls of it in flight on the host.
+    /// Calls of the model in flight on the host.
     pub in_flight: u32,
 }
 
@@ -69,37 +69,37 @@
 pub struct Host {
     /// Name of the endpoint.
     pub endpoint: Name,
-    /// Calls at once.
+    /// Maximum number of concurrent calls.
     pub capacity: u32,
-    /// Models that fit.
+    /// Maximum number of models.
     pub max_models: usize,
-    /// Models that it holds.
+    /// Models that are loaded.
     pub loaded: Vec<LoadedModel>,
-    /// Whether it may receive new work.
+    /// Whether the endpoint may receive new work.
     pub available: bool,
 }
 
-/// What an order does.
+/// Action of an [`Order`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Load the model.
     Load,
-    /// Send no more calls of the model to the endpoint; an order to the instances.
+    /// Send no more calls of the model to the endpoint. Addressed to the instances.
     Drain,
     /// Unload the model.
     Unload,
 }
 
-/// An order.
+/// An order to an endpoint or, for [`Action::Drain`], to the instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The endpoint.
     pub endpoint: Name,
     /// The model.
     pub model: Name,
-    /// What to do.
+    /// The action.
     pub action: Action,
-    /// Fencing number.
+    /// Fencing token.
     pub fencing_token: u64,
 }
 
@@ -110,8 +110,11 @@
     fencing_token: u64,
     store_bytes_available: f64,
     updated_at: Duration,
+    /// Endpoint, model and time of each load order without an effect yet.
     loading: Vec<(Name, Name, Duration)>,
+    /// Endpoint and model.
     draining: Vec<(Name, Name)>,
+    /// Models on too many endpoints, and since when.
     overprovisioned: Vec<(Name, Duration)>,
 }
 
@@ -129,12 +132,12 @@
         }
     }
 
-    /// Whether calls of `model` must no longer go to `endpoint`.
+    /// Returns whether `endpoint` must not receive new calls of `model`.
     pub fn is_draining(&self, endpoint: &Name, model: &Name) -> bool {
         self.draining.iter().any(|(e, m)| e == endpoint && m == model)
     }
 
-    /// Returns the orders to send now.
+    /// Returns the orders to send at `now`.
     pub fn plan(&mut self, demand: &[ModelDemand], hosts: &[Host], now: Duration) -> Vec<Order> {
         let accrued =
             now.saturating_sub(self.updated_at).as_secs_f64() * self.cfg.store_bytes_per_s;
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Orders one load per model and plan, if the weight store's rate allows it.
+    /// Orders at most one load of the model, if the weight store's rate allows it.
     fn load(
         &mut self,
         demand: &ModelDemand,
@@ -200,7 +203,7 @@
         now: Duration,
         orders: &mut Vec<Order>,
     ) {
-        // A model larger than the burst is loaded when the store has been idle for the whole burst.
+        // A model that is larger than the burst is loaded once the full burst is available.
         let cost = demand.bytes.min(self.cfg.store_burst_bytes);
         let busy = |h: &Host| self.loading.iter().filter(|(e, ..)| *e == h.endpoint).count();
         let room = |h: &Host| h.max_models.saturating_sub(h.loaded.len() + busy(h));
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,48 +1,50 @@
-//! Quarantine of requests under which endpoints end.
+//! Quarantine of requests that crash endpoints.
 //!
-//! It answers a request that comes back, under new ids and at any instance, after each endpoint that
-//! ran it has ended. When an endpoint ends, many requests run there, and most have no part in it. So
-//! a request is refused only after a trial:
+//! A caller may send a request again after its endpoint has failed, with a new id and at any
+//! instance, so the same request can take down one endpoint after another. When an endpoint fails,
+//! many requests run there, and most of them are not the cause. So a request is only refused after
+//! a trial:
 //!
-//! 1. Each request that an endpoint may have been running when it ended is noted with it.
-//! 2. A request that is noted with [`SUSPECT_FAILURES`] ends is a suspect: it runs only on trial, one
-//!    run at a time in the whole fleet, and no other suspect runs at the same endpoint meanwhile.
-//! 3. If the endpoint ends under a trial, the request is condemned. A whole answer, in a trial or
-//!    not, clears it.
+//! 1. Each request that an endpoint may have been running when it failed is recorded with it.
+//! 2. A request with [`SUSPECT_FAILURES`] recorded failures is a suspect: it runs on trial only, at
+//!    most once at a time in the whole fleet, and no other suspect runs at the same endpoint.
+//! 3. If the endpoint fails during a trial, the request is condemned: it is refused. A complete
+//!    response, in a trial or not, clears the request.
 //!
-//! A request that ends every endpoint thus ends three, apart from copies that run at the same time
-//! before it is a suspect.
+//! A request that crashes every endpoint thus crashes three, apart from copies that run
+//! concurrently before it is a suspect.
 //!
-//! Owner: the leader of the control group. It alone knows of the ends of endpoints, so instances
-//! report them; suspects are adopted from the instances by a successor, and a trial that was open is
-//! forgotten. What is condemned belongs in durable state, which is up to the user of this module; the
-//! request is refused here while it is on the way there.
+//! The state belongs to the leader of the control group. It alone counts failures, so
+//! instances report them to it. After a change of leader the suspects are adopted from the
+//! instances, and a trial that was running is forgotten. Condemned requests belong in durable
+//! state, which is the responsibility of the user of this module; here a request is refused until
+//! that state has been written.
 
 use std::time::Duration;
 
 use crate::{Name, containment::Fingerprint};
 
-/// Ends of endpoints after which a request runs on trial only.
+/// Failures of endpoints after which a request runs on trial only.
 pub const SUSPECT_FAILURES: usize = 2;
-/// Reports of an endpoint's end within this time are about the same end.
+/// Reports of an endpoint's failure within this time are about the same failure.
 const FAILURE_DEDUP_WINDOW: Duration = Duration::from_secs(1);
-/// Requests that are not heard of for this long are forgotten.
+/// Time after its last event at which a request is forgotten.
 const RETENTION: Duration = Duration::from_secs(3_600);
-/// Requests that are remembered; beyond, the one that was heard of longest ago is forgotten.
+/// Maximum number of records; the least recently seen request is dropped first.
 const MAX_REQUESTS: usize = 8_192;
 
-/// Whether a request may run at an endpoint.
+/// Decision whether a request may run at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ruling {
-    /// It is no suspect.
+    /// The request is not a suspect and may run.
     Free,
-    /// It runs on trial; the end must be reported.
+    /// The request may run on trial; the caller must report the outcome.
     OnTrial,
-    /// It runs on trial elsewhere; ask again later.
+    /// The request is on trial elsewhere; retry later.
     Busy,
-    /// Another suspect is on trial at this endpoint; ask for another one.
+    /// Another suspect is on trial at this endpoint; try another endpoint.
     EndpointTaken,
-    /// It is condemned.
+    /// The request is condemned and must not run.
     Refused,
 }
 
@@ -53,7 +55,7 @@
 
 struct RequestRecord {
     request: Fingerprint,
-    /// Endpoints that have ended, and when.
+    /// Endpoints that failed, and when.
     failures: Vec<(Name, Duration)>,
     is_suspect: bool,
     trial: Option<Trial>,
@@ -78,7 +80,7 @@
     }
 }
 
-/// Requests that ran at endpoints when these ended.
+/// Requests that were running at endpoints when these failed.
 #[derive(Default)]
 pub struct Quarantine {
     /// Sorted by request.
@@ -86,8 +88,8 @@
 }
 
 impl Quarantine {
-    /// Takes note that an endpoint has ended while it may have been running a request. Returns
-    /// whether the request has become a suspect.
+    /// Records that an endpoint failed while it may have been running a request. Returns whether
+    /// this makes the request a suspect.
     pub fn record_failure(&mut self, request: Fingerprint, endpoint: &Name, now: Duration) -> bool {
         let record = self.entry(request, now);
         let is_same =
@@ -100,13 +102,14 @@
         record.is_suspect
     }
 
-    /// Takes over a suspect of a former leader. Returns whether it was unknown.
+    /// Marks a request as a suspect that a former leader knew. Returns whether it was not one yet.
     pub fn adopt_suspect(&mut self, request: Fingerprint, now: Duration) -> bool {
         let record = self.entry(request, now);
         !std::mem::replace(&mut record.is_suspect, true)
     }
 
-    /// Asks whether a request may run at an endpoint, which takes until `until` at most.
+    /// Decides whether a request may run at an endpoint. A trial that this starts expires at
+    /// `until`.
     pub fn admit(
         &mut self,
         request: Fingerprint,
@@ -136,14 +139,14 @@
         Ruling::OnTrial
     }
 
-    /// Whether a request is on trial at an endpoint.
+    /// Returns whether a request is on trial at an endpoint.
     pub fn is_on_trial(&self, request: Fingerprint, endpoint: &str) -> bool {
         self.position(request).is_ok_and(|at| {
             self.records[at].trial.as_ref().is_some_and(|trial| *trial.endpoint == *endpoint)
         })
     }
 
-    /// Ends a trial that has shown nothing.
+    /// Ends a trial without a result.
     pub fn end_trial(&mut self, request: Fingerprint, endpoint: &str) {
         if self.is_on_trial(request, endpoint)
             && let Ok(at) = self.position(request)
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Refuses a request until its condemnation has become durable, or is known not to. Returns
-    /// whether it was not condemned before.
+    /// Refuses a request until `until`, by when its condemnation is durable or has failed to become
+    /// so. Returns whether it was not condemned before.
     pub fn condemn(&mut self, request: Fingerprint, until: Duration, now: Duration) -> bool {
         let record = self.entry(request, now);
         let is_new = !record.is_condemned(now);
@@ -163,12 +166,12 @@
         is_new
     }
 
-    /// Whether a request is condemned.
+    /// Returns whether a request is condemned.
     pub fn is_condemned(&self, request: Fingerprint, now: Duration) -> bool {
         self.position(request).is_ok_and(|at| self.records[at].is_condemned(now))
     }
 
-    /// The condemned requests, sorted.
+    /// Returns the condemned requests, sorted.
     pub fn condemned(&self, now: Duration) -> impl Iterator<Item = Fingerprint> + '_ {
         self.records
             .iter()
@@ -176,22 +179,22 @@
             .map(|record| record.request)
     }
 
-    /// Forgets a request that has been answered. Returns whether it was a suspect.
+    /// Removes a request that has been answered. Returns whether it was a suspect.
     pub fn remove(&mut self, request: Fingerprint) -> bool {
         self.position(request).is_ok_and(|at| self.records.remove(at).is_suspect)
     }
 
-    /// The suspects, sorted.
+    /// Returns the suspects, sorted.
     pub fn suspects(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.records.iter().filter(|record| record.is_suspect).map(|record| record.request)
     }
 
-    /// Requests that are remembered.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no request is remembered.
+    /// Returns whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -218,7 +221,7 @@
     fn evict(&mut self, now: Duration) {
         self.records.retain(|record| now < record.last_seen + RETENTION);
         while self.records.len() >= MAX_REQUESTS {
-            // Suspects go last.
+            // Suspects are dropped last.
             let age = |at: &usize| (self.records[*at].is_suspect, self.records[*at].last_seen);
             let Some(oldest) = (0..self.records.len()).min_by_key(age) else { return };
             self.records.remove(oldest);
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,69 +1,73 @@
-//! A team's rate, shared out by one allocator to the instances that lease from it.
+//! Rate limit of a team, divided by one allocator among the instances that lease from it.
 //!
-//! It answers uneven and changing load: most calls of a busy team are admitted by the instance
-//! itself from its [`Share`], in the proportion in which the team's calls arrive there. A team with
-//! few calls at an instance borrows single tokens from what the [`Allocator`] keeps back, so that
-//! its rate and burst are not cut into pieces that lie idle where no call comes.
+//! The load of a team is uneven and changes. Most calls of a busy team are admitted by the instance
+//! itself from its [`Share`], which follows the fraction of the team's calls that arrive there. A
+//! team with few calls at an instance borrows single tokens from the reserve of the [`Allocator`],
+//! so that its rate and burst are not divided into shares that are idle where no calls arrive.
 //!
-//! It answers a team that asks for more than its rate: most of its programs should end, and the rest
-//! should not begin. So a program may begin only while the calls of those under way, with its own,
-//! stay within the rate; calls of programs under way are then rarely short of tokens. The calls of a
-//! program come to several instances, so the allocator knows which programs have begun anywhere.
+//! If a team asks for more than its rate, it is better to complete most of the running programs and
+//! to start no others. So a new program is admitted only while the calls of the running programs,
+//! including the new one, stay within the rate; calls of running programs then rarely lack tokens.
+//! The calls of a program arrive at several instances, so the allocator keeps track of the programs
+//! that have started at any of them.
 //!
-//! Over any window, all instances together admit no more than the rate times the window plus the
-//! burst: the shares handed out never exceed [`SHARED_RATE_FRACTION`] and [`SHARED_BURST_FRACTION`] of the limit, and
-//! the reserve has what is left. A share that shrinks counts as held until its instance reports the
-//! smaller one or its lease has run out. Growing a share never adds tokens, only room for them.
+//! Over any window, all instances together admit at most the rate times the window plus the burst:
+//! the shares never exceed [`SHARED_RATE_FRACTION`] and [`SHARED_BURST_FRACTION`] of the limit, and
+//! the reserve has what is left. A share that shrinks counts with its old size until its instance
+//! reports the smaller one or its lease has expired. Growing a share adds capacity but no tokens.
 //!
-//! Owner of the state: the instance that all others lease from. Its successor does not know the
-//! shares; until each instance has had the time to report, it only renews what they hold, and its
-//! reserve starts empty, with the part of the rate that is never shared out. An instance that cannot
-//! reach the successor in that time may use the share it holds until its lease has run out: the team
-//! then gets at most that share more, for what is left of one lease.
+//! The state belongs to the instance that all others lease from. After a change of that instance
+//! the new allocator does not know the shares. Until each instance has had time to report, it only
+//! renews what they hold, and its reserve starts empty, with the fraction of the rate that is never
+//! shared. An instance that cannot reach the new allocator in that time may use its share until the
+//! lease expires, so the team gets at most that share on top for the rest of one lease.
 
 use std::time::Duration;
 
 use crate::Name;
 use crate::rate::Limit;
 
-/// Part of a team's rate that instances may hold as shares.
+/// Maximum fraction of a team's rate that instances may hold as shares.
 pub const SHARED_RATE_FRACTION: f64 = 0.8;
-/// Part of a team's burst that instances may hold as shares.
+/// Maximum fraction of a team's burst that instances may hold as shares.
 pub const SHARED_BURST_FRACTION: f64 = 0.5;
-/// Share of an instance as a part of what the team asks of it. The rest is borrowed: a share that is
-/// always used up wastes no token, and what instances ask for beyond theirs is averaged over all.
+/// Share of an instance as a fraction of the team's demand there. The rest is borrowed: a share
+/// that is always used up wastes no tokens, and the demand beyond the shares averages out over all
+/// instances.
 const SHARE_DEMAND_FRACTION: f64 = 0.7;
-/// Burst of a share, as the time in which the instance's demand would use it up.
+/// Burst of a share, as the time in which the demand at the instance would use it up.
 const SHARE_BURST_SECONDS: f64 = 0.5;
-/// Smallest burst of the share of an instance that is asked at all, in tokens.
+/// Minimum burst of the share of an instance that has enough demand for one.
 const MIN_SHARE_BURST_TOKENS: f64 = 2.0;
-/// Part of a team's rate that the programs under way may be expected to use when one more begins.
+/// A program is admitted if the expected calls of all programs stay below this fraction of the
+/// rate.
 const ADMIT_RATE_FRACTION: f64 = 0.95;
-/// A program may also begin while this part of the reserve's burst is unused.
+/// A program is also admitted while at least this fraction of the reserve's burst is unused.
 const ADMIT_RESERVE_FRACTION: f64 = 0.6;
-/// Part of a team's rate from which on the allocator decides which programs begin.
+/// Fraction of a team's rate above which programs need admission by the allocator.
 const NEAR_LIMIT_RATE_FRACTION: f64 = 0.6;
-/// Time in which a program that has begun is not yet in the reports of its instance.
+/// Time after its start in which a program is not yet in the reports of its instance.
 const UNREPORTED_WINDOW: Duration = Duration::from_millis(400);
-/// Calls a second of a program under way, until it has been measured.
+/// Calls per second of a running program, until they have been measured.
 const INITIAL_PROGRAM_RATE_PER_SECOND: f64 = 5.0;
-/// Weight of a new measurement in the calls a second of a program.
+/// Weight of a new measurement in the moving average of the calls per second of a program.
 const PROGRAM_RATE_GAIN: f64 = 0.05;
-/// A program is known for this long after an instance has last named it; longer than most pauses
-/// between two calls.
+/// Time for which a program is known after it was last recorded; longer than most pauses between
+/// two calls.
 const PROGRAM_TTL: Duration = Duration::from_secs(20);
-/// Programs of a team that are known at a time.
+/// Maximum number of known programs of a team.
 const MAX_KNOWN_PROGRAMS: usize = 8_192;
-/// An instance with fewer calls a second of a team borrows each token. Its share would mostly lie
-/// idle while other instances are short of tokens, and a token is borrowed in a few milliseconds.
+/// An instance with fewer calls per second of a team borrows each token. Its share would be idle
+/// most of the time while other instances lack tokens, and borrowing a token takes a few
+/// milliseconds.
 const MIN_SHARE_DEMAND_PER_SECOND: f64 = 3.0;
 
-/// Part of a team's rate and burst that an instance may admit by itself.
+/// Part of a team's rate and burst that an instance may use without asking the allocator.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Share {
-    /// Calls a second.
+    /// Calls per second.
     pub per_second: f64,
-    /// Calls at once.
+    /// Burst in calls.
     pub burst: f64,
 }
 
@@ -76,7 +80,7 @@
     }
 }
 
-/// Tokens that refill at a rate up to a burst.
+/// Token bucket whose rate and burst can change.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bucket {
     share: Share,
@@ -90,19 +94,19 @@
         Self { share, level: 0.0, updated_at: now }
     }
 
-    /// The share in force.
+    /// Returns the current share.
     pub fn share(&self) -> Share {
         self.share
     }
 
-    /// Changes the share. What is in the bucket beyond the new burst is lost; nothing is added.
+    /// Changes the share. Tokens above the new burst are dropped; none are added.
     pub fn set_share(&mut self, share: Share, now: Duration) {
         self.refill(now);
         self.share = share;
         self.level = self.level.min(share.burst);
     }
 
-    /// Puts back a token that was taken and not used.
+    /// Returns a token that was taken and not used.
     pub fn return_token(&mut self, now: Duration) {
         self.refill(now);
         self.level = (self.level + 1.0).min(self.share.burst);
@@ -112,19 +116,20 @@
     ///
     /// # Errors
     ///
-    /// Returns the time after which one will be there; none if the rate is zero.
+    /// Returns the time until a token is available, or `None` if the rate is zero or the burst is
+    /// less than one token.
     pub fn take(&mut self, now: Duration) -> Result<(), Option<Duration>> {
         self.refill(now);
         if self.level >= 1.0 {
             self.level -= 1.0;
             return Ok(());
         }
-        // A bucket that holds less than one token never has a whole one.
+        // With a burst below one token, the level never reaches a whole token.
         let refills = self.share.per_second > 0.0 && self.share.burst >= 1.0;
         Err(refills.then(|| Duration::from_secs_f64((1.0 - self.level) / self.share.per_second)))
     }
 
-    /// Part of the burst that is in the bucket.
+    /// Returns the level as a fraction of the burst.
     fn fill_ratio(&mut self, now: Duration) -> f64 {
         self.refill(now);
         if self.share.burst > 0.0 { self.level / self.share.burst } else { 0.0 }
@@ -137,7 +142,7 @@
     }
 }
 
-/// How often a team's calls arrive, as an average over the last seconds.
+/// Exponential moving average of the calls per second of a team at one instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     per_second: f64,
@@ -145,21 +150,21 @@
     updated_at: Duration,
 }
 
-/// Time constant of [`Demand`].
+/// Time constant of the moving average of [`Demand`].
 const DEMAND_TIME_CONSTANT_SECONDS: f64 = 1.5;
 
 impl Demand {
-    /// Counts an arrival.
+    /// Counts the arrival of a call.
     pub fn record_arrival(&mut self) {
         self.arrivals += 1;
     }
 
-    /// Takes back the last arrival: the call was refused for another reason.
+    /// Uncounts an arrival, for a call that was refused for another reason.
     pub fn cancel_arrival(&mut self) {
         self.arrivals = self.arrivals.saturating_sub(1);
     }
 
-    /// Returns the average, brought up to `now`.
+    /// Updates the average to `now` and returns it in calls per second.
     pub fn update(&mut self, now: Duration) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         if elapsed > 0.0 {
@@ -178,45 +183,45 @@
     instance: Name,
     demand: f64,
     programs: u32,
-    /// Most that the instance may hold until `until`.
+    /// Largest share that the instance may hold until `expires_at`.
     held: Share,
     expires_at: Duration,
 }
 
-/// What an allocator knows of a team's load.
+/// Load of a team as an allocator measures it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamLoad {
-    /// Calls a second that the team makes at all instances.
+    /// Calls per second at all instances.
     pub demand: f64,
-    /// Programs under way.
+    /// Running programs.
     pub programs: f64,
-    /// Calls a second of a program under way.
+    /// Calls per second of one running program.
     pub program_rate: f64,
     /// Tokens in the reserve.
     pub reserve: f64,
 }
 
-/// Shares out the rate of one team.
+/// Divides the rate limit of one team among instances.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     limit: Option<Limit>,
-    /// Until then there may be holders that this allocator does not know.
+    /// Before this time there may be shares that this allocator does not know.
     recovered_at: Duration,
     lease: Duration,
-    // Sorted by instance.
+    /// Sorted by instance.
     holders: Vec<ShareHolder>,
     reserve: Bucket,
-    /// Calls a second of a program under way.
+    /// Calls per second of one running program.
     program_rate: f64,
-    /// Programs that have begun and are in no report yet.
+    /// Start times of programs that are not in a report yet.
     unreported_starts: Vec<Duration>,
-    /// Programs that have begun, with the time at which they were last named, sorted by program.
+    /// Programs that have started and the time at which each was last recorded, sorted by program.
     known_programs: Vec<(u64, Duration)>,
 }
 
 impl Allocator {
-    /// Returns an allocator. `settled_at` is when every instance that can reach it has reported the
-    /// share that another allocator gave it; `lease` is for how long a share is given out.
+    /// Returns an allocator without a limit. By `recovered_at`, every instance that can reach it
+    /// has reported the share that a former allocator gave it; `lease` is the duration of a share.
     pub fn new(recovered_at: Duration, lease: Duration, now: Duration) -> Self {
         let reserve = Bucket::new(Share::default(), now);
         Self {
@@ -231,7 +236,7 @@
         }
     }
 
-    /// Takes note of a program that has begun at any instance.
+    /// Records that a program has started, at any instance, or is still running.
     pub fn record_program(&mut self, program: u64, now: Duration) {
         match self.known_programs.binary_search_by_key(&program, |(p, _)| *p) {
             Ok(at) => self.known_programs[at].1 = now,
@@ -252,7 +257,7 @@
         found.is_ok_and(|at| now < self.known_programs[at].1 + PROGRAM_TTL)
     }
 
-    /// Changes the team's limit; none for no limit.
+    /// Changes the team's limit; `None` means unlimited.
     pub fn set_limit(&mut self, limit: Option<Limit>, now: Duration) {
         if self.limit != limit {
             self.limit = limit;
@@ -260,8 +265,9 @@
         }
     }
 
-    /// Takes an instance's report of what the team asks of it and of the share it holds. Returns the
-    /// share that it may hold from now on, for the length of the lease.
+    /// Processes the report of an instance: the team's demand there in calls per second, its
+    /// running programs and the share that it holds. Returns the share that the instance may hold
+    /// from now on, for the duration of the lease.
     pub fn report(
         &mut self,
         instance: &Name,
@@ -291,18 +297,19 @@
         share
     }
 
-    /// Whether the team is near its rate, so that programs begin only when the allocator says so.
+    /// Returns whether the team is near its rate, so that programs need admission by
+    /// [`Allocator::admit_program`].
     pub fn is_near_limit(&self) -> bool {
         let demand: f64 = self.holders.iter().map(|h| h.demand).sum();
         self.limit.is_some_and(|limit| demand > NEAR_LIMIT_RATE_FRACTION * limit.per_second())
     }
 
-    /// Begins a program, if the programs under way leave room for it. One that has begun at another
-    /// instance goes on.
+    /// Admits a program if the running programs leave room for it. A program that has already
+    /// started, at any instance, is always admitted.
     ///
     /// # Errors
     ///
-    /// Returns the time after which there may be room.
+    /// Returns the time after which the caller may try again.
     pub fn admit_program(&mut self, program: u64, now: Duration) -> Result<(), Duration> {
         let Some(limit) = self.limit else { return Ok(()) };
         if self.is_known(program, now) {
@@ -313,8 +320,8 @@
         let expected = demand.max(programs * program_rate) + program_rate;
         let room = ADMIT_RATE_FRACTION * limit.per_second();
         self.refresh_reserve(now);
-        // A team that has not used its burst may go beyond its rate for a while. A rate that is below
-        // that of a single program still lets one at a time begin.
+        // A team that has not used its burst may exceed its rate for a while. If the rate is lower
+        // than that of a single program, one program at a time is admitted.
         if expected <= room
             || programs < 1.0
             || self.reserve.fill_ratio(now) >= ADMIT_RESERVE_FRACTION
@@ -327,7 +334,7 @@
         Err(Duration::from_secs_f64(excess.clamp(0.2, 2.0)))
     }
 
-    /// The load that decides which programs begin.
+    /// Returns the load on which admission is based.
     pub fn load(&mut self, now: Duration) -> TeamLoad {
         self.unreported_starts.retain(|at| now < *at + UNREPORTED_WINDOW);
         let programs: u32 = self.holders.iter().map(|h| h.programs).sum();
@@ -349,7 +356,7 @@
         }
     }
 
-    /// Puts a token back into the reserve.
+    /// Returns an unused token to the reserve.
     pub fn return_token(&mut self, now: Duration) {
         self.refresh_reserve(now);
         self.reserve.return_token(now);
@@ -359,7 +366,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the time after which one may be there.
+    /// Returns the time after which a token may be available, or `None` if the reserve never has
+    /// one.
     pub fn borrow(&mut self, now: Duration) -> Result<(), Option<Duration>> {
         if self.limit.is_none() {
             return Ok(());
@@ -369,7 +377,7 @@
         self.reserve.take(now)
     }
 
-    /// Share that the holder should have, as far as the others leave room for it.
+    /// Returns the share that a holder should have, limited to what the other holders leave.
     fn next_share(&self, at: usize) -> Share {
         let Some(limit) = self.limit else { return Share::default() };
         let rate = limit.per_second() * SHARED_RATE_FRACTION;
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -1,27 +1,28 @@
 //! Load of endpoints that have just started.
 //!
-//! A cold endpoint bears `cold_capacity` calls at once, summed over all instances, and its capacity
-//! grows linearly to `capacity` over the time `ramp` (units: calls, durations). The total is divided
-//! among the instances of the membership view: instance number `i` in the endpoint's own rendezvous
-//! order receives `total / n` calls, plus one if `i < total % n`.
+//! A cold endpoint takes `cold_capacity` concurrent calls, summed over all instances, and its
+//! capacity grows linearly to `capacity` over the time `ramp`. The total is divided among the
+//! instances of the membership view: instance number `i` in the endpoint's own rendezvous order
+//! gets `total / n` calls, plus one if `i < total % n`.
 //!
-//! Instances may hold different views for as long as a membership lease lasts. Each therefore uses
-//! the smallest part that it has in any view that was its own within the last lease duration, and
-//! none for that time after its first view or after a gap between epochs. All live instances then
-//! have one view in common: let `v` be the oldest that is still the newest of some live instance.
-//! Its lease was granted before the next view existed, so no instance has had the next view for a
-//! whole lease duration, and all still count `v`. The parts of `v` add up to the total, so the sum
-//! never exceeds the total (I7). Calls that were in flight when a part became smaller still count in the
-//! load report, so [`Cap::total`] has to be enforced on the estimated load as well.
+//! Instances may have different views for up to one membership lease. Each therefore uses its
+//! smallest share under any view that was its own within the last lease duration, and none for that
+//! time after its first view or after a gap between epochs. All live instances then have one view
+//! in common: let `v` be the oldest view that is still the newest one of some live instance. Its
+//! lease was granted before the next view existed, so no instance has had the next view for a whole
+//! lease duration, and all of them still take `v` into account. The shares under `v` add up to the
+//! total, so the sum never exceeds the total (invariant I7). Calls that were in flight when a share
+//! became smaller still count in the load report, so [`Cap::total`] has to be enforced on the
+//! estimated load as well.
 //!
 //! An endpoint counts as cold until it is known, when its start time changes, when it refuses
 //! [`COLD_REFUSALS`] calls in a row, or when [`COLD_LATENCIES`] answers in a row take
-//! [`COLD_LATENCY_FACTOR`] times as long as usual. When under half of a group's capacity is warm, its warm
-//! endpoints are divided among the instances like cold ones, so that a restart of all endpoints
-//! does not fall on the one that stayed warm.
+//! [`COLD_LATENCY_FACTOR`] times as long as usual. If less than half of a group's capacity is warm,
+//! its warm endpoints are divided among the instances like cold ones, so that a restart of all
+//! other endpoints does not overload the one that stayed warm.
 //!
-//! Owner of the state: each instance for itself. After a crash all endpoints count as cold until
-//! their first load report.
+//! Each instance keeps its own state. After a crash all endpoints count as cold until their first
+//! load report.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -30,31 +31,31 @@
 use crate::invariants::check_invariant;
 use crate::rate::{View, rendezvous};
 
-/// Refusals in a row that show a cold endpoint.
+/// Number of consecutive refusals after which an endpoint counts as cold.
 pub const COLD_REFUSALS: u32 = 3;
 
-/// Slow answers in a row that show a cold endpoint.
+/// Number of consecutive slow answers after which an endpoint counts as cold.
 pub const COLD_LATENCIES: u32 = 5;
 
-/// An answer that takes this many times the usual time is slow.
+/// An answer is slow if it takes more than this multiple of the baseline latency.
 pub const COLD_LATENCY_FACTOR: f64 = 4.0;
 
-/// Weight of a new answer in the usual time.
+/// Weight of a new answer in the moving average of the baseline latency.
 const BASELINE_LATENCY_GAIN: f64 = 0.05;
 
-/// Views remembered.
+/// Maximum number of views kept.
 const MAX_VIEWS: usize = 64;
 
-/// What the configuration says of an endpoint's start.
+/// Configuration of an endpoint's ramp.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RampSpec {
     /// Name of the endpoint.
     pub endpoint: Name,
-    /// Endpoints of one group can stand in for each other.
+    /// Group of the endpoint; the endpoints of a group are interchangeable.
     pub group: Name,
-    /// Calls at once when warm.
+    /// Concurrent calls when warm.
     pub capacity: u32,
-    /// Calls at once directly after the start.
+    /// Concurrent calls directly after the start.
     pub cold_capacity: u32,
     /// Time from cold to warm.
     pub ramp: Duration,
@@ -63,16 +64,16 @@
 /// Limit of calls in flight at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cap {
-    /// Calls of this instance.
+    /// Maximum number of calls of this instance.
     pub own: u32,
-    /// Calls of all instances.
+    /// Maximum number of calls of all instances together.
     pub total: u32,
 }
 
-/// Outcome of a call, as far as it tells cold from warm.
+/// Outcome of a call, as far as it distinguishes cold from warm endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered; the time to the first byte.
+    /// The endpoint answered, with this time to the first byte.
     Answered(Duration),
     /// The endpoint refused the call because it was overloaded.
     Refused,
@@ -81,9 +82,9 @@
 #[derive(Clone, Debug)]
 struct Ramp {
     spec: RampSpec,
-    /// Identity of the run, for example the start time that the endpoint reports.
+    /// Identifies the run of the endpoint's process, for example by its start time.
     run: Option<u64>,
-    /// Age of the run, and when it had that age; none while the endpoint is unknown.
+    /// Age of the run and when it was observed; `None` while the endpoint is unknown.
     observed_age: Option<(Duration, Duration)>,
     refusals: u32,
     slow_answers: u32,
@@ -116,23 +117,23 @@
     }
 }
 
-/// Ramps of all endpoints, and the division of their capacity among instances.
+/// Ramps of all endpoints, and this instance's share of their capacity.
 #[derive(Debug)]
 pub struct Ramps {
     instance: Name,
     lease: Duration,
     ramps: Vec<Ramp>,
-    /// Views with the time at which each was learned.
+    /// Views with the time at which each arrived.
     views: VecDeque<(Duration, View)>,
 }
 
 impl Ramps {
-    /// Returns an empty table of instance `me`; `lease` is the duration of membership leases.
+    /// Returns an empty table for `instance`; `lease` is the duration of membership leases.
     pub fn new(instance: Name, lease: Duration) -> Self {
         Self { instance, lease, ramps: Vec::new(), views: VecDeque::new() }
     }
 
-    /// Adds an endpoint, which counts as cold, or changes the numbers of a known one.
+    /// Adds an endpoint, which counts as cold, or changes the configuration of a known one.
     pub fn upsert(&mut self, spec: RampSpec) {
         match self.find(&spec.endpoint) {
             Ok(at) => self.ramps[at].spec = spec,
@@ -150,14 +151,14 @@
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, endpoint: &str) {
         if let Ok(at) = self.find(endpoint) {
             self.ramps.remove(at);
         }
     }
 
-    /// Takes note of a membership view that arrived at `now`.
+    /// Applies a membership view that arrived at `now`. Older views are ignored.
     pub fn observe_view(&mut self, view: &View, now: Duration) {
         match self.views.back() {
             Some((_, last)) if last.epoch >= view.epoch => return,
@@ -166,7 +167,7 @@
             _ => self.views.clear(),
         }
         self.views.push_back((now, view.clone()));
-        // A view is in use until its successor arrives, and matters for one lease after that.
+        // A view is in use until the next one arrives, and counts for one lease after that.
         while self.views.len() > 1
             && (self.views[1].0 + self.lease <= now || self.views.len() > MAX_VIEWS)
         {
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Takes note of a report: `run` identifies the run of the endpoint's process, `uptime` is its
-    /// age if it says so.
+    /// Applies a report of an endpoint: `run` identifies the run of its process, `uptime` is the
+    /// age of that run if the endpoint reports it.
     pub fn observe_run(
         &mut self,
         endpoint: &str,
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Takes note of the outcome of a call. Returns whether it showed that the endpoint is cold.
+    /// Records the outcome of a call. Returns whether the endpoint counts as cold because of it.
     pub fn observe_outcome(&mut self, endpoint: &str, outcome: Outcome, now: Duration) -> bool {
         let Ok(at) = self.find(endpoint) else { return false };
         let ramp = &mut self.ramps[at];
@@ -221,12 +222,13 @@
         cold
     }
 
-    /// Whether an endpoint is known to be warm.
+    /// Returns whether an endpoint is known to be warm.
     pub fn is_warm(&self, endpoint: &str, now: Duration) -> bool {
         self.find(endpoint).is_ok_and(|at| self.ramps[at].is_warm(now))
     }
 
-    /// Limit of calls in flight at `endpoint`, or none for a warm endpoint of a warm group.
+    /// Returns the limit of calls in flight at `endpoint`, or `None` for a warm endpoint of a warm
+    /// group and for an unknown endpoint.
     pub fn cap(&self, endpoint: &str, now: Duration) -> Option<Cap> {
         let at = self.find(endpoint).ok()?;
         let ramp = &self.ramps[at];
@@ -235,15 +237,19 @@
         }
         let total = ramp.total(now);
         let cap = Cap { own: self.own_share(endpoint, total, now), total };
-        check_invariant(cap.own <= cap.total, "ramp: own part is within the total");
+        check_invariant(
+            cap.own <= cap.total,
+            "ramp: the share of the instance is at most the total",
+        );
         Some(cap)
     }
 
-    /// This instance's part of `total` calls at `endpoint`: the smallest one over its recent views.
+    /// Returns this instance's share of `total` calls at `endpoint`: the smallest one over its
+    /// recent views.
     fn own_share(&self, endpoint: &str, total: u32, now: Duration) -> u32 {
         let Some((first_learned, _)) = self.views.front() else { return 0 };
         let recent = |i: &usize| {
-            // In force until the next view arrived; of interest for one lease after that.
+            // In use until the next view arrived; it counts for one lease after that.
             self.views.get(i + 1).is_none_or(|(ended, _)| now < *ended + self.lease)
         };
         let oldest = (0..self.views.len()).find(recent).unwrap_or(0);
@@ -271,7 +277,7 @@
     }
 }
 
-/// Part of instance `me` in `total` calls at `endpoint` under one view.
+/// Returns the share of `instance` in `total` calls at `endpoint` under one view.
 fn instance_share(instance: &Name, endpoint: &str, total: u32, instances: &[Name]) -> u32 {
     if !instances.contains(instance) {
         return 0;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,12 +1,12 @@
-//! Budget for retries, so that retries never multiply the load of a failing fleet.
+//! Retry budget, so that retries do not multiply the load of a failing fleet.
 //!
-//! Each first attempt adds [`RetryConfig::ratio`] to the budget of its team and to that of the
-//! instance (unit: retries), both bounded; a retry takes one from each. Over any run of events the
-//! retries of a team are at most `reserve + ratio * first attempts`, and so are those of the
-//! instance with its own reserve; since each instance keeps to that, the sum over the fleet does as
-//! well. Retries by callers are first attempts here and are limited by the team's rate.
+//! Each first attempt adds [`RetryConfig::ratio`] to the budgets of its team and of the instance
+//! (in retries), both bounded; a retry takes one from each. So the retries of a team never exceed
+//! `reserve + ratio * first attempts`, and neither do those of the instance with its own reserve;
+//! since this is true for each instance, it is true for the fleet. Retries by callers are first
+//! attempts here and are limited by the team's rate.
 //!
-//! Owner of the state: each instance for itself. After a crash it starts with the reserves.
+//! Each instance keeps its own state. After a crash it starts with the reserves.
 
 use crate::Name;
 use crate::invariants::check_invariant;
@@ -14,11 +14,11 @@
 /// Parameters of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug)]
 pub struct RetryConfig {
-    /// Retries that one first attempt pays for.
+    /// Retries that one first attempt adds to the budgets.
     pub ratio: f64,
-    /// Highest budget of a team, also the one it starts with.
+    /// Maximum and initial budget of a team, in retries.
     pub team_reserve: f64,
-    /// Highest budget of the instance, also the one it starts with.
+    /// Maximum and initial budget of the instance, in retries.
     pub instance_reserve: f64,
 }
 
@@ -70,14 +70,15 @@
         Self { cfg, instance: Budget::new(cfg.instance_reserve), teams: Vec::new() }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt.
     pub fn record_attempt(&mut self, team: &Name) {
         let cfg = self.cfg;
         self.instance.record_attempt(cfg.ratio, cfg.instance_reserve);
         self.team(team).record_attempt(cfg.ratio, cfg.team_reserve);
     }
 
-    /// Takes one retry from both budgets; returns whether it was available.
+    /// Takes one retry from both budgets. Returns false, and takes nothing, if one of them is
+    /// empty.
     pub fn try_retry(&mut self, team: &Name) -> bool {
         let cfg = self.cfg;
         if self.instance.available < 1.0 || self.team(team).available < 1.0 {
@@ -88,7 +89,7 @@
         true
     }
 
-    /// Forgets the teams for which `known` is false, after a change of the configuration.
+    /// Drops the teams for which `known` returns false, after a change of the configuration.
     pub fn retain(&mut self, mut known: impl FnMut(&Name) -> bool) {
         self.teams.retain(|(name, _)| known(name));
     }
