--- a/crates/policy/src/fair/mod.rs
+++ b/crates/policy/src/fair/mod.rs
@@ -1,20 +1,23 @@
 //! Fair queueing between teams, and ordering of programs within a team.
 //!
-//! Between teams: start-time fair queueing (Goyal, Vin and Cheng, 1996). Each team has a start tag;
-//! a call of estimated cost `c` advances it by `c / weight`, and the backlogged team with the
-//! lowest tag is served next. The virtual time is the start tag of the call served last, and a team
-//! that becomes backlogged starts at the virtual time at the earliest, so that it neither saves up
-//! service while idle nor pays for service it received while others were idle. Over any interval
-//! in which two teams are backlogged, their services divided by their weights differ by at most one
-//! largest call of each. Costs are in tokens (any unit will do as long as all calls use the same).
+//! Teams are served by start-time fair queueing (Goyal, Vin and Cheng, 1996). Each team has a start
+//! tag; a call of estimated cost `c` advances it by `c / weight`, and the backlogged team with the
+//! lowest tag is served next. The virtual time is the start tag of the call that was served last. A
+//! team that becomes backlogged starts at the virtual time at the earliest, so it neither saves up
+//! service while it is idle nor pays for service that it received while others were idle. Over any
+//! interval in which two teams are backlogged, their services divided by their weights differ by at
+//! most one largest call of each. Costs are in tokens (or any other unit, if all calls use the
+//! same).
 //!
-//! Within a team: a [`ProgramOrder`], which gives each call a key when it arrives; the lowest key is
-//! first. Service is counted per root program, so that a program gains nothing by sub-agents, and
-//! calls that are waiting count already, so that sub-agents that arrive together are spread out.
+//! Within a team, a [`ProgramOrder`] gives each call a key when it arrives, and the lowest key is
+//! first. Service is counted per root program, so that a program gains nothing by using sub-agents,
+//! and calls that are waiting are counted already, so that sub-agents that arrive together are
+//! spread out.
 //!
-//! Beyond the dispatch: [`Priorities`], by which the engines order the calls of all instances.
+//! After the dispatch, [`Priorities`] let the engines order the calls of all instances.
 //!
-//! Owner of the state: the entry instance. When it dies, its callers' connections die with it.
+//! The state belongs to the entry instance. When the instance fails, its callers' connections are
+//! lost too.
 
 mod order;
 mod priority;
@@ -32,55 +35,55 @@
 /// A call that is to be queued.
 #[derive(Clone, Debug)]
 pub struct Call<T> {
-    /// Team, the unit of fairness.
+    /// Team of the call; service is divided fairly between teams.
     pub team: Name,
     /// Weight of the team, at least 1.
     pub weight: u32,
-    /// Program path (`root` or `root/child`), or none for a call without a program.
+    /// Program path (`root` or `root/child`), or `None` for a call without a program.
     pub program: Option<Name>,
     /// Estimated service in tokens.
     pub cost: u64,
-    /// When the caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Duration,
-    /// What the caller of the queue needs to go on.
+    /// Data of the user of the queue.
     pub payload: T,
 }
 
-/// Number of a queued call, unique within its queue.
+/// Identifier of a queued call, unique within its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueueId(pub u64);
 
-/// A call that left the queue.
+/// A call that was taken out of the queue.
 #[derive(Clone, Debug)]
 pub struct Entry<T> {
-    /// Its number.
+    /// Identifier of the call.
     pub id: QueueId,
     /// The call.
     pub call: Call<T>,
-    /// When it arrived.
+    /// Time of arrival.
     pub queued_at: Duration,
 }
 
-/// Why a call was not queued.
+/// Error of [`FairQueue::push`], with the call that was not queued.
 #[derive(Debug, thiserror::Error)]
 pub enum QueueFull<T> {
-    /// The team has as many calls waiting as it may.
-    #[error("too many calls of the team are waiting")]
+    /// The team has reached [`QueueConfig::max_per_team`].
+    #[error("the queue of the team is full")]
     Team(Call<T>),
-    /// The queue is full.
-    #[error("too many calls are waiting")]
+    /// The queue has reached [`QueueConfig::max_total`].
+    #[error("the queue is full")]
     Queue(Call<T>),
 }
 
-/// How many more calls a group of endpoints can take from this instance now.
+/// Limit on the calls that this instance has in flight at a group of endpoints.
 ///
-/// The queue asks before it hands out a call and reports each call that it hands out.
+/// The queue checks it before it returns a call and records each call that it returns.
 pub trait InFlightLimit {
-    /// Whether one more call can be dispatched.
+    /// Returns whether one more call can be dispatched.
     fn has_room(&self, now: Duration) -> bool;
-    /// Notes that a call of estimated `cost` is being dispatched.
+    /// Records the dispatch of a call of estimated `cost`.
     fn acquire(&mut self, cost: u64);
-    /// Notes that a call of estimated `cost` has ended.
+    /// Records the end of a call of estimated `cost`.
     fn release(&mut self, cost: u64);
 }
 
@@ -97,12 +100,12 @@
         Self { limit, in_flight: 0 }
     }
 
-    /// Changes the limit; calls in flight above it go on.
+    /// Changes the limit. Calls in flight above it continue.
     pub fn set_limit(&mut self, limit: u32) {
         self.limit = limit;
     }
 
-    /// Calls in flight.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
@@ -122,7 +125,7 @@
     }
 }
 
-/// Root of a program path.
+/// Returns the root of a program path.
 pub fn root_program(program: &str) -> &str {
     program.split('/').next().unwrap_or(program)
 }
--- a/crates/policy/src/fair/order.rs
+++ b/crates/policy/src/fair/order.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-/// What an ordering knows of a call when it arrives.
+/// Properties of a call on arrival that an ordering may use.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingCall {
-    /// When it arrived.
+    /// Time of arrival.
     pub queued_at: Duration,
-    /// When its caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Duration,
     /// Estimated service in tokens.
     pub cost: u64,
-    /// Service that its root program has received, with that of its waiting calls, in tokens.
+    /// Service that the root program has received, including its waiting calls, in tokens.
     pub attained: u64,
 }
 
@@ -21,7 +21,7 @@
     fn key(&self, call: &PendingCall) -> u64;
 }
 
-/// First come, first served. The baseline.
+/// First come, first served; the baseline.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fcfs;
 
@@ -31,10 +31,10 @@
     }
 }
 
-/// Least attained service first: programs that have used least so far go first.
+/// Least attained service first.
 ///
-/// It needs no knowledge of how long a program will run. A stream of new programs can starve a
-/// long one; [`LasDeadline`] bounds that.
+/// This needs no knowledge of how long a program will run. A stream of new programs can starve a
+/// long one; [`LasDeadline`] prevents that.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Las;
 
@@ -46,16 +46,16 @@
 
 /// Least attained service with deadline and aging.
 ///
-/// The key is a virtual due time: the arrival plus a delay that grows with the attained service, up
-/// to `max_delay`, brought forward if the deadline is near. A call waits only behind calls that
-/// arrived less than `max_delay` after it, so nothing starves.
+/// The key is a virtual due time: the time of arrival plus a delay that grows with the attained
+/// service, up to `max_delay`, and that is shortened if the deadline is near. A call waits only for
+/// calls that arrived less than `max_delay` after it, so no call starves.
 #[derive(Clone, Copy, Debug)]
 pub struct LasDeadline {
     /// Delay per attained token.
     pub per_token: Duration,
-    /// Longest delay.
+    /// Maximum delay.
     pub max_delay: Duration,
-    /// Estimated run time per token of cost, used to leave time before the deadline.
+    /// Estimated run time per token of cost, to complete the call before its deadline.
     pub service_per_token: Duration,
 }
 
@@ -73,7 +73,7 @@
     fn key(&self, call: &PendingCall) -> u64 {
         let scale = |d: Duration, n: u64| Duration::from_secs_f64(d.as_secs_f64() * n as f64);
         let due_at = call.queued_at + scale(self.per_token, call.attained).min(self.max_delay);
-        // Half of the remaining time is left for estimates that prove too low.
+        // Half of the slack is reserved for estimates that are too low.
         let needed = scale(self.service_per_token, call.cost).min(self.max_delay);
         let slack = call.deadline.saturating_sub(call.queued_at + needed) / 2;
         let latest_at = call.queued_at + slack;
--- a/crates/policy/src/fair/queue.rs
+++ b/crates/policy/src/fair/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one group of endpoints at one instance.
+//! Queue of one group of endpoints at one instance.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound::{Excluded, Unbounded};
@@ -8,24 +8,25 @@
 use super::{Call, Entry, InFlightLimit, PendingCall, ProgramOrder, QueueFull, QueueId};
 use crate::Name;
 
-/// Tag units per token at weight 1; keeps divisions by the weight exact to a thousandth of a token.
+/// Tag units per token at weight 1; limits rounding in divisions by the weight to a thousandth of a
+/// token.
 const TAG_SCALE: u128 = 1_000_000;
 
-/// Idle teams kept before the queue looks for those it may forget.
+/// Number of idle teams above which the queue drops those without state.
 const MAX_IDLE_TEAMS: usize = 64;
 
-/// Bounds of a [`FairQueue`].
+/// Limits of a [`FairQueue`].
 #[derive(Clone, Copy, Debug)]
 pub struct QueueConfig {
-    /// Calls of one team that may wait.
+    /// Maximum number of waiting calls of one team.
     pub max_per_team: usize,
-    /// Calls that may wait.
+    /// Maximum number of waiting calls.
     pub max_total: usize,
-    /// Longest wait of a call; its deadline may be earlier.
+    /// Maximum wait of a call; its deadline may be earlier.
     pub max_wait: Duration,
-    /// Root programs whose attained service is remembered.
+    /// Maximum number of root programs whose attained service is kept.
     pub max_programs: usize,
-    /// Time without calls after which a root program's attained service is forgotten.
+    /// Time without calls after which a root program's attained service is dropped.
     pub program_ttl: Duration,
 }
 
@@ -41,9 +42,9 @@
     }
 }
 
-/// Start-time fair queue between teams, with an ordering of programs within each.
+/// Start-time fair queue between teams, with an ordering of programs within each team.
 ///
-/// See the [module comment](super) for the algorithm and its bound.
+/// See the [module docs](super) for the algorithm and its bound.
 pub struct FairQueue<T> {
     cfg: QueueConfig,
     order: Box<dyn ProgramOrder>,
@@ -86,22 +87,23 @@
         }
     }
 
-    /// Calls that wait.
+    /// Returns the number of waiting calls.
     pub fn len(&self) -> usize {
         self.calls_by_id.len()
     }
 
-    /// Whether no call waits.
+    /// Returns whether no call is waiting.
     pub fn is_empty(&self) -> bool {
         self.calls_by_id.is_empty()
     }
 
-    /// Calls of `team` that wait.
+    /// Returns the number of waiting calls of `team`.
     pub fn team_len(&self, team: &str) -> usize {
         self.find(team).map_or(0, |at| self.teams[at].1.calls.len())
     }
 
-    /// Service in tokens that the root of `program` has received, with that of waiting calls.
+    /// Returns the service that the root of `program` has received, including its waiting calls, in
+    /// tokens.
     pub fn attained(&self, team: &Name, program: &Name) -> u64 {
         self.attained.get(team, program)
     }
@@ -110,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the call when its team or the whole queue has as many waiting as it may.
+    /// Returns the call if its team or the whole queue has reached its limit of waiting calls.
     pub fn push(&mut self, call: Call<T>, now: Duration) -> Result<QueueId, QueueFull<T>> {
         if self.calls_by_id.len() >= self.cfg.max_total {
             return Err(QueueFull::Queue(call));
@@ -124,14 +126,14 @@
         Ok(id)
     }
 
-    /// Takes the next call, if `limits` has room for it. Calls whose wait has ended are left to
-    /// [`FairQueue::expire`].
+    /// Takes the next call if `limits` has room for it. Skips expired calls, which
+    /// [`FairQueue::expire`] returns.
     pub fn pop(&mut self, limits: &mut dyn InFlightLimit, now: Duration) -> Option<Entry<T>> {
         self.pop_where(limits, now, |_| true)
     }
 
-    /// Takes the next call of a team for which `may` holds, if `limits` has room for it. The other
-    /// teams are passed over and keep their place.
+    /// Takes the next call of a team for which `eligible` returns true, if `limits` has room for
+    /// it. The other teams are skipped and keep their start tags.
     pub fn pop_where(
         &mut self,
         limits: &mut dyn InFlightLimit,
@@ -141,7 +143,7 @@
         if !limits.has_room(now) {
             return None;
         }
-        // At most one pass over the teams: one whose calls have all expired is passed over too.
+        // At most one pass over the teams; a team whose calls have all expired is skipped too.
         let mut after = None;
         loop {
             let (tag, name) = match &after {
@@ -166,8 +168,8 @@
         }
     }
 
-    /// Puts a call back that [`FairQueue::pop`] returned but that could not be dispatched. Undoes
-    /// the charge to its team; it goes before equal calls.
+    /// Puts back a call that [`FairQueue::pop`] returned but that could not be dispatched, and
+    /// refunds its team. The call goes before calls with an equal key.
     pub fn put_back(&mut self, entry: Entry<T>, limits: &mut dyn InFlightLimit, now: Duration) {
         limits.release(entry.call.cost);
         let (team, cost) = (entry.call.team.clone(), entry.call.cost);
@@ -178,7 +180,7 @@
         self.charge(&team, -i128::from(cost));
     }
 
-    /// Removes a call whose caller has gone.
+    /// Removes a call, for example because its caller has disconnected.
     pub fn remove(&mut self, id: QueueId) -> Option<Entry<T>> {
         let (team, key) = self.calls_by_id.get(&id)?.clone();
         let at = self.find(&team)?;
@@ -189,7 +191,7 @@
         Some(entry)
     }
 
-    /// Removes the calls whose deadline or longest wait has passed.
+    /// Removes and returns the calls whose deadline or maximum wait has passed.
     pub fn expire(&mut self, now: Duration) -> Vec<Entry<T>> {
         let mut expired = Vec::new();
         while let Some((at, id)) = self.expirations.first().copied().filter(|(at, _)| *at <= now) {
@@ -203,12 +205,13 @@
         expired
     }
 
-    /// When [`FairQueue::expire`] next has something to remove.
+    /// Returns when [`FairQueue::expire`] next has a call to remove.
     pub fn next_expiry(&self) -> Option<Duration> {
         self.expirations.first().map(|(at, _)| *at)
     }
 
-    /// Removes the calls for which `gone` holds, for example those of a withdrawn key.
+    /// Removes and returns the calls for which `matches` returns true, for example those of a
+    /// revoked API key.
     pub fn remove_where(&mut self, mut matches: impl FnMut(&Call<T>) -> bool) -> Vec<Entry<T>> {
         let queued = self.teams.iter().flat_map(|(_, team)| team.calls.values());
         let ids: Vec<_> = queued.filter(|s| matches(&s.entry.call)).map(|s| s.entry.id).collect();
@@ -256,7 +259,7 @@
         team.calls.insert((key, entry.id), QueuedCall { entry, expires_at });
     }
 
-    /// Removes a call from its team, which is charged for it when it is `served`.
+    /// Removes a call from its team, and charges the team for it if it is `served`.
     fn remove_call(&mut self, at: usize, key: (u64, QueueId), served: bool) -> Entry<T> {
         let (name, team) = &mut self.teams[at];
         let QueuedCall { entry, expires_at } =
@@ -265,7 +268,7 @@
         self.expirations.remove(&(expires_at, entry.id));
         let old = team.start_tag;
         if served {
-            // A team whose calls had all expired was passed over and may be behind.
+            // A team whose calls had all expired was skipped and may be behind.
             self.virtual_time = self.virtual_time.max(old);
             team.start_tag += u128::from(entry.call.cost) * TAG_SCALE / u128::from(team.weight);
             self.max_finish = self.max_finish.max(team.start_tag);
@@ -282,7 +285,7 @@
         entry
     }
 
-    /// Moves a team's start tag by `tokens`, but not before the virtual time.
+    /// Moves a team's start tag by the cost of `tokens`, but not before the virtual time.
     fn charge(&mut self, name: &Name, tokens: i128) {
         let Some(at) = self.find(name) else { return };
         let team = &mut self.teams[at].1;
@@ -305,7 +308,7 @@
             return at;
         }
         if self.teams.len() >= 2 * self.backlog.len() + MAX_IDLE_TEAMS {
-            // A team that is behind the virtual time would start there anyway.
+            // Teams behind the virtual time would restart there anyway, so they have no state.
             let now = self.virtual_time;
             self.teams.retain(|(_, team)| !team.calls.is_empty() || team.start_tag > now);
         }
--- a/crates/policy/src/fair/service.rs
+++ b/crates/policy/src/fair/service.rs
@@ -1,4 +1,4 @@
-//! Service that root programs have received.
+//! Attained service of root programs.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use super::root_program;
 use crate::Name;
 
-/// Attained service per (team, root program), bounded in number and forgotten after a time.
+/// Attained service per (team, root program), bounded in number and dropped after a time.
 #[derive(Debug)]
 pub(super) struct AttainedService {
     programs: HashMap<(Name, Name), Program>,
-    /// Candidates for removal, oldest first; a candidate seen since is queued again.
+    /// Candidates for eviction, oldest first; a candidate that was used since is queued again.
     eviction_order: VecDeque<(Name, Name)>,
     max_programs: usize,
     program_ttl: Duration,
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Removes a few forgotten programs, and the oldest one if the table is full.
+    /// Checks a few candidates and removes the idle ones; also removes the oldest ones while the
+    /// table is full.
     fn evict(&mut self, now: Duration) {
         for _ in 0..4 {
             let full = self.programs.len() >= self.max_programs;
