--- a/crates/policy/src/rate/handover.rs
+++ b/crates/policy/src/rate/handover.rs
@@ -1,4 +1,4 @@
-//! Choice of the owner of a team's bucket and change of owner.
+//! Selection of the owner of a team's bucket, and change of owner.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use super::{Grant, GrantId, Limit, MAX_VALIDITY, OwnerBucket, TokenRequest};
 use crate::Name;
 
-/// Views remembered; older changes count as settled.
+/// Maximum number of views kept; owners in older views are unknown.
 const MAX_VIEWS: usize = 64;
 
-/// Membership view of an epoch.
+/// Membership view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
     /// Epoch; increases by one with each change.
@@ -20,12 +20,12 @@
 
 /// Returns the owner of `team`'s bucket among `instances`, by rendezvous hashing with BLAKE3.
 ///
-/// A change of the view moves only the teams whose owner left, or that a new instance takes over.
+/// A change of the view moves only the teams whose owner left and those that a new instance owns.
 pub fn owner_of<'a>(team: &str, instances: &'a [Name]) -> Option<&'a Name> {
     instances.iter().max_by_key(|instance| (rendezvous(team, instance), *instance))
 }
 
-/// Rendezvous weight of `member` for `key`.
+/// Returns the rendezvous weight of `member` for `key`.
 pub(crate) fn rendezvous(key: &str, member: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(key.len() as u64).to_le_bytes());
@@ -35,61 +35,65 @@
     u64::from_le_bytes(*digest.as_bytes().first_chunk().expect("a digest has 32 bytes"))
 }
 
-/// Request of a new owner to the former one to hand over a bucket.
+/// Request of a new owner to the former owner to transfer a bucket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// Team of the bucket.
     pub team: Name,
     /// New owner.
     pub to: Name,
-    /// Its session, so that a claim made before a restart has no effect after it.
+    /// Session of the new owner, so that a claim from before a restart has no effect after it.
     pub session: u64,
-    /// Epoch of its view.
+    /// Epoch of the view of the new owner.
     pub epoch: u64,
 }
 
-/// State of a bucket that a former owner hands to its successor, after which it grants no more.
+/// State of a bucket that a former owner transfers to its successor. The former owner makes no more
+/// grants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transfer {
-    /// The claim that it answers.
+    /// The claim that this answers.
     pub claim: Claim,
     /// Level in 10^-9 tokens.
     pub level_nano: u64,
     /// Tokens granted that may still be used.
     pub outstanding: u32,
-    /// Time after which none of them is valid.
+    /// Time after which the outstanding tokens have expired.
     pub valid_for: Duration,
 }
 
 /// Answer of [`OwnedBuckets::request`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The bucket's answer.
+    /// The answer of the bucket.
     Granted(Grant),
-    /// This instance is not the owner in its view; the owner is given when one is known.
+    /// This instance is not the owner in its view; contains the owner if there is one.
     NotOwner(Option<Name>),
-    /// This instance is the owner, but grants of a former owner may still be valid.
+    /// This instance is the owner but must not grant yet, since grants of a former owner may still
+    /// be valid.
     Starting {
-        /// When to ask again.
+        /// Time after which to send the request again.
         retry_after: Duration,
     },
 }
 
 /// Buckets that this instance owns.
 ///
-/// The caller must check its own membership lease before [`OwnedBuckets::request`]. Then an instance that
-/// has seen each view since its start, or since a gap, may rely on this: any former owner in those
-/// views was preferred to it, so it is missing in the newest one, so its lease has expired, because
-/// the leader removes an instance only then. Its last grants remain valid for [`MAX_VALIDITY`].
-/// Views from before are unknown, but one lease duration after its first view no instance can hold
-/// a lease under them, and [`MAX_VALIDITY`] later no grant is valid.
+/// The caller must check its own membership lease before [`OwnedBuckets::request`]. An instance
+/// that has seen each view since its start, or since a gap, can then rely on the following. Any
+/// former owner in those views ranked higher than this instance, so it is missing in the newest
+/// view. So its lease has expired, because the leader removes an instance only then, and its last
+/// grants remain valid for [`MAX_VALIDITY`]. Earlier views are unknown, but one lease duration
+/// after the first view of this instance no instance can hold a lease under them, and
+/// [`MAX_VALIDITY`] later no grant is valid.
 ///
-/// An instance that joins takes over teams from live owners. It need not wait: the former owner,
-/// once it knows the new view, hands its bucket over ([`OwnedBuckets::claim`], [`OwnedBuckets::release`],
-/// [`OwnedBuckets::accept`]). It does so once, to one session, and only for [`MAX_VALIDITY`] after it
-/// learned of the view. It learned of it at most one lease duration after the view was made, and
-/// the new owner starts by itself one lease duration and [`MAX_VALIDITY`] after that at the
-/// earliest, so the bucket cannot be handed to an instance that has already started another.
+/// An instance that joins takes over teams from live owners and need not wait: once the former
+/// owner knows the new view, it transfers its bucket ([`OwnedBuckets::claim`],
+/// [`OwnedBuckets::release`], [`OwnedBuckets::accept`]). It does so once, to one session, and only
+/// for [`MAX_VALIDITY`] after the view arrived. The view arrived there at most one lease duration
+/// after it was made, and without a transfer the new owner starts one lease duration and
+/// [`MAX_VALIDITY`] after that at the earliest. So a bucket cannot be transferred to an instance
+/// that has already started another one.
 #[derive(Debug)]
 pub struct OwnedBuckets {
     instance: Name,
@@ -97,17 +101,18 @@
     lease: Duration,
     min_validity: Duration,
     grants_made: u64,
-    /// Before this time a team may have had an owner that this instance does not know.
+    /// Before this time a former owner that this instance does not know may have valid grants.
     unknown_owners_until: Duration,
     views: VecDeque<(Duration, View)>,
     buckets: Vec<(Name, OwnerBucket)>,
-    /// Buckets that the newest view gave to another instance.
+    /// Buckets that belong to other instances since the newest view.
     released: Vec<(Name, OwnerBucket)>,
 }
 
 impl OwnedBuckets {
-    /// Returns the buckets of instance `me`; `session` must differ from that of any former process
-    /// and `lease` is the duration of membership leases.
+    /// Returns an empty set of buckets for `instance`. `session` must differ from that of any
+    /// former process, `lease` is the duration of membership leases and `min_validity` the lower
+    /// bound of the validity of grants.
     pub fn new(instance: Name, session: u64, lease: Duration, min_validity: Duration) -> Self {
         Self {
             instance,
@@ -122,9 +127,10 @@
         }
     }
 
-    /// Takes note of a view that arrived at `now`.
+    /// Applies a view that arrived at `now`. Older views are ignored.
     ///
-    /// A gap between epochs hides owners from this instance, so it waits as after a start.
+    /// After a gap between epochs there may be owners that this instance does not know, so it waits
+    /// as after a start.
     pub fn observe_view(&mut self, view: &View, now: Duration) {
         match self.views.back() {
             Some((_, last)) if last.epoch >= view.epoch => return,
@@ -149,7 +155,7 @@
     }
 
     /// Returns a claim for the bucket of `team` and the instance to send it to, while this instance
-    /// is the owner but may not grant yet.
+    /// is the owner but must not grant yet.
     pub fn claim(&self, team: &Name, now: Duration) -> Option<(Name, Claim)> {
         let (_, view) = self.views.back()?;
         let started = self.buckets.binary_search_by(|(name, _)| name.cmp(team)).is_ok();
@@ -163,7 +169,7 @@
         Some((former, Claim { team: team.clone(), to, session, epoch }))
     }
 
-    /// Hands a bucket over to its new owner, if this instance had it until the newest view.
+    /// Transfers a bucket to its new owner, if this instance owned it until the newest view.
     pub fn release(&mut self, claim: &Claim, now: Duration) -> Option<Transfer> {
         let (learned, view) = self.views.back()?;
         if view.epoch != claim.epoch
@@ -183,12 +189,12 @@
         })
     }
 
-    /// Owner of `team` in the newest view.
+    /// Returns the owner of `team` in the newest view.
     pub fn owner(&self, team: &str) -> Option<&Name> {
         self.views.back().and_then(|(_, view)| owner_of(team, &view.instances))
     }
 
-    /// When this instance may start to grant tokens of `team` without a transfer.
+    /// Returns the time from which this instance may grant tokens of `team` without a transfer.
     pub fn earliest_grant(&self, team: &str) -> Duration {
         let owners = |i: usize| owner_of(team, &self.views[i].1.instances);
         let changed = (1..self.views.len()).rev().find(|i| owners(*i) != owners(*i - 1));
@@ -197,8 +203,8 @@
         })
     }
 
-    /// Takes over a bucket from its former owner. Returns whether the transfer was accepted; it is
-    /// refused when it was made for another epoch or session, or when the bucket has been started.
+    /// Takes over a bucket from its former owner. Returns false if the transfer is for another
+    /// epoch or session, or if this instance has a bucket of the team already.
     pub fn accept(&mut self, transfer: &Transfer, limit: Limit, now: Duration) -> bool {
         let claim = &transfer.claim;
         let Some((_, view)) = self.views.back() else { return false };
@@ -217,7 +223,7 @@
         true
     }
 
-    /// Answers a request for tokens of `team`. The caller has checked its own lease at `now`.
+    /// Answers a request for tokens of `team`. The caller must have checked its own lease at `now`.
     pub fn request(
         &mut self,
         team: &Name,
@@ -249,7 +255,7 @@
         Answer::Granted(bucket.request(id, request, now))
     }
 
-    /// Drops the buckets for which [`OwnedBuckets::request`] would make an equal one: those that are full.
+    /// Drops the buckets that are full, since [`OwnedBuckets::request`] would create equal ones.
     pub fn prune(&mut self, now: Duration) {
         let mut buckets = std::mem::take(&mut self.buckets);
         buckets.retain_mut(|(team, bucket)| {
--- a/crates/policy/src/rate/instance.rs
+++ b/crates/policy/src/rate/instance.rs
@@ -1,4 +1,4 @@
-//! The part of a team's rate that one instance holds.
+//! Tokens of one team that one instance holds.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,26 +7,27 @@
 use crate::Name;
 use crate::invariants::check_invariant;
 
-/// Clocks of two instances may differ by this fraction in speed.
+/// The clock rates of two instances may differ by one part in this number.
 const CLOCK_DRIFT_DIVISOR: u32 = 256;
 
 /// Time constant of the demand estimate.
 const DEMAND_WINDOW: Duration = Duration::from_millis(250);
 
-/// Bursts under this report each use immediately, because they cannot refill until then.
+/// With a burst below this, each use is reported immediately, because the bucket of the owner does
+/// not refill before.
 const IMMEDIATE_REPORT_BURST: u32 = 16;
 
-/// Requests to the owner whose answers are still accepted.
+/// Maximum number of requests whose answers are accepted; the oldest one is dropped first.
 const MAX_PENDING_REQUESTS: usize = 8;
 
-/// Parameters of a [`InstanceBucket`].
+/// Parameters of an [`InstanceBucket`].
 #[derive(Clone, Copy, Debug)]
 pub struct InstanceBucketConfig {
-    /// Time after which an unanswered request to the owner is sent again.
+    /// Time after which a new request is sent if the owner has not answered.
     pub request_timeout: Duration,
-    /// Calls that may wait for a token.
+    /// Maximum number of calls that wait for a token.
     pub max_waiting: usize,
-    /// Lower bound of the validity of grants; the same value as at the owner.
+    /// Lower bound of the validity of grants; must be the same as at the owner.
     pub min_validity: Duration,
 }
 
@@ -40,14 +41,15 @@
     }
 }
 
-/// Number of a waiting call, unique within its share.
+/// Identifier of a waiting call, unique within its bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
 /// Permission to run one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// The call must be admitted before this time; a process that was suspended since checks it.
+    /// The call must be admitted before this time. The caller must check it again if the process
+    /// may have been suspended.
     pub valid_until: Duration,
 }
 
@@ -56,11 +58,12 @@
 pub enum Admission {
     /// The call may run now.
     Granted(Permit),
-    /// The call waits; its verdict comes from [`InstanceBucket::on_grant`] or [`InstanceBucket::expire`].
+    /// The call waits; its outcome comes from [`InstanceBucket::on_grant`] or
+    /// [`InstanceBucket::expire`].
     Wait(Ticket),
-    /// No token can be had before the call's deadline, or too many calls are waiting.
+    /// No token is available before the call's deadline, or too many calls are waiting.
     Refused {
-        /// When a token is expected to be available.
+        /// Time after which a token is expected to be available.
         retry_after: Duration,
     },
 }
@@ -70,9 +73,9 @@
 pub enum Verdict {
     /// The call may run now.
     Granted(Permit),
-    /// No token can be had before the call's deadline.
+    /// No token is available before the call's deadline.
     Refused {
-        /// When a token is expected to be available.
+        /// Time after which a token is expected to be available.
         retry_after: Duration,
     },
 }
@@ -83,7 +86,7 @@
     left: u32,
     used: u32,
     returned: u32,
-    /// `used + returned` of the last report that was sent.
+    /// `used + returned` in the last report.
     reported: u32,
     received: Duration,
     expires: Duration,
@@ -97,11 +100,11 @@
 
 /// Tokens of one team at one instance, and the calls that wait for them.
 ///
-/// State is in memory only; when the instance dies its tokens expire at the owner.
+/// The state is in memory only; when the instance fails, its tokens expire at the owner.
 ///
-/// Teams whose demand at this instance is under two calls per half validity ask for single tokens
-/// when a call waits. Busier teams lease the tokens for half a validity of their recent demand, and
-/// ask again when half of them are spent.
+/// If the demand of the team at this instance is less than two calls per half of the validity,
+/// tokens are requested for waiting calls only. Otherwise the tokens for half of the validity at
+/// the recent demand are requested in advance, and again when half of them are used.
 #[derive(Debug)]
 pub struct InstanceBucket {
     instance: Name,
@@ -111,19 +114,20 @@
     waiting: VecDeque<WaitingCall>,
     next_ticket: u64,
     next_request: u64,
-    /// Requests without an answer yet, and when each was sent.
+    /// Requests without an answer, and when each was sent.
     pending_requests: VecDeque<(u64, Duration)>,
     next_request_at: Duration,
-    /// The owner gives no spare tokens while the bucket is low; it is not asked again before this.
+    /// Time of the next request for prefetched tokens, which the owner does not grant while its
+    /// level is low.
     next_prefetch_at: Duration,
-    /// When the team's backlog is expected to be served, if the owner has reported one.
+    /// When the backlog of the team is expected to be served, if the owner has reported one.
     backlog_cleared_at: Option<Duration>,
     demand: f64,
     demand_at: Duration,
 }
 
 impl InstanceBucket {
-    /// Returns an empty share.
+    /// Returns an empty bucket.
     pub fn new(instance: Name, limit: Limit, cfg: InstanceBucketConfig) -> Self {
         Self {
             instance,
@@ -142,12 +146,12 @@
         }
     }
 
-    /// Changes the limit that estimates are based on; the owner enforces it.
+    /// Changes the limit that estimates are based on. The owner enforces it.
     pub fn set_limit(&mut self, limit: Limit) {
         self.limit = limit;
     }
 
-    /// Admits a call, lets it wait, or refuses it when it cannot be admitted before `deadline`.
+    /// Admits a call, queues it, or refuses it if it cannot be admitted before `deadline`.
     pub fn acquire(&mut self, deadline: Duration, now: Duration) -> Admission {
         self.count_demand(now);
         if self.waiting.is_empty()
@@ -168,28 +172,29 @@
         Admission::Wait(ticket)
     }
 
-    /// Removes a waiting call whose caller has gone.
+    /// Removes a waiting call, for example because its caller has disconnected. Returns whether it
+    /// was waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let at = self.waiting.iter().position(|w| w.ticket == ticket);
         at.and_then(|at| self.waiting.remove(at)).is_some()
     }
 
-    /// Calls that wait for a token.
+    /// Returns the number of calls that are waiting for a token.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Unspent valid tokens.
+    /// Returns the number of unused valid tokens.
     pub fn held(&self, now: Duration) -> u32 {
         self.held.iter().filter(|h| h.expires > now).map(|h| h.left).sum()
     }
 
-    /// Expected wait of a call that arrives now.
+    /// Returns the expected wait of a call that arrives at `now`.
     pub fn expected_wait(&self, now: Duration) -> Duration {
         self.backlog_cleared_at.map_or(Duration::ZERO, |at| at.saturating_sub(now))
     }
 
-    /// Returns the request to send to the owner now, if any.
+    /// Returns the request to send to the owner at `now`, if any.
     pub fn poll(&mut self, now: Duration) -> Option<TokenRequest> {
         self.drop_expired(now);
         if self.next_poll(now).is_none_or(|at| at > now) {
@@ -214,7 +219,8 @@
         Some(TokenRequest { id, instance: self.instance.clone(), waiting, prefetch, reports })
     }
 
-    /// When [`InstanceBucket::poll`] may have a request, if no other method is called before.
+    /// Returns when [`InstanceBucket::poll`] may next have a request, if no other method is called
+    /// before.
     pub fn next_poll(&self, now: Duration) -> Option<Duration> {
         let resend = self
             .pending_requests
@@ -231,7 +237,8 @@
         (target > 0 && self.held(now) <= target / 2).then(|| earliest.max(self.next_prefetch_at))
     }
 
-    /// Takes the owner's answer to the request `ask`, and returns the calls that it decides.
+    /// Applies the owner's answer to the request with this id, and returns the calls that it
+    /// decides.
     pub fn on_grant(
         &mut self,
         request: u64,
@@ -242,7 +249,7 @@
             return Vec::new();
         };
         let (_, sent) = self.pending_requests.remove(at).expect("the position is in range");
-        // Older requests are considered lost, but their answers are still accepted.
+        // Older requests count as lost, but their answers are still accepted.
         let expires = sent + grant.valid_for - grant.valid_for / CLOCK_DRIFT_DIVISOR;
         if grant.tokens > 0 && expires > now {
             self.held.push_back(HeldGrant {
@@ -264,10 +271,11 @@
         decided
     }
 
-    /// Notes that the owner cannot grant before `retry_after` has passed (it is starting).
+    /// Handles an owner that is starting and cannot grant before `retry_after` has passed. Returns
+    /// the calls that this refuses.
     pub fn on_starting(&mut self, retry_after: Duration, now: Duration) -> Vec<(Ticket, Verdict)> {
         self.pending_requests.clear();
-        // A transfer from the former owner may end the wait early.
+        // A transfer from the former owner may shorten the wait.
         self.next_request_at = now + retry_after.min(self.cfg.request_timeout);
         self.backlog_cleared_at = Some(now + retry_after);
         let mut decided = Vec::new();
@@ -275,21 +283,21 @@
         decided
     }
 
-    /// Notes that the team has another owner, which has not heard of earlier requests.
+    /// Handles a change of owner; the new owner does not know earlier requests.
     pub fn on_new_owner(&mut self, now: Duration) {
         self.pending_requests.clear();
         self.next_request_at = now;
         self.backlog_cleared_at = None;
     }
 
-    /// Returns the calls whose deadline has passed.
+    /// Removes and returns the calls whose deadline has passed.
     pub fn expire(&mut self, now: Duration) -> Vec<(Ticket, Verdict)> {
         let mut decided = Vec::new();
         self.refuse_until(now, now, &mut decided);
         decided
     }
 
-    /// Earliest deadline of a waiting call.
+    /// Returns the earliest deadline of a waiting call.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.waiting.iter().map(|w| w.deadline).min()
     }
@@ -325,7 +333,7 @@
         held.left -= 1;
         held.used += 1;
         let valid_until = held.expires;
-        check_invariant(valid_until > now, "rate: a used token is valid");
+        check_invariant(valid_until > now, "rate: a token is valid when it is used");
         Some(Permit { valid_until })
     }
 
@@ -333,7 +341,7 @@
         self.held.retain(|h| h.expires > now);
     }
 
-    /// Gives up to `surplus` tokens back whose grants are past half of their validity.
+    /// Returns up to `surplus` tokens of grants that are past half of their validity.
     fn return_tokens(&mut self, mut surplus: u32, now: Duration) {
         for held in &mut self.held {
             if now >= held.received + (held.expires - held.received) / 2 {
@@ -350,7 +358,8 @@
         self.limit.burst() < IMMEDIATE_REPORT_BURST && self.held.iter().any(open)
     }
 
-    /// Tokens to lease: half a validity of the recent demand, or none for a small team.
+    /// Returns the number of tokens to hold: those for half of the validity at the recent demand,
+    /// or none for a small team.
     fn target_tokens(&self, now: Duration) -> u32 {
         let validity = self.limit.validity(self.cfg.min_validity);
         let idle = now.saturating_sub(self.demand_at).as_secs_f64();
--- a/crates/policy/src/rate/owner.rs
+++ b/crates/policy/src/rate/owner.rs
@@ -7,19 +7,19 @@
 use crate::Name;
 use crate::invariants::check_invariant;
 
-/// Shortest time after which an instance is told to ask again.
+/// Minimum time after which an instance is told to send its next request.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(1);
 
-/// How long after the announced time an instance that was told to ask again keeps its place.
+/// Time after [`Requester::retry_at`] for which an instance keeps its position in the queue.
 const RETRY_GRACE: Duration = Duration::from_millis(20);
 
-/// How long an instance counts as active after its last request.
+/// Time after its last request for which an instance counts as active.
 const ACTIVE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Token bucket of one team.
 ///
-/// State is in memory only. When the owner dies, its successor starts a new bucket; see
-/// [`Owners`](super::Owners). The module comment of [`rate`](super) proves the bound.
+/// The state is in memory only. When the owner fails, its successor starts a new bucket; see
+/// [`OwnedBuckets`](super::OwnedBuckets). The module docs of [`rate`](super) prove the bound.
 #[derive(Clone, Debug)]
 pub struct OwnerBucket {
     limit: Limit,
@@ -27,8 +27,8 @@
     level_nano: u64,
     outstanding: u64,
     updated_at: Duration,
-    /// In order of grant; expiry is checked from the front, so a grant behind one with a later
-    /// expiry (after a change of the limit) stays outstanding for longer than necessary.
+    /// In order of creation. Expiry is checked from the front, so a grant behind one with a later
+    /// expiry (after a change of the limit) stays outstanding longer than necessary.
     grants: VecDeque<Outstanding>,
     requesters: Vec<Requester>,
 }
@@ -51,11 +51,11 @@
 #[derive(Clone, Debug)]
 struct Requester {
     instance: Name,
-    /// Calls that were left without a token by the last answer.
+    /// Calls without a token after the last answer.
     waiting: u32,
-    /// Since when it has waited without receiving any token.
+    /// Since when the instance has been waiting without receiving a token.
     waiting_since: Duration,
-    /// When it was told to ask again.
+    /// When the instance was told to send its next request.
     retry_at: Duration,
     last_seen: Duration,
 }
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Returns a bucket that takes over `level_nano` and `outstanding` tokens of a former owner;
-    /// the outstanding ones expire after `valid_for`.
+    /// Returns a bucket that continues that of a former owner, with its level in 10^-9 tokens and
+    /// its `outstanding` tokens, which expire after `valid_for`.
     pub(super) fn from_transfer(
         limit: Limit,
         min_validity: Duration,
@@ -100,7 +100,7 @@
         bucket
     }
 
-    /// Tokens available now.
+    /// Returns the available tokens.
     pub fn level(&self) -> f64 {
         self.level_nano as f64 / NANO as f64
     }
@@ -109,35 +109,36 @@
         self.level_nano
     }
 
-    /// Tokens granted that may still be used.
+    /// Returns the tokens that were granted and may still be used.
     pub fn outstanding(&self) -> u32 {
         self.outstanding as u32
     }
 
-    /// Whether the bucket is full and nothing is outstanding, so that a new one would be equal.
+    /// Returns whether the bucket is full and has no outstanding tokens, so that a new bucket would
+    /// be equal.
     pub fn is_idle(&mut self, now: Duration) -> bool {
         self.advance(now);
         self.outstanding == 0 && self.level_nano == self.limit.burst_nano()
     }
 
-    /// Time in which an empty bucket becomes full.
+    /// Returns the time in which an empty bucket fills up.
     pub(super) fn time_to_fill(&self) -> Duration {
         self.limit.time_for(f64::from(self.limit.burst()))
     }
 
-    /// Changes rate and burst from `now` on. Tokens above a smaller burst are dropped.
+    /// Changes the rate and burst from `now` on. Tokens above a smaller burst are dropped.
     pub fn set_limit(&mut self, limit: Limit, now: Duration) {
         self.advance(now);
         self.limit = limit;
         self.level_nano = self.level_nano.min(self.max_level_nano());
     }
 
-    /// Latest time at which an outstanding token expires.
+    /// Returns the latest expiry of an outstanding token.
     pub(super) fn last_expiry(&self) -> Option<Duration> {
         self.grants.iter().map(|g| g.expires).max()
     }
 
-    /// Answers a request. `id` becomes the identity of the grant and must not be used again.
+    /// Answers a request. `id` becomes the identifier of the grant and must be unique.
     pub fn request(&mut self, id: GrantId, request: &TokenRequest, now: Duration) -> Grant {
         self.advance(now);
         for report in &request.reports {
@@ -165,8 +166,9 @@
         Grant { id, tokens, valid_for, retry_after, backlog: self.backlog() }
     }
 
-    /// Spare tokens come only from the upper half of the burst and are divided among the active
-    /// instances, so that leases never leave the waiting calls of another instance without tokens.
+    /// Returns the number of prefetched tokens to grant. They come only from the upper half of the
+    /// burst and are divided among the active instances, so that prefetching never takes the tokens
+    /// of calls that are waiting at another instance.
     fn prefetch_tokens(&self, wanted: u32, served: u32) -> u32 {
         let level = self.level_nano / NANO - u64::from(served);
         let above_half = level.saturating_sub(u64::from(self.limit.burst()) / 2);
@@ -174,7 +176,7 @@
         u64::from(wanted).min(above_half / active) as u32
     }
 
-    /// Time until the level covers `tokens` tokens.
+    /// Returns the time until the level covers `tokens` tokens.
     fn wait_for(&self, tokens: u32) -> Duration {
         let missing = f64::from(tokens) - self.level();
         self.limit.time_for(missing).max(MIN_RETRY_AFTER)
@@ -184,13 +186,13 @@
         self.requesters.iter().map(|a| a.waiting).sum()
     }
 
-    /// Tokens that are kept for an instance that waits. More would let a few instances with many
-    /// waiting calls keep all tokens from the others until the bucket is full.
+    /// Returns the maximum number of tokens reserved for an instance that is waiting. With more, a
+    /// few instances with many waiting calls would block all others until the bucket is full.
     fn tokens_per_requester(&self) -> u32 {
         (self.limit.burst() / 4 / self.requesters.len().max(1) as u32).max(1)
     }
 
-    /// Tokens kept for other instances that have waited for longer and still keep their place.
+    /// Returns the tokens reserved for other instances that have been waiting for longer.
     fn ahead_of(&self, instance: &Name) -> u32 {
         let own = self.requesters.iter().find(|a| a.instance == *instance);
         let waiting_since = match own {
@@ -233,7 +235,7 @@
         };
         let requester = &mut self.requesters[at];
         if requester.waiting == 0 || served {
-            // An instance that received tokens goes behind those that did not.
+            // An instance that received tokens is queued behind those that did not.
             requester.waiting_since = now;
         }
         requester.waiting = waiting;
@@ -253,7 +255,7 @@
         self.level_nano = (self.level_nano + u64::from(back) * NANO).min(self.max_level_nano());
     }
 
-    /// Refills up to `now` and lets grants expire, in the order in which both happen.
+    /// Refills the bucket and expires grants up to `now`, in chronological order.
     fn advance(&mut self, now: Duration) {
         while let Some(first) = self.grants.front() {
             let (expires, open) = (first.expires, first.open());
@@ -283,13 +285,14 @@
         }
     }
 
-    /// Highest level that the outstanding tokens permit.
+    /// Returns the maximum level, given the outstanding tokens.
     fn max_level_nano(&self) -> u64 {
         self.limit.burst_nano().saturating_sub(self.outstanding * NANO)
     }
 
     fn check_level(&self) {
-        // After the burst was lowered, more than the burst may be outstanding, with level zero.
+        // After the burst was lowered, more than the burst may be outstanding; the level is then
+        // zero.
         let total = self.level_nano + self.outstanding * NANO;
         check_invariant(
             self.level_nano == 0 || total <= self.limit.burst_nano(),
