--- a/crates/policy/src/route/choose.rs
+++ b/crates/policy/src/route/choose.rs
@@ -1,23 +1,24 @@
-//! The interface of choosers, and the baselines.
+//! Interface of choosers, and the baselines.
 
 use rand::{Rng, RngCore};
 
 use super::{EndpointId, Fleet, PrefixIndex};
 
-/// What a chooser knows of a call.
+/// Properties of a call that a chooser uses.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// Group that must serve it: a model or a service.
+    /// Group of endpoints that serve the call: a model or a service.
     pub group: &'a str,
-    /// Hash chain over the blocks of the prompt; empty for plain services.
+    /// Hashes of the blocks of the prompt, see [`PrefixChain`](super::PrefixChain); empty for plain
+    /// services.
     pub blocks: &'a [u64],
     /// Tokens per block.
     pub block_tokens: u32,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u32,
-    /// Endpoint that ran the program's last call.
+    /// Endpoint that ran the previous call of the program.
     pub last_endpoint: Option<EndpointId>,
-    /// Endpoints that must not run it, for example because they failed it.
+    /// Endpoints that must not run the call, for example because they failed it before.
     pub excluded: &'a [EndpointId],
 }
 
@@ -28,28 +29,28 @@
     pub endpoint: EndpointId,
     /// Estimated cost in seconds; zero from the baselines.
     pub cost_s: f64,
-    /// Blocks estimated to be cached there; zero from the baselines.
+    /// Estimated number of cached leading blocks; zero from the baselines.
     pub cached_blocks: u32,
 }
 
-/// Why no endpoint was chosen.
+/// Error of [`Chooser::choose`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoRoute {
-    /// No endpoint serves the group, or none of them may receive new calls.
-    #[error("no endpoint in service")]
+    /// No endpoint of the group may receive new calls.
+    #[error("no endpoint is available")]
     NoneAvailable,
-    /// Endpoints are in service, but all are full; the call waits.
+    /// All available endpoints are full; the call has to wait.
     #[error("all endpoints are full")]
     Full,
 }
 
-/// Chooses endpoints.
+/// Endpoint selection policy.
 pub trait Chooser: Send {
-    /// Returns an endpoint for a call.
+    /// Chooses an endpoint for a call.
     ///
     /// # Errors
     ///
-    /// Says whether no endpoint may receive the call at all, or whether all that may are full.
+    /// Returns whether no endpoint may receive the call, or all that may are full.
     fn choose(
         &mut self,
         fleet: &Fleet,
@@ -59,7 +60,7 @@
     ) -> Result<Choice, NoRoute>;
 }
 
-/// Outcome of a scan that found nothing: whether any member was open at all.
+/// Returns the error for a call without an eligible endpoint.
 pub(super) fn no_route(fleet: &Fleet, req: &RouteRequest<'_>) -> NoRoute {
     let available = |id: &EndpointId| fleet.is_available(*id) && !req.excluded.contains(id);
     match fleet.members(req.group) {
@@ -68,13 +69,14 @@
     }
 }
 
-/// Whether the baselines may choose an endpoint: they respect exclusions and caps, not load.
+/// Returns whether the baselines may choose an endpoint. They respect exclusions and caps but not
+/// load.
 fn is_eligible(fleet: &Fleet, req: &RouteRequest<'_>, id: EndpointId) -> bool {
     let state = &fleet.routing_states()[id.0 as usize];
     state.available && state.own_in_flight < state.own_cap && !req.excluded.contains(&id)
 }
 
-/// Baseline: each endpoint in turn.
+/// Round robin; a baseline.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -100,7 +102,7 @@
     }
 }
 
-/// Baseline: the endpoint with the fewest calls of this instance in flight.
+/// The endpoint with the fewest calls of this instance in flight; a baseline.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastConnections;
 
--- a/crates/policy/src/route/cost.rs
+++ b/crates/policy/src/route/cost.rs
@@ -1,4 +1,4 @@
-//! Choice by estimated wait and uncached prefill.
+//! Endpoint selection by estimated wait and uncached prefill.
 
 use rand::{Rng, RngCore};
 
@@ -8,35 +8,35 @@
 
 /// Parameters of a [`CostChooser`].
 ///
-/// The defaults come from `examples/compare.rs` (deployment A, 85% load, 200 s, seed 1): with them
-/// 6% of the tokens are prefilled a second time; in trials, with a prefill weight of 4 and `max_fill`
-/// 1.25 it was 17%, and with a weight of 8 and `max_fill` 1 214%. While one team sends five times its
-/// programs, the worst other team keeps 92.5% of its service; in a trial with `max_fill` 1.5 and no
-/// `group_fill`, 83%.
+/// The defaults come from `examples/compare.rs` (deployment A, 85% load, 200 s, seed 1). With them
+/// 6% of the tokens are prefilled a second time; in trials it was 17% with a `prefill_weight` of 4
+/// and a `max_load_factor` of 1.25, and 214% with 8 and 1. While one team sends five times its
+/// programs, the worst-served other team keeps 92.5% of its service; in a trial with a
+/// `max_load_factor` of 1.5 and no `max_group_load_factor` it was 83%.
 #[derive(Clone, Copy, Debug)]
 pub struct CostConfig {
-    /// Cost of an endpoint in another zone, in seconds.
+    /// Additional cost of an endpoint in another zone, in seconds.
     pub cross_zone_s: f32,
-    /// Weight of prefill time. Above one, because prefill on an endpoint also delays the other
-    /// calls there, which the call itself does not feel.
+    /// Weight of the prefill time. Above one, because prefill also delays the other calls at the
+    /// endpoint, which is not part of the latency of the call itself.
     pub prefill_weight: f32,
-    /// Part of the service time by which a fully occupied endpoint slows a call down.
+    /// Slowdown of a call at a fully occupied endpoint, as a fraction of the service time.
     pub occupancy_slowdown: f32,
-    /// An endpoint takes calls up to this multiple of its capacity. Above one, so that a program can
-    /// stay at a full endpoint that has cached its history.
+    /// An endpoint takes calls up to this multiple of its capacity. Above one, so that a program
+    /// can stay at a full endpoint that has cached its history.
     pub max_load_factor: f32,
-    /// A group takes calls up to this multiple of its capacity; beyond, they wait in the fair queue
-    /// and not at the endpoints, which know no teams.
+    /// A group takes calls up to this multiple of its capacity. Further calls wait in the fair
+    /// queue and not at the endpoints, which do not distinguish teams.
     pub max_group_load_factor: f32,
-    /// Costs this near to the best, in seconds, count as equal.
+    /// Costs within this many seconds of the lowest one count as equal.
     pub tie_s: f32,
-    /// Costs this near to the best, as a part of it, count as equal.
+    /// Costs within this fraction of the lowest one count as equal.
     pub tie_fraction: f32,
-    /// A program leaves its endpoint only for a gain of this many seconds.
+    /// Minimum gain for which a program leaves its endpoint, in seconds.
     pub stay_gain_s: f32,
-    /// A program leaves its endpoint only for a gain of this part of the best cost.
+    /// Minimum gain for which a program leaves its endpoint, as a fraction of the lowest cost.
     pub stay_gain_fraction: f32,
-    /// Cost of opening a connection, in seconds.
+    /// Additional cost of an endpoint without an idle connection, in seconds.
     pub connect_s: f32,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Chooses the endpoint of least estimated cost; see the [module comment](super).
+/// Chooses an endpoint of nearly the lowest estimated cost; see the [module docs](super).
 #[derive(Debug)]
 pub struct CostChooser {
     cfg: CostConfig,
@@ -72,9 +72,9 @@
         Self { cfg, zone, depths: CachedDepths::default(), costs: Vec::new() }
     }
 
-    /// Estimated cost of an endpoint in seconds, or infinity when it may not be chosen.
+    /// Returns the estimated cost of an endpoint in seconds, or infinity if it must not be chosen.
     fn cost(&self, state: &RoutingState, depth: u32, zone: u16, req: &RouteRequest<'_>) -> f32 {
-        // No branches: which endpoints are full or near is not predictable.
+        // Without branches, which would be mispredicted: the endpoints differ irregularly.
         let excluded = !state.available
             | (state.load >= state.capacity * self.cfg.max_load_factor)
             | (state.own_in_flight >= state.own_cap);
@@ -90,7 +90,7 @@
         if excluded { f32::INFINITY } else { wait + prefill + distance + connect }
     }
 
-    /// The cheaper of two random endpoints whose cost is at most `limit`.
+    /// Returns the cheaper of two random endpoints whose cost is at most `limit`.
     fn pick_near_best(
         &self,
         members: &[EndpointId],
--- a/crates/policy/src/route/fleet.rs
+++ b/crates/policy/src/route/fleet.rs
@@ -1,51 +1,52 @@
-//! Endpoints and what this instance knows of their load.
+//! Endpoints and their load, as this instance knows it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::Name;
 
-/// Weight of a new measurement in the average service time.
+/// Weight of a new measurement in the moving average of the service time.
 const SERVICE_GAIN: f64 = 0.1;
 
-/// Own dispatches remembered per endpoint for the correction of late reports.
+/// Maximum number of own starts and ends per endpoint that are kept to correct late reports.
 const MAX_RECENT_CHANGES: usize = 4096;
 
-/// Number of an endpoint within its [`Fleet`]; reused after the endpoint has been removed.
+/// Index of an endpoint within its [`Fleet`]; reused after the endpoint has been removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId(pub u32);
 
-/// What the configuration says of an endpoint.
+/// Configuration of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSpec {
     /// Name.
     pub name: Name,
     /// Zone.
     pub zone: Name,
-    /// Groups that it serves: models, or a service.
+    /// Groups that the endpoint serves: models, or a service.
     pub groups: Vec<Name>,
-    /// Calls that it runs at once when warm.
+    /// Concurrent calls when warm.
     pub capacity: u32,
     /// Prefill speed in tokens per second; infinite for plain services.
     pub prefill_per_second: f64,
-    /// Service time in seconds that is assumed until one has been measured.
+    /// Service time in seconds, until it has been measured.
     pub service_s: f64,
-    /// Whether operators are taking it away.
+    /// Whether an operator is removing the endpoint.
     pub leaving: bool,
 }
 
-/// Load of an endpoint as it reports it.
+/// Load that an endpoint reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Calls running.
+    /// Running calls.
     pub running: u32,
-    /// Calls queued at the endpoint.
+    /// Calls that are queued at the endpoint.
     pub queued: u32,
-    /// When it was measured, by the clock of this instance (arrival less the expected lag).
+    /// Time of the measurement by the clock of this instance: the arrival of the report minus the
+    /// expected lag.
     pub measured_at: Duration,
 }
 
-/// What the choosers read of one endpoint; kept small, since all of them are scanned per call.
+/// State of one endpoint that the choosers read. Kept small, because each call scans all endpoints.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RoutingState {
     pub(super) load: f32,
@@ -56,9 +57,10 @@
     pub(super) own_in_flight: u32,
     pub(super) own_cap: u32,
     pub(super) zone: u16,
-    /// May receive new calls: known, healthy, not leaving, zone not out.
+    /// Whether the endpoint may receive new calls: it is present, healthy and not leaving, and its
+    /// zone is not out of service.
     pub(super) available: bool,
-    /// Whether this instance has an idle connection to it.
+    /// Whether this instance has an idle connection to the endpoint.
     pub(super) connected: bool,
 }
 
@@ -70,10 +72,10 @@
     capacity_limit: Option<u32>,
     reported_calls: i64,
     measured_at: Duration,
-    /// Own starts (+1) and ends (-1) after `taken`.
+    /// Starts (+1) and ends (-1) of own calls after `measured_at`.
     recent_changes: VecDeque<(Duration, i8)>,
     changes_since_report: i64,
-    /// Part of the reported load of other instances that still counts.
+    /// Weight of the reported load of other instances.
     report_weight: f32,
 }
 
@@ -83,7 +85,7 @@
     members: Vec<EndpointId>,
 }
 
-/// Endpoints known to one instance.
+/// Endpoints that one instance knows.
 #[derive(Debug, Default)]
 pub struct Fleet {
     endpoints: Vec<Endpoint>,
@@ -126,14 +128,14 @@
         Some(id)
     }
 
-    /// Takes note that an endpoint is about to stop.
+    /// Marks an endpoint as about to stop.
     pub fn set_leaving(&mut self, id: EndpointId) {
         self.endpoints[id.0 as usize].spec.leaving = true;
         self.refresh_availability(id);
     }
 
-    /// Whether an endpoint may be sent calls, whatever its health: it is present, is not about to
-    /// stop, and its zone is not out.
+    /// Returns whether an endpoint may receive calls, regardless of its health: it is present and
+    /// not about to stop, and its zone is not out of service.
     pub fn accepts_calls(&self, id: EndpointId) -> bool {
         let endpoint = &self.endpoints[id.0 as usize];
         let (_, out) = self.zones[usize::from(self.states[id.0 as usize].zone)];
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Sets whether an endpoint is healthy; an unhealthy one receives no new calls.
+    /// Sets whether an endpoint is healthy. Unhealthy endpoints receive no new calls.
     ///
     /// # Panics
     ///
@@ -159,8 +161,8 @@
         self.refresh_availability(id);
     }
 
-    /// Sets the calls that this instance may have in flight there, or none for no cap. It and
-    /// [`Fleet::set_capacity_limit`] follow [`Ramps::cap`](crate::ramp::Ramps::cap).
+    /// Sets the maximum number of calls of this instance in flight at an endpoint; `None` means no
+    /// limit. The value is [`Cap::own`](crate::ramp::Cap::own).
     ///
     /// # Panics
     ///
@@ -169,8 +171,8 @@
         self.states[id.0 as usize].own_cap = cap.unwrap_or(u32::MAX);
     }
 
-    /// Says whether the instance has an idle connection to an endpoint. Every endpoint counts as
-    /// connected until then.
+    /// Sets whether the instance has an idle connection to an endpoint. Initially every endpoint
+    /// counts as connected.
     ///
     /// # Panics
     ///
@@ -179,7 +181,8 @@
         self.states[id.0 as usize].connected = connected;
     }
 
-    /// Lowers the capacity of all instances together while an endpoint is cold, or restores it.
+    /// Sets the capacity of a cold endpoint for all instances together, or restores the configured
+    /// one. The value is [`Cap::total`](crate::ramp::Cap::total).
     ///
     /// # Panics
     ///
@@ -192,7 +195,7 @@
         state.inverse_capacity = 1.0 / state.capacity.max(1.0);
     }
 
-    /// Takes note of a load report. Reports older than the last one are ignored.
+    /// Applies a load report. Reports older than the last one are ignored.
     ///
     /// # Panics
     ///
@@ -213,7 +216,7 @@
         self.refresh_load(id);
     }
 
-    /// Notes that this instance dispatched a call.
+    /// Records that this instance dispatched a call.
     ///
     /// # Panics
     ///
@@ -223,7 +226,7 @@
         self.record_change(id, now, 1);
     }
 
-    /// Notes that a call of this instance ended, with its service time if it succeeded.
+    /// Records that a call of this instance ended, with its service time if it succeeded.
     ///
     /// # Panics
     ///
@@ -238,7 +241,7 @@
         self.record_change(id, now, -1);
     }
 
-    /// Calls of this instance in flight at an endpoint.
+    /// Returns the number of calls of this instance in flight at an endpoint.
     ///
     /// # Panics
     ///
@@ -247,7 +250,7 @@
         self.states[id.0 as usize].own_in_flight
     }
 
-    /// Estimated load of an endpoint in calls.
+    /// Returns the estimated load of an endpoint in calls.
     ///
     /// # Panics
     ///
@@ -256,7 +259,7 @@
         f64::from(self.states[id.0 as usize].load)
     }
 
-    /// Whether an endpoint may receive new calls, apart from its cap and load.
+    /// Returns whether an endpoint may receive new calls, regardless of its cap and load.
     ///
     /// # Panics
     ///
@@ -265,7 +268,7 @@
         self.states[id.0 as usize].available
     }
 
-    /// Specification of an endpoint.
+    /// Returns the configuration of an endpoint.
     ///
     /// # Panics
     ///
@@ -274,20 +277,21 @@
         &self.endpoints[id.0 as usize].spec
     }
 
-    /// Number of the endpoint `name`.
+    /// Returns the id of the endpoint `name`.
     pub fn id(&self, name: &str) -> Option<EndpointId> {
         let at = self.endpoints.iter().position(|e| e.present && *e.spec.name == *name)?;
         Some(EndpointId(at as u32))
     }
 
-    /// Endpoints that serve `group`, in order of their names.
+    /// Returns the endpoints that serve `group`, ordered by name.
     pub fn members(&self, group: &str) -> Option<&[EndpointId]> {
         let at = self.groups.binary_search_by(|g| (*g.name).cmp(group)).ok()?;
         Some(&self.groups[at].members)
     }
 
-    /// Calls that `group` can take from this instance now: its part, one in `instances`, of the
-    /// free capacity, rounded up. For the limit of a [`FairQueue`](crate::fair::FairQueue).
+    /// Returns the number of calls that `group` can take from this instance: the free capacity
+    /// divided by `instances`, rounded up. For the limit of a
+    /// [`FairQueue`](crate::fair::FairQueue).
     pub fn free_slots(&self, group: &str, instances: u32) -> u32 {
         let free = |id: &EndpointId| {
             let state = &self.states[id.0 as usize];
@@ -298,7 +302,7 @@
         (free / f64::from(instances.max(1))).ceil() as u32
     }
 
-    /// Calls at the open endpoints of a group, as a multiple of their capacity.
+    /// Returns the load of the available endpoints of a group as a multiple of their capacity.
     pub fn load_factor(&self, group: &str) -> f64 {
         let members = self.members(group).unwrap_or(&[]);
         let available =
@@ -312,7 +316,7 @@
         &self.states
     }
 
-    /// Number of a zone, if any endpoint or operator has named it.
+    /// Returns the index of a zone, if it is known.
     pub(super) fn find_zone(&self, zone: &str) -> Option<u16> {
         self.zones.iter().position(|(name, _)| **name == *zone).map(|at| at as u16)
     }
@@ -324,7 +328,8 @@
         if endpoint.recent_changes.len() > MAX_RECENT_CHANGES
             && let Some((_, change)) = endpoint.recent_changes.pop_front()
         {
-            // Without reports for so long, the oldest changes become part of the reported load.
+            // No report has arrived for many calls: the oldest change becomes part of the reported
+            // load.
             endpoint.reported_calls += i64::from(change);
             endpoint.changes_since_report -= i64::from(change);
         }
@@ -334,16 +339,16 @@
     fn refresh_load(&mut self, id: EndpointId) {
         let endpoint = &self.endpoints[id.0 as usize];
         let state = &mut self.states[id.0 as usize];
-        // Own calls in flight are a lower bound, whatever the report says.
+        // The own calls in flight are a lower bound, regardless of the report.
         let own = i64::from(state.own_in_flight);
         let others = (endpoint.reported_calls + endpoint.changes_since_report - own).max(0);
         state.load = own as f32 + others as f32 * endpoint.report_weight;
     }
 
-    /// Lets the reported load of other instances fade with the age of the report.
+    /// Decays the reported load of other instances with the age of the report.
     ///
-    /// For fleets whose endpoints report their load with answers only: without it, an endpoint that
-    /// was once seen full would never get a call, and so would never be seen empty.
+    /// For fleets whose endpoints report their load only in answers. Without this, an endpoint that
+    /// was once reported full would get no more calls, and so its load would never be updated.
     pub fn decay_reports(&mut self, half_life: Duration, now: Duration) {
         for at in 0..self.endpoints.len() {
             let age = now.saturating_sub(self.endpoints[at].measured_at).as_secs_f32();
--- a/crates/policy/src/route/mod.rs
+++ b/crates/policy/src/route/mod.rs
@@ -1,17 +1,18 @@
-//! Choice of an endpoint for a call.
+//! Selection of an endpoint for a call.
 //!
-//! The cost of an endpoint is, in seconds, its estimated queue wait, plus the time to prefill the
+//! The cost of an endpoint, in seconds, is its estimated queue wait, plus the time to prefill the
 //! prompt tokens that it has not cached, plus a penalty for another zone. The load is the last
-//! report, corrected by this instance's own calls since ([`Fleet`]); what is cached is estimated by
-//! a [`PrefixIndex`]. Among endpoints of nearly equal cost the cheaper of two random ones is taken,
-//! so that instances with the same stale report do not all choose the same endpoint, and a program
-//! stays where it was unless another endpoint is clearly better.
+//! report, corrected by this instance's own calls since then ([`Fleet`]); the cached tokens are
+//! estimated by a [`PrefixIndex`]. Among endpoints of nearly equal cost the cheaper of two random
+//! ones is chosen, so that instances with the same stale report do not all choose the same
+//! endpoint. A program stays at its endpoint unless another one is clearly better.
 //!
-//! Endpoints that are leaving, out of service or in a zone that is taken out are never chosen by
-//! any [`Chooser`], the baselines included (I8, I12); nor is one above its ramp's cap (I7).
+//! No [`Chooser`], including the baselines, chooses an endpoint that is leaving, out of service or
+//! in a disabled zone (invariants I8 and I12), or one that has reached its ramp's cap (invariant
+//! I7).
 //!
-//! Owner of the state: each instance for itself. After a crash it is rebuilt from load reports,
-//! cache events and own dispatches.
+//! Each instance keeps its own state. After a crash it is rebuilt from load reports, cache events
+//! and own dispatches.
 
 mod choose;
 mod cost;
--- a/crates/policy/src/route/prefix.rs
+++ b/crates/policy/src/route/prefix.rs
@@ -1,11 +1,12 @@
-//! Which endpoint has probably cached which prompt prefix.
+//! Index of the prompt prefixes that endpoints have probably cached.
 //!
-//! The index maps the hash of each prompt block, chained over all blocks before it, to the endpoints
-//! that hold it. Own dispatches and cache events feed it. Engines evict in about least recently
-//! used order; the index imitates that with one counter of stored blocks per endpoint: an entry
-//! counts as evicted once as many blocks as the cache holds have been stored after its last use.
-//! Cache events arrive late and with gaps. A removal older than the last dispatch of the block is
-//! ignored, and a gap counts as that many stored blocks, which ages all entries of the endpoint.
+//! The index maps the hash of each prompt block, chained over all blocks before it, to the
+//! endpoints that hold it. It is updated by own dispatches and cache events. Engines evict blocks
+//! in roughly least recently used order; the index approximates this with one counter of stored
+//! blocks per endpoint: an entry counts as evicted once as many blocks as the cache holds have been
+//! stored after its last use. Cache events arrive late and with gaps. A removal that is older than
+//! the last dispatch of the block is ignored, and lost events count as stored blocks, which ages
+//! all entries of the endpoint.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{BuildHasherDefault, Hasher};
@@ -13,11 +14,11 @@
 
 use super::EndpointId;
 
-/// Different prefix lengths that a lookup tells apart.
+/// Maximum number of different prefix lengths that a lookup distinguishes.
 const MAX_LEVELS: usize = 12;
 
-/// Spreads block hashes by one multiplication. They come from a cryptographic hash, but an engine may
-/// publish others, and hashes that differ only in their upper half would share few buckets.
+/// Hashes block hashes with one multiplication. Ours are uniformly distributed, but an engine may
+/// publish others, and those that differ only in their upper half would share few buckets.
 #[derive(Clone, Copy, Debug, Default)]
 struct BlockHasher(u64);
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// Hash chain over the blocks of a prompt. It can be extended as a history grows.
+/// Hash chain over the blocks of a prompt, which can be extended as a history grows.
 #[derive(Clone, Debug)]
 pub struct PrefixChain {
     block_bytes: usize,
@@ -48,13 +49,13 @@
 }
 
 impl PrefixChain {
-    /// Returns an empty chain; `scope` separates prompts that share no cache (model and version).
+    /// Returns an empty chain. Prompts share a cache only within a `scope` (model and version).
     pub fn new(scope: &str, block_bytes: usize) -> Self {
         let last = *blake3::hash(scope.as_bytes()).as_bytes();
         Self { block_bytes: block_bytes.max(1), last, tail: Vec::new(), blocks: Vec::new() }
     }
 
-    /// Appends text. A block is added to the chain when it is complete.
+    /// Appends text. Only complete blocks are added to the chain.
     pub fn extend(&mut self, mut text: &[u8]) {
         while !text.is_empty() {
             let (head, rest) = text.split_at(text.len().min(self.block_bytes - self.tail.len()));
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Hashes of the complete blocks.
+    /// Returns the hashes of the complete blocks.
     pub fn blocks(&self) -> &[u64] {
         &self.blocks
     }
@@ -91,18 +92,18 @@
 /// Cache event of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Number, increasing by one; a jump shows lost events.
+    /// Sequence number, which increases by one; a gap means lost events.
     pub sequence: u64,
-    /// When it happened, by the clock of this instance (arrival less the expected lag).
+    /// Time of the event by the clock of this instance: the arrival minus the expected lag.
     pub occurred_at: Duration,
-    /// What happened.
+    /// The change.
     pub change: CacheChange,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct BlockHolder {
     endpoint: u32,
-    /// The endpoint's count of stored blocks when the block was last used.
+    /// Value of [`Cache::stored`] when the block was last used.
     last_used: u32,
     /// Time of the last dispatch, in milliseconds.
     used_ms: u32,
@@ -111,10 +112,10 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Cache {
     blocks: u32,
-    /// Blocks stored so far; wraps around.
+    /// Number of blocks stored so far; wraps around.
     stored: u32,
     sequence: Option<u64>,
-    /// Blocks per event, for the estimate of what lost events stored.
+    /// Average number of stored blocks per event, to estimate those of lost events.
     blocks_per_event: f32,
     generation_start: u32,
 }
@@ -129,21 +130,22 @@
 #[derive(Debug, Default)]
 struct Block {
     holders: Vec<BlockHolder>,
-    /// Used since the eviction scan last passed it.
+    /// Whether the block was used since the eviction scan last passed it.
     referenced: bool,
 }
 
-/// Index of the prompt blocks that endpoints hold, bounded in blocks.
+/// Index of the prompt blocks that endpoints hold, with a maximum number of blocks.
 #[derive(Debug)]
 pub struct PrefixIndex {
     blocks: HashMap<u64, Block, BuildHasherDefault<BlockHasher>>,
-    /// Order in which blocks are considered for eviction (second chance).
+    /// Blocks in the order in which the second-chance algorithm considers them for eviction.
     clock_queue: VecDeque<u64>,
     max_blocks: usize,
     caches: Vec<Cache>,
 }
 
-/// Cached blocks per endpoint, as found by [`PrefixIndex::lookup`]. Reused between lookups.
+/// Number of cached leading blocks per endpoint, the result of [`PrefixIndex::lookup`]. Reused
+/// between lookups.
 #[derive(Debug, Default)]
 pub struct CachedDepths {
     lookup_number: u32,
@@ -151,7 +153,7 @@
 }
 
 impl CachedDepths {
-    /// Leading blocks that `id` has cached.
+    /// Returns the number of leading blocks that `id` has cached.
     pub fn get(&self, id: EndpointId) -> u32 {
         match self.found.get(id.0 as usize) {
             Some((lookup_number, depth)) if *lookup_number == self.lookup_number => *depth,
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Declares an endpoint whose cache holds `blocks` blocks, and forgets what was known of it.
+    /// Registers an endpoint whose cache holds `blocks` blocks. Drops its earlier entries.
     pub fn register(&mut self, id: EndpointId, blocks: u32) {
         let at = id.0 as usize;
         if self.caches.len() <= at {
@@ -197,17 +199,17 @@
         self.caches[at] = Cache { blocks, stored, generation_start: stored, ..Cache::default() };
     }
 
-    /// Blocks in the index.
+    /// Returns the number of blocks in the index.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether the index is empty.
+    /// Returns whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Notes that a prompt was dispatched to an endpoint, which caches all its blocks.
+    /// Records that a prompt was dispatched to an endpoint, which caches all of its blocks.
     pub fn record_dispatch(&mut self, id: EndpointId, blocks: &[u64], now: Duration) {
         // The last blocks are stored first, so that an endpoint evicts a chain from its end.
         for hash in blocks.iter().rev() {
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Forgets what an endpoint holds, for example after a restart.
+    /// Drops the entries of an endpoint, for example after a restart.
     pub fn clear(&mut self, id: EndpointId) {
         if let Some(cache) = self.caches.get_mut(id.0 as usize) {
             cache.stored = cache.stored.wrapping_add(1);
@@ -251,8 +253,8 @@
         }
     }
 
-    /// Finds how many leading blocks each endpoint has cached. Exact for the `MAX_LEVELS` longest
-    /// prefixes that differ; endpoints with shorter ones count as having none.
+    /// Determines the number of leading blocks that each endpoint has cached. Exact for the
+    /// `MAX_LEVELS` longest different prefixes; endpoints with shorter ones count as having none.
     pub fn lookup(&self, blocks: &[u64], depths: &mut CachedDepths) {
         depths.start(self.caches.len());
         let mut depth = self.deepest_held(blocks);
@@ -275,8 +277,8 @@
         }
     }
 
-    /// Number of leading blocks that any endpoint holds. If a block is held, so are those before
-    /// it, as a rule; after an exception the result is too low.
+    /// Returns the number of leading blocks that any endpoint holds. This assumes that an endpoint
+    /// that holds a block holds those before it; otherwise the result may be too low.
     fn deepest_held(&self, blocks: &[u64]) -> usize {
         blocks.partition_point(|hash| {
             self.blocks.get(hash).is_some_and(|b| b.holders.iter().any(|h| self.holds(h)))
