--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Time of the decisions on the path of a call. Targets: routing among 600 endpoints under 5 us,
-//! local admission under 1 us.
+//! Benchmarks of the decisions on the path of a call. Targets: routing among 600 endpoints in less
+//! than 5 us, local admission in less than 1 us.
 //!
 //! Allocations are not counted: a counting global allocator needs `unsafe`, which this workspace
 //! forbids.
--- a/crates/policy/examples/compare.rs
+++ b/crates/policy/examples/compare.rs
@@ -1,4 +1,5 @@
-//! Compares the policies of this crate with baselines on fake endpoints, all with the same seed.
+//! Compares the policies of this crate with baselines on simulated endpoints, all with the same
+//! seed.
 //!
 //! `cargo run --release -p poplarspan-policy --example compare [seed]`
 
@@ -16,7 +17,7 @@
 fn compare(deployment: &Deployment, seed: u64) {
     println!("deployment {}, seed {seed}", deployment.name);
     let head =
-        ["program latency at 85% load [s]", "wasted", "worst", "refused", "zone away (60% load)"];
+        ["program latency at 85% load [s]", "wasted", "worst", "refused", "zone out (60% load)"];
     println!(
         "{:18} {:>32} {:>7} {:>6} {:>8}  {}",
         "policy", head[0], head[1], head[2], head[3], head[4]
@@ -29,7 +30,7 @@
         let outage = sim::run(deployment, policy, &outage);
         let at = |m: &Measures, q| format!("{:.1}", m.latency_s(q));
         println!(
-            "{:18} p50 {:>6} p95 {:>6} p99 {:>6} {:>6.1}% {:>5.1}% {:>4}/{}  p95 program {} s, call {:.1} s, refused {}/{}, to zone {}",
+            "{:18} p50 {:>6} p95 {:>6} p99 {:>6} {:>6.1}% {:>5.1}% {:>4}/{}  p95 program {} s, call {:.1} s, refused {}/{}, to disabled zone {}",
             format!("{policy:?}"),
             at(&base, 0.5),
             at(&base, 0.95),
--- a/crates/policy/examples/fair_queue.rs
+++ b/crates/policy/examples/fair_queue.rs
@@ -1,5 +1,6 @@
-//! Queues calls of two teams with weights 2 and 1, one of which sends far more, and prints who is
-//! served; within a team, a program that has used little so far goes before one that has used much.
+//! Queues calls of two teams with weights 2 and 1, one of which sends far more, and prints the
+//! order in which they are served. Within a team, a program that has used little so far is served
+//! before one that has used much.
 
 use std::time::Duration;
 
@@ -20,16 +21,16 @@
 
 fn main() {
     let mut queue = FairQueue::new(QueueConfig::default(), Box::<LasDeadline>::default());
-    // Two calls may be in flight at the endpoints at a time.
+    // At most two calls are in flight at the endpoints.
     let mut limit = FixedLimit::new(2);
     let mut now = Duration::ZERO;
     for _ in 0..20 {
-        queue.push(call("red", 1, "long"), now).expect("room for red");
+        queue.push(call("red", 1, "long"), now).expect("the queue has room");
     }
     for _ in 0..6 {
-        queue.push(call("blue", 2, "report"), now).expect("room for blue");
+        queue.push(call("blue", 2, "report"), now).expect("the queue has room");
     }
-    queue.push(call("red", 1, "short"), now).expect("room for red");
+    queue.push(call("red", 1, "short"), now).expect("the queue has room");
 
     let mut served = Vec::new();
     while served.len() < 12 {
--- a/crates/policy/examples/rate_shares.rs
+++ b/crates/policy/examples/rate_shares.rs
@@ -1,5 +1,5 @@
-//! Shares the rate of a team, 20/s with a burst of 10, between two instances: one owns the bucket,
-//! both ask it for tokens, and together they admit no more than burst and rate allow.
+//! Divides the rate of a team, 20/s with a burst of 10, between two instances. One of them owns the
+//! bucket, both request tokens from it, and together they stay within the rate and burst.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const STEP: Duration = Duration::from_millis(5);
 const RUN: Duration = Duration::from_secs(5);
-/// Duration of the leases by which instances are members of the view.
+/// Duration of membership leases.
 const LEASE: Duration = Duration::from_secs(2);
 
 fn main() {
@@ -21,21 +21,22 @@
     let owner = owner_of(&team, &instances).expect("two instances").clone();
     println!("{owner} owns the bucket of {team}");
 
-    // The session is a number that no former process of the instance has used.
+    // The session must differ from that of any former process of the instance.
     let mut owners = OwnedBuckets::new(owner, 1, LEASE, MIN_VALIDITY);
     owners.observe_view(&View { epoch: 1, instances: instances.clone() }, Duration::ZERO);
     let new_share =
         |name: &Name| InstanceBucket::new(name.clone(), limit, InstanceBucketConfig::default());
     let mut shares: Vec<_> = instances.iter().map(new_share).collect();
 
-    // A new owner grants nothing until all grants of a former one have expired; its bucket is then
-    // empty, so the run stays under the bound by a burst.
+    // A new owner grants nothing until all grants of a former owner have expired. Its bucket is
+    // then empty, so the total stays below the bound by one burst.
     let start = LEASE + MAX_VALIDITY;
     let (mut admitted, mut refused) = ([0; 2], [0; 2]);
     let mut now = start;
     while now < start + RUN {
         for (i, share) in shares.iter_mut().enumerate() {
-            // One call each 20 ms at each instance: 100/s together. A call gives up after 200 ms.
+            // One call every 20 ms at each instance: 100/s together. A call waits for 200 ms at
+            // most.
             if (now - start).as_millis().is_multiple_of(20) {
                 match share.acquire(now + Duration::from_millis(200), now) {
                     Admission::Granted(_) => admitted[i] += 1,
@@ -44,7 +45,7 @@
                 }
             }
             let mut verdicts = share.expire(now);
-            // In a deployment, the request and its answer cross the network.
+            // In a deployment, the request and its answer are sent over the network.
             if let Some(ask) = share.poll(now)
                 && let Answer::Granted(grant) = owners.request(&team, limit, &ask, now)
             {
--- a/crates/policy/examples/route_calls.rs
+++ b/crates/policy/examples/route_calls.rs
@@ -1,5 +1,5 @@
-//! Routes the growing prompts of programs to endpoints in two zones, once by estimated cost with an
-//! index of cached prefixes and once in turn, and prints how many tokens each prefills.
+//! Routes the growing prompts of programs to endpoints in two zones, by estimated cost with an
+//! index of cached prefixes and by round robin, and prints how many tokens each of them prefills.
 
 use std::time::Duration;
 
@@ -33,7 +33,8 @@
     fleet
 }
 
-/// Prompt tokens that were not cached where they were sent, and all prompt tokens.
+/// Returns the number of prompt tokens that were not cached at the chosen endpoint, and the number
+/// of all prompt tokens.
 fn run(chooser: &mut dyn Chooser) -> Result<(u32, u32), NoRoute> {
     let mut rng = StdRng::seed_from_u64(1);
     let mut prefixes = PrefixIndex::new(100_000);
@@ -78,6 +79,6 @@
     let (prefilled, total) = run(&mut by_cost)?;
     println!("by cost: {prefilled} of {total} prompt tokens prefilled");
     let (prefilled, total) = run(&mut RoundRobin::default())?;
-    println!("in turn: {prefilled} of {total} prompt tokens prefilled");
+    println!("round robin: {prefilled} of {total} prompt tokens prefilled");
     Ok(())
 }
--- a/crates/policy/examples/sim/admission.rs
+++ b/crates/policy/examples/sim/admission.rs
@@ -1,4 +1,4 @@
-//! The path of a call through an instance: rate, queue, route.
+//! Path of a call through an instance: rate limit, queue, routing.
 
 use poplarspan_policy::rate::*;
 use poplarspan_policy::route::*;
--- a/crates/policy/examples/sim/endpoint.rs
+++ b/crates/policy/examples/sim/endpoint.rs
@@ -1,22 +1,22 @@
-//! Fake endpoints at their interface: slots, one prefill unit, a prefix cache in least recently
-//! used order, a cold start.
+//! Simulated endpoints with slots, one prefill unit, a prefix cache with least recently used
+//! eviction and a cold start.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A call as an endpoint sees it.
+/// A call at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Work {
     pub call: usize,
     pub blocks: Vec<u64>,
     pub prompt_tokens: u32,
     pub output_tokens: u32,
-    /// For plain services: the time the call takes.
+    /// Duration of the call, for plain services.
     pub fixed_us: Option<u64>,
-    /// Lower ones start first; zero when the dispatch carried none.
+    /// Lower values start first; zero if the policy sends no priorities.
     pub priority: i64,
 }
 
-/// Prefix cache, least recently used first.
+/// Prefix cache with least recently used eviction.
 #[derive(Debug, Default)]
 pub struct Cache {
     stamps: HashMap<u64, u64>,
@@ -68,7 +68,7 @@
     prefill_free_us: u64,
 }
 
-/// What running a call took.
+/// A call that an endpoint has started.
 pub struct Started {
     pub call: usize,
     pub ends_us: u64,
@@ -111,7 +111,7 @@
         self.cold_capacity + grown as u32
     }
 
-    /// Queues a call behind those of the same or a lower priority number.
+    /// Queues a call behind those with the same or a lower priority value.
     pub fn enqueue(&mut self, work: Work) {
         let at = self.queue.partition_point(|other| other.priority <= work.priority);
         self.queue.insert(at, work);
--- a/crates/policy/examples/sim/instance.rs
+++ b/crates/policy/examples/sim/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: the policy's objects and nothing else.
+//! One instance with the objects of the policy.
 
 use poplarspan_policy::Name;
 use poplarspan_policy::fair::*;
@@ -16,7 +16,7 @@
 /// Duration of membership leases.
 pub const LEASE_US: u64 = 2_000_000;
 
-/// Difference between the wall clocks of one instance and the next.
+/// Difference between the wall clocks of consecutive instances.
 const CLOCK_SKEW_US: u64 = 10_000;
 
 pub struct Instance {
@@ -28,12 +28,12 @@
     pub queues: [FairQueue<usize>; 2],
     pub limits: [FixedLimit; 2],
     pub priorities: Priorities,
-    /// How far the wall clock is ahead of that of the first instance.
+    /// Lead of the wall clock over that of the first instance.
     pub clock_ahead_us: u64,
     pub shares: Vec<InstanceBucket>,
     pub owners: OwnedBuckets,
     pub names: Vec<Name>,
-    /// Time of the next poll of each share that is already scheduled.
+    /// Time of the scheduled poll of each share, if any.
     pub polls: Vec<Option<u64>>,
 }
 
@@ -51,7 +51,7 @@
         let chooser: Box<dyn Chooser> = match policy {
             Policy::RoundRobin => Box::new(RoundRobin::default()),
             _ if ours => {
-                // With priorities, the bound for teams beyond their part is in `next`.
+                // With priorities, `next` limits the teams that exceed their share.
                 let max_group_load_factor =
                     if policy == Policy::Ours { PRIORITY_LOAD_FACTOR } else { 1.0 };
                 let cfg = CostConfig { max_group_load_factor, ..CostConfig::default() };
@@ -128,7 +128,7 @@
         );
     }
 
-    /// Takes note of a load report and sets the limits of a cold endpoint.
+    /// Applies a load report and sets the limits of a cold endpoint.
     pub fn report(&mut self, i: usize, report: &LoadReport, run: u64, uptime: u64, now: u64) {
         let id = EndpointId(i as u32);
         self.fleet.report(id, report);
@@ -146,11 +146,11 @@
         let weight = if group == 0 { weight_of(team) } else { 1 };
         let team = if fair { call.team } else { "all".into() };
         let call = Call { team, weight, ..call };
-        self.queues[group].push(call, us(now)).expect("the queue is long enough");
+        self.queues[group].push(call, us(now)).expect("the queue has room");
     }
 
-    /// Takes the next call. Teams within their part may wait at the engines, whose priorities put
-    /// them first; the others wait here until there is room.
+    /// Takes the next call. Teams within their share may wait at the engines, where priorities put
+    /// them first; the others wait here until an engine has room.
     pub fn next(&mut self, group: usize, now: u64) -> Option<Entry<usize>> {
         let all = self.policy != Policy::Ours
             || group == 1
@@ -160,7 +160,8 @@
         self.queues[group].pop_where(&mut self.limits[group], us(now), eligible)
     }
 
-    /// Priority of a call to an engine that is being dispatched; zero when the policy sends none.
+    /// Returns the priority of a call that is being dispatched; zero if the policy sends no
+    /// priorities.
     pub fn priority(&mut self, team: usize, name: &Name, cost: u64, now: u64) -> i64 {
         if self.policy != Policy::Ours {
             return 0;
--- a/crates/policy/examples/sim/mod.rs
+++ b/crates/policy/examples/sim/mod.rs
@@ -1,4 +1,5 @@
-//! Discrete-event comparison of policies over fake endpoints. Time is in microseconds.
+//! Discrete-event simulation that compares policies on simulated endpoints. Time is in
+//! microseconds.
 
 #![allow(missing_docs, dead_code)]
 
@@ -10,20 +11,22 @@
 
 use std::time::Duration;
 
-/// Which parts of the policy are in use.
+/// Policy under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     /// Everything in this crate.
     Ours,
-    /// Each endpoint in turn; endpoints queue; limits as ours.
+    /// Round robin; calls queue at the endpoints; rate limits as in `Ours`.
     RoundRobin,
-    /// Fewest own calls in flight; endpoints queue; limits as ours.
+    /// Fewest own calls in flight; calls queue at the endpoints; rate limits as in `Ours`.
     LeastConnections,
-    /// As `LeastConnections`, but each instance enforces its part of the rate alone.
+    /// As `LeastConnections`, but each instance enforces a fixed fraction of the rate.
     LocalLimits,
-    /// As `LeastConnections`, but a bounded number in flight and a first-come queue before it.
+    /// As `LeastConnections`, but with a limit on calls in flight and a first-come, first-served
+    /// queue.
     Fcfs,
-    /// Our routing with a first-come queue, to tell the effects apart; not a baseline.
+    /// Routing of `Ours` with a first-come, first-served queue, to separate the effects. Not a
+    /// baseline.
     RoutingOnly,
 }
 
@@ -52,24 +55,24 @@
 pub const B: Deployment =
     Deployment { name: "B", zones: 3, models: 10, services: 10, zone_us: 500, client_us: 3000 };
 
-/// What happens during a run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub seed: u64,
     pub load: f64,
     pub duration_s: f64,
-    /// This team sends five times its programs, and is limited to the rate of five times.
+    /// This team sends five times its programs; its rate limit is raised by the same factor.
     pub greedy: Option<usize>,
-    /// Zone 0 is out from a third to two thirds of the run, and returns with cold endpoints.
+    /// Zone 0 is disabled from one third to two thirds of the run, and returns with cold endpoints.
     pub zone_outage: bool,
 }
 
 /// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Measures {
-    /// Latencies of the programs that ended, sorted, in seconds.
+    /// Latencies of the completed programs in seconds, sorted.
     pub latencies_s: Vec<f64>,
-    /// Programs that arrived in the measured part and had not ended at the end of the run.
+    /// Programs that arrived in the measured part of the run and did not complete.
     pub unfinished: usize,
     /// Tokens that were prefilled although an endpoint had prefilled them before.
     pub wasted_tokens: u64,
@@ -80,21 +83,22 @@
     pub calls_within_rate: u64,
     pub refused_within_rate: u64,
     pub calls: u64,
-    /// Calls dispatched to the zone that is out, later than 2 s after it was taken out.
+    /// Calls that were dispatched to the disabled zone later than 2 s after it was disabled.
     pub calls_to_disabled_zone: u64,
-    /// 95th percentile of model call latency while the zone is away, in seconds.
+    /// 95th percentile of model call latency while the zone is disabled, in seconds.
     pub outage_call_p95_s: f64,
 }
 
 impl Measures {
-    /// Latency at `quantile`; programs that did not end count as infinitely slow.
+    /// Returns the latency at `quantile`. Programs that did not complete count as infinitely slow.
     pub fn latency_s(&self, quantile: f64) -> f64 {
         let all = self.latencies_s.len() + self.unfinished;
         let at = ((all as f64 * quantile).ceil() as usize).max(1) - 1;
         self.latencies_s.get(at).copied().unwrap_or(f64::INFINITY)
     }
 
-    /// Least served team: its output with the greedy team, as a part of that without.
+    /// Returns the output of the worst-served team as a fraction of its output without the greedy
+    /// team.
     pub fn worst_share(&self, without: &Self, greedy: usize) -> f64 {
         let teams = (0..8).filter(|t| *t != greedy);
         teams.map(|t| self.served[t] / without.served[t]).fold(f64::INFINITY, f64::min)
--- a/crates/policy/examples/sim/workload.rs
+++ b/crates/policy/examples/sim/workload.rs
@@ -1,4 +1,4 @@
-//! Seeded workload: agent programs with turns, tool calls and sub-agents.
+//! Seeded workload of agent programs with turns, tool calls and sub-agents.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -6,7 +6,7 @@
 /// Tokens per block of the prefix cache.
 pub const BLOCK_TOKENS: u32 = 128;
 
-/// Teams; the first ones are the large ones.
+/// Fractions of the load per team, largest first.
 pub const TEAM_LOAD_FRACTIONS: [f64; 8] = [0.3, 0.22, 0.16, 0.1, 0.08, 0.06, 0.05, 0.03];
 
 /// One turn: a model call, then a tool call to a plain service.
@@ -15,7 +15,7 @@
     pub new_tokens: u32,
     pub output_tokens: u32,
     pub tool_us: u64,
-    /// Sub-agents that start after the model call and have to end before the next turn.
+    /// Sub-agents that start after the model call and must end before the next turn.
     pub children: Vec<Vec<Self>>,
 }
 
@@ -27,7 +27,7 @@
     pub turns: Vec<Turn>,
 }
 
-/// Exponentially distributed number, at least `least`.
+/// Returns an exponentially distributed number, at least `min`.
 pub fn exponential(rng: &mut StdRng, mean: f64, min: f64) -> f64 {
     (-mean * (1.0 - rng.random::<f64>()).ln()).max(min)
 }
@@ -51,7 +51,7 @@
         .collect()
 }
 
-/// Seconds that the turns occupy a slot of an endpoint when everything but new tokens is cached.
+/// Returns the seconds for which the turns occupy a slot if all tokens except new ones are cached.
 pub fn busy_seconds(turns: &[Turn], prefill_per_s: f64, token_s: f64) -> f64 {
     turns
         .iter()
@@ -63,8 +63,8 @@
         .sum()
 }
 
-/// Programs that arrive within `duration_s`, such that the perfectly cached work of all teams is
-/// `slots_busy` slots; `factors` multiplies the arrivals of each team.
+/// Returns programs that arrive within `duration_s` and occupy `slots_busy` slots on average with a
+/// perfect cache. `factors` multiplies the arrivals of each team.
 pub fn programs(
     seed: u64,
     duration_s: f64,
@@ -81,7 +81,8 @@
         / f64::from(sample);
     let mut programs = Vec::new();
     for (team, fraction) in TEAM_LOAD_FRACTIONS.iter().enumerate() {
-        // Own generators, so that the programs of one team do not depend on those of another.
+        // One generator per team, so that the programs of one team do not depend on those of
+        // another.
         let mut rng = StdRng::seed_from_u64(seed ^ (team as u64 + 1) << 32);
         let per_s = slots_busy * fraction * factors[team] / mean;
         let mut at = exponential(&mut rng, 1.0 / per_s, 0.0);
--- a/crates/policy/examples/sim/world.rs
+++ b/crates/policy/examples/sim/world.rs
@@ -1,4 +1,4 @@
-//! The event loop: programs, network, instances and endpoints.
+//! Event loop that simulates programs, network, instances and endpoints.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use super::{Deployment, Measures, Policy, Scenario, us};
 
 const INSTANCES: usize = 8;
-/// Programs start after this time, when rate owners have started.
+/// Programs start after this time, when the owners of rate buckets have started.
 pub(super) const START_US: u64 = 10_000_000;
 const MODEL_SLOTS: u32 = 16;
 const SERVICE_SLOTS: u32 = 8;
@@ -32,7 +32,7 @@
     pub(super) blocks: Vec<u64>,
     pub(super) tokens: u32,
     pub(super) parent: Option<usize>,
-    /// Tool call and sub-agents that have to end before the next turn.
+    /// Number of tool calls and sub-agents that must end before the next turn.
     pub(super) pending: usize,
     pub(super) last: Option<usize>,
     pub(super) root: Name,
@@ -313,7 +313,7 @@
         }
     }
 
-    /// Sends a call to a random instance, as the platform's balancer does.
+    /// Sends a call to a random instance, as the platform's load balancer does.
     pub(super) fn call(&mut self, chain: usize, group: usize, after: u64) {
         let instance = self.rng.random_range(0..INSTANCES);
         let arrived = self.now + after + self.deployment.client_us;
@@ -475,7 +475,7 @@
                 self.dispatch_queued(i, 0);
                 self.dispatch_queued(i, 1);
             }
-            // Endpoints come back restarted.
+            // The endpoints of the zone return restarted.
             None if !out => {
                 let now = self.now;
                 self.endpoints.iter_mut().filter(|e| e.zone == 0).for_each(|e| e.restart(now));
--- a/crates/policy/tests/call_priorities.rs
+++ b/crates/policy/tests/call_priorities.rs
@@ -1,4 +1,4 @@
-//! Guards the order that engines give to calls of different teams and instances.
+//! Tests of the order that engines give to calls of different teams and instances.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     Duration::from_secs_f64(s)
 }
 
-/// Dispatches one call of each named team every 100 ms for 10 s; returns the last priorities.
+/// Dispatches one call of each team every 100 ms for 10 s. Returns the last priorities.
 fn rounds(priorities: &mut Priorities, calls: &[(&str, u32, u64)]) -> Vec<i64> {
     let mut last = Vec::new();
     for round in 0..100 {
@@ -25,19 +25,19 @@
     last
 }
 
-/// Guards against a team that uses more than its part going ahead of the others, and against
-/// weights being ignored.
+/// Guards against a team that uses more than its share and is served before the others, and against
+/// weights that are ignored.
 #[test]
 fn excess_is_served_later() {
     let mut priorities = Priorities::default();
     let last = rounds(&mut priorities, &[("greedy", 1, 500), ("small", 1, 100), ("heavy", 5, 500)]);
     assert!(last[0] > last[1] + 1_000, "{last:?}");
-    assert_eq!(last[1], last[2], "teams within their parts are not delayed");
+    assert_eq!(last[1], last[2], "teams within their shares are not delayed");
     assert!((priorities.excess("greedy") - 500.0 / 1100.0 * 7.0).abs() < 0.1);
 }
 
-/// Guards against different numbers at two instances that see different amounts of the same mix,
-/// since instances do not exchange them.
+/// Guards against different priorities at two instances that see different amounts of the same mix
+/// of calls, since instances do not exchange them.
 #[test]
 fn instances_agree() {
     let (mut one, mut other) = (Priorities::default(), Priorities::default());
@@ -46,7 +46,8 @@
     assert!(few.iter().zip(&many).all(|(f, m)| f.abs_diff(*m) <= 1), "{few:?} {many:?}");
 }
 
-/// Guards against a team being held to what it used long ago, and against unbounded memory.
+/// Guards against a team that is delayed for service it used long ago, and against unbounded
+/// memory.
 #[test]
 fn service_is_forgotten() {
     let mut priorities = Priorities::default();
@@ -57,7 +58,7 @@
     assert_eq!(u128::try_from(alone).unwrap(), (EPOCH + now).as_millis());
 }
 
-/// Guards against a team paying for estimates that its calls did not use.
+/// Guards against a team that is charged for estimates that its calls did not use.
 #[test]
 fn estimates_are_settled() {
     let mut priorities = Priorities::default();
@@ -71,7 +72,7 @@
     assert_eq!(priorities.excess("b"), 0.0);
 }
 
-/// Guards against teams within their parts waiting behind one that is held back.
+/// Guards against teams within their shares that wait behind one that is held back.
 #[test]
 fn held_back_team_is_passed() {
     let mut priorities = Priorities::default();
@@ -92,7 +93,8 @@
 }
 
 proptest! {
-    /// Guards against starvation: no call is passed by one dispatched `max_delay` after it.
+    /// Guards against starvation: no call is overtaken by one that is dispatched `max_delay` after
+    /// it.
     #[test]
     fn delays_are_bounded(
         calls in prop::collection::vec((0..5_usize, 1..1000_u32, 0..1_000_000_u64, 0..10_000_u64), 1..200),
--- a/crates/policy/tests/cold_starts.rs
+++ b/crates/policy/tests/cold_starts.rs
@@ -1,4 +1,4 @@
-//! Calls that start at a cold endpoint, over all instances.
+//! Tests of the limit on calls that start at a cold endpoint, over all instances.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// All instances together start at most the bound in any second, also when there are more
-    /// instances than calls.
+    /// All instances together start at most `per_second` calls in any second, even if there are
+    /// more instances than calls.
     #[test]
     fn bound_over_instances(
         instances in 1u32..100,
@@ -40,7 +40,8 @@
     }
 }
 
-/// Some instance may always use a cold endpoint that bears at least one call a second.
+/// Guards against a cold endpoint that no instance may use: with 40 instances and a limit of 3,
+/// three may.
 #[test]
 fn someone_may_start() {
     for offset in 0..50 {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! Helpers of the tests.
+//! Helpers for the tests.
 
 use std::time::Duration;
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// Time or duration of `n` milliseconds.
+/// Returns a time or duration of `n` milliseconds.
 #[allow(dead_code)]
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// Configuration with `cases` cases from a fixed seed.
+/// Returns a proptest configuration with `cases` cases from a fixed seed.
 #[allow(dead_code)]
 pub fn fixed_seed(cases: u32, seed: u64) -> Config {
     println!("proptest seed {seed}");
--- a/crates/policy/tests/compare_bounds.rs
+++ b/crates/policy/tests/compare_bounds.rs
@@ -1,5 +1,6 @@
-//! Guards the targets of the design page (1.4) that compare our policy with baselines, as ratios on
-//! fake endpoints with a fixed seed. No bound depends on the speed of the machine.
+//! Guards the targets of the design page (1.4) that compare this crate's policies with baselines,
+//! as ratios on simulated endpoints with a fixed seed. No bound depends on the speed of the
+//! machine.
 
 #[path = "../examples/sim/mod.rs"]
 mod sim;
@@ -18,7 +19,7 @@
     measures.wasted_tokens as f64 / measures.needed_tokens as f64
 }
 
-/// Guards program latency and the prefix cache at 85% load with shared prefixes.
+/// Guards program latency and the prefix cache hit rate at 85% load with shared prefixes.
 #[test]
 fn latency_and_cache_beat_baselines() {
     let scenario = at_load(0.85, 100.0);
@@ -46,7 +47,8 @@
     assert!(worst >= 0.95, "worst-served team has {:.1}% of its share", 100.0 * worst);
 }
 
-/// Guards calls within rate while one zone of four leaves and returns with cold endpoints.
+/// Guards against refused calls within the rate while one zone leaves and returns with cold
+/// endpoints.
 #[test]
 fn zone_leaves_without_refusals() {
     for deployment in [&sim::A, &sim::B] {
--- a/crates/policy/tests/crash_containment.rs
+++ b/crates/policy/tests/crash_containment.rs
@@ -17,8 +17,8 @@
 proptest! {
     #![proptest_config(fixed_seed(256, 13))]
 
-    /// Guards against a third endpoint that is lost because instances exchange their tables late.
-    /// The caller resends at random instances, as soon as it has an answer.
+    /// Guards against the crash of a third endpoint because instances exchange their tables late.
+    /// The caller sends the request again to a random instance as soon as it has an answer.
     #[test]
     fn at_most_two_endpoints_crash(
         instances in 2..8_usize,
@@ -53,7 +53,7 @@
             }
             let Some(i) = at else { continue };
             if waiting && tables[i].is_replicated(fingerprint) {
-                // The instance answers, and the caller resends elsewhere.
+                // The instance answers, and the caller sends the request again elsewhere.
                 at = Some(rng.random_range(0..instances));
                 waiting = false;
                 continue;
@@ -79,7 +79,7 @@
         prop_assert!(refused > 0);
     }
 
-    /// Guards against tables that depend on the order or number of merges, or outgrow their bound.
+    /// Guards against tables that depend on the order or number of merges, or exceed their limit.
     #[test]
     fn merge_is_a_bounded_union(
         records in prop::collection::vec((0..20_u8, 0..4_u8, 0..1000_u64), 0..60),
@@ -105,7 +105,7 @@
     }
 }
 
-/// Guards against a request that is refused because it twice ran beside the one that crashes.
+/// Guards against the refusal of a request that twice ran next to the one that crashes endpoints.
 #[test]
 fn suspects_do_not_share_an_endpoint() {
     let mut table = Containment::new(ContainmentConfig::default());
--- a/crates/policy/tests/endpoint_departures.rs
+++ b/crates/policy/tests/endpoint_departures.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of its departure holds until its next start is known.
+//! Tests that an announced departure is valid until the next start of the endpoint is known.
 
 use poplarspan_policy::{
     Name,
@@ -18,13 +18,13 @@
     assert!(departures.contains(start("engine-1", Some(7))));
     assert!(!departures.contains(start("engine-2", Some(7))));
 
-    // The same start, listed again or missing for a while, is still the one that leaves.
+    // The same run, listed again or missing for a while, is still the one that leaves.
     departures.reconcile(&[start("engine-1", Some(7)), start("engine-2", Some(7))]);
     departures.reconcile(&[start("engine-2", Some(7))]);
     departures.reconcile(&[start("engine-1", Some(7))]);
     assert!(departures.contains(start("engine-1", Some(7))));
 
-    // A new start under the old name is another endpoint.
+    // A later run under the same name has not announced anything.
     assert!(!departures.contains(start("engine-1", Some(9))));
     departures.reconcile(&[start("engine-1", Some(9))]);
     assert!(!departures.contains(start("engine-1", Some(7))));
--- a/crates/policy/tests/faded_loads.rs
+++ b/crates/policy/tests/faded_loads.rs
@@ -1,10 +1,11 @@
-//! Load reports that arrive with answers only.
+//! Tests of load reports that arrive only with answers.
 
 use std::time::Duration;
 
 use poplarspan_policy::route::{EndpointSpec, Fleet, LoadReport};
 
-/// An endpoint that was seen full is not full for ever, though nobody sees it empty.
+/// Guards against an endpoint that counts as full forever after it was once reported full, because
+/// it gets no more calls whose answers would report a lower load.
 #[test]
 fn full_report_fades() {
     let mut fleet = Fleet::new();
@@ -23,9 +24,9 @@
     fleet.decay_reports(half_life, seen);
     assert_eq!(fleet.load(id), 17.0);
     fleet.decay_reports(half_life, seen + half_life);
-    assert_eq!(fleet.load(id), 9.0, "own calls count whole, those of others half");
+    assert_eq!(fleet.load(id), 9.0, "own calls count in full, those of others half");
     fleet.decay_reports(half_life, seen + 20 * half_life);
     assert!(fleet.load(id) < 1.1);
     fleet.report(id, &LoadReport { running: 8, queued: 0, measured_at: seen + 20 * half_life });
-    assert!(fleet.load(id) >= 8.0, "a new report counts whole");
+    assert!(fleet.load(id) >= 8.0, "a new report counts in full");
 }
--- a/crates/policy/tests/fair_shares.rs
+++ b/crates/policy/tests/fair_shares.rs
@@ -1,4 +1,4 @@
-//! Guards the shares of teams and the order of programs in the fair queue.
+//! Tests of the shares of teams and the order of programs in the fair queue.
 
 mod common;
 
@@ -24,7 +24,7 @@
     #![proptest_config(fixed_seed(64, 15))]
 
     /// Guards against a backlogged team that falls behind another by more than the bound of
-    /// start-time fair queueing, whatever calls come, go and are settled at another cost.
+    /// start-time fair queueing, with calls that are put back or settled at another cost.
     #[test]
     fn backlogged_teams_stay_within_bound(
         weights in prop::collection::vec(1..20_u32, 3),
@@ -41,7 +41,7 @@
             queue.push(call(teams[t], weights[t], &program, cost), ms(0)).unwrap();
         };
         let mut served = [0.0_f64; 3];
-        // Team c comes and goes; a and b are always backlogged, in surplus and minimal number.
+        // Team c is backlogged at times; a and b always are, with many calls and with few.
         for step in 0..600 {
             while queue.team_len("a") < 40 { push(&mut queue, &mut rng, 0); }
             while queue.team_len("b") < 2 { push(&mut queue, &mut rng, 1); }
@@ -57,14 +57,14 @@
             queue.settle(&entry.call.team, program, entry.call.cost, actual, ms(step));
             served[t] += actual as f64 / f64::from(weights[t]);
             let bound = max_cost as f64 * (1.0 / f64::from(weights[0]) + 1.0 / f64::from(weights[1]));
-            // A correction downwards is cut at the virtual time, so it may be lost once per call;
-            // the bound allows for one such call of each team.
+            // A downward correction is limited by the virtual time, so it may be lost once per
+            // call; the bound allows for one such call of each team.
             prop_assert!((served[0] - served[1]).abs() <= 2.0 * bound + 1.0,
                 "served {served:?} bound {bound}");
         }
     }
 
-    /// Guards against a call that is lost, handed out twice or kept after its deadline.
+    /// Guards against a call that is lost, returned twice or kept after its deadline.
     #[test]
     fn calls_leave_exactly_once(operations in prop::collection::vec((0..4_u8, 0..3_usize, 1..500_u64), 1..400)) {
         let mut queue = queue(LasDeadline::default());
@@ -99,8 +99,8 @@
     }
 }
 
-/// Guards against a team that saves up service while it is idle, and against one that pays for what
-/// it received while the others were idle.
+/// Guards against a team that saves up service while it is idle, and against one that is charged
+/// for service that it received while the others were idle.
 #[test]
 fn idle_time_is_not_saved() {
     let mut queue = queue(Fcfs);
@@ -120,8 +120,8 @@
     assert!((4..=6).contains(&order.matches('a').count()), "{order}");
 }
 
-/// Serves one call per 100 ms while a new program arrives each 100 ms, and returns how long a call
-/// of a program with much attained service waits.
+/// Serves one call per 100 ms while a new program arrives every 100 ms. Returns the wait in
+/// milliseconds of a call of a program with much attained service, or `None` if it starves.
 fn wait_of_long_program(order: impl ProgramOrder + 'static) -> Option<u64> {
     let mut queue = queue(order);
     let mut limits = FixedLimit::new(u32::MAX);
@@ -139,8 +139,8 @@
     None
 }
 
-/// Guards against starvation of long programs by a stream of new ones; the plain order starves
-/// them, which shows that the trial can tell.
+/// Guards against starvation of long programs by a stream of new ones. That [`Las`] starves them
+/// shows that the test can detect it.
 #[test]
 fn long_programs_do_not_starve() {
     let wait = wait_of_long_program(LasDeadline::default()).expect("the long program is served");
@@ -149,7 +149,7 @@
     assert_eq!(wait_of_long_program(Fcfs), Some(0));
 }
 
-/// Guards against a program that gains by splitting its work among sub-agents.
+/// Guards against a program that gains service by splitting its work among sub-agents.
 #[test]
 fn sub_agents_count_as_root() {
     let mut queue = queue(Las);
@@ -168,7 +168,7 @@
     assert_eq!(queue.attained(&"a".into(), &"fan".into()), 400);
 }
 
-/// Guards against calls dispatched beyond the in-flight limit, and queues beyond their bounds.
+/// Guards against calls above the in-flight limit, and queues above their limits.
 #[test]
 fn limits_hold() {
     let cfg = QueueConfig { max_per_team: 2, max_total: 3, ..QueueConfig::default() };
--- a/crates/policy/tests/placement_orders.rs
+++ b/crates/policy/tests/placement_orders.rs
@@ -1,4 +1,4 @@
-//! Guards the planner of model placement.
+//! Tests of the planner of model placement.
 
 mod common;
 
@@ -25,7 +25,8 @@
     Placement::new(cfg, 3, ms(0))
 }
 
-/// Guards against loads faster than the weight store's rate, and fences that do not rise.
+/// Guards against loads that exceed the weight store's rate, and fencing tokens that do not
+/// increase.
 #[test]
 fn loads_follow_demand_under_store_rate() {
     let mut planner = planner();
@@ -40,10 +41,10 @@
         }
     }
     let at: Vec<_> = loads.iter().map(|(now, _)| *now).collect();
-    assert_eq!(at, [10, 20, 30], "one load per 10 s, and three are enough for 21 calls");
+    assert_eq!(at, [10, 20, 30], "one load per 10 s; three endpoints are enough for 21 calls");
 }
 
-/// Guards against unloading a model under calls, and against scaling in on a short dip.
+/// Guards against unloading a model with calls in flight, and scaling in on a short dip in demand.
 #[test]
 fn scale_in_drains_first() {
     let mut planner = planner();
--- a/crates/policy/tests/quarantine_trials.rs
+++ b/crates/policy/tests/quarantine_trials.rs
@@ -1,4 +1,4 @@
-//! Guards against requests that end one endpoint after another, and against the refusal of others.
+//! Tests that a request that crashes endpoints is refused, and that other requests are not.
 
 mod common;
 
@@ -22,22 +22,23 @@
     Name::from(format!("e{n}"))
 }
 
-/// A suspect of two ends, at the time of the second.
+/// Makes a request a suspect by two failures.
 fn suspect(quarantine: &mut Quarantine, request: Fingerprint) {
     assert!(!quarantine.record_failure(request, &endpoint(0), ms(0)));
     assert!(quarantine.record_failure(request, &endpoint(1), ms(1)));
 }
 
-/// What becomes of the requests of one simulated fleet.
+/// Result of a simulation.
 #[derive(Default)]
 struct Outcome {
-    /// Endpoints that have ended under the first request.
+    /// Number of endpoints that request 0 crashed.
     ended: usize,
     condemned: Vec<usize>,
 }
 
-/// Plays a fleet in steps of 10 ms: request 0 ends each endpoint 20 ms after it has begun there, and
-/// comes back; the others run for `work` steps and come back when they have lost their endpoint.
+/// Simulates a fleet in steps of 10 ms. Request 0 crashes each endpoint 20 ms after it starts
+/// there, and is sent again; the others run for `work` steps and are sent again if their endpoint
+/// fails.
 fn simulate_fleet(seed: u64, endpoints: usize, others: usize, work: u64) -> Outcome {
     const STEPS: u64 = 2_000;
     const BACK_AFTER: u64 = 200;
@@ -45,7 +46,7 @@
     let mut quarantine = Quarantine::default();
     let mut outcome = Outcome::default();
     let mut down_until = vec![0; endpoints];
-    // Endpoint and end of the run of each request, or the step at which it comes back.
+    // Endpoint and end of the run of each request, or the step at which it is sent again.
     let mut running: Vec<Option<(usize, u64)>> = vec![None; others + 1];
     let mut back_at: Vec<u64> = (0..=others).map(|_| rng.random_range(0..100)).collect();
     for step in 0..STEPS {
@@ -106,8 +107,8 @@
     }
 }
 
-/// Copies that run at once at many endpoints, all of which end together, go on trial, and an answer
-/// clears them.
+/// A request whose copies were running at many endpoints that failed at the same time goes on
+/// trial, and an answer clears it.
 #[test]
 fn answer_clears() {
     let mut quarantine = Quarantine::default();
@@ -120,8 +121,8 @@
     assert_eq!(quarantine.admit(request(7), &endpoint(31), TRIAL_LIMIT, ms(12)), Ruling::Free);
 }
 
-/// Several calls that are lost with one endpoint tell of one end; an endpoint that ends again under
-/// its name tells of another.
+/// Several reports about one failure of an endpoint count once; a later failure of an endpoint with
+/// the same name counts again.
 #[test]
 fn one_end_counts_once() {
     let mut quarantine = Quarantine::default();
@@ -145,7 +146,7 @@
     assert!(!quarantine.is_on_trial(request(1), "e6"));
 }
 
-/// A trial whose instance is gone, or that has shown nothing, makes room for the next one.
+/// A trial that has expired or ended without a result allows the next one.
 #[test]
 fn trials_end() {
     let mut quarantine = Quarantine::default();
@@ -165,14 +166,14 @@
     );
 }
 
-/// A condemned request does not run while its condemnation is on the way to durable state.
+/// A condemned request is refused before its condemnation is durable.
 #[test]
 fn refused_before_durable() {
     let mut quarantine = Quarantine::default();
     suspect(&mut quarantine, request(1));
     assert_eq!(quarantine.admit(request(1), &endpoint(5), TRIAL_LIMIT, ms(9)), Ruling::OnTrial);
     assert!(quarantine.condemn(request(1), ms(500), ms(20)));
-    assert!(!quarantine.condemn(request(1), ms(520), ms(30)), "told again");
+    assert!(!quarantine.condemn(request(1), ms(520), ms(30)), "condemned before");
     quarantine.end_trial(request(1), "e5");
     assert_eq!(quarantine.admit(request(1), &endpoint(6), TRIAL_LIMIT, ms(40)), Ruling::Refused);
     assert_eq!(quarantine.condemned(ms(40)).collect::<Vec<_>>(), [request(1)]);
@@ -188,7 +189,7 @@
     assert_eq!(quarantine.admit(request(1), &endpoint(0), TRIAL_LIMIT, ms(1)), Ruling::OnTrial);
 }
 
-/// The table stays within its bound, and suspects stay in it.
+/// The table stays within its limit, and suspects are kept.
 #[test]
 fn bounded_table() {
     const BOUND: usize = 8_192;
--- a/crates/policy/tests/quota_shares.rs
+++ b/crates/policy/tests/quota_shares.rs
@@ -1,4 +1,4 @@
-//! Rates that one allocator shares out to instances.
+//! Tests of the division of a team's rate among instances.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const LEASE: Duration = Duration::from_secs(3);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// An instance with its share, as fronts use it.
+/// An instance with its share.
 struct Instance {
     name: Name,
     bucket: Bucket,
@@ -57,8 +57,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Over any window no more than rate times window plus burst is admitted, whatever instances
-    /// ask for, and while beats are lost or come late.
+    /// Over any window at most rate times window plus burst is admitted, for any demand and with
+    /// lost and late heartbeats.
     #[test]
     fn never_above_limit(
         rate in 1.0f64..200.0,
@@ -72,7 +72,7 @@
         let (mut now, mut admitted) = (Duration::ZERO, Vec::new());
         for (at, action, pause) in steps {
             now += ms(pause);
-            // An instance whose lease has run out admits nothing and starts again.
+            // An instance whose lease has expired admits nothing and starts again.
             if now >= last_heartbeat[at] + LEASE {
                 instances[at].bucket = Bucket::default();
             }
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The shares held at any time stay within their part of the limit.
+    /// The sum of the shares never exceeds its fraction of the limit.
     #[test]
     fn shares_within_part(
         demands in proptest::collection::vec((0usize..6, 0.0f64..300.0), 50..200),
@@ -113,7 +113,7 @@
     }
 }
 
-/// A successor that does not know the shares only renews them, and lends from the rest.
+/// A new allocator that does not know the shares only renews them, and lends from the reserve.
 #[test]
 fn successor_renews() {
     let mut allocator = Allocator::new(ms(1_000), LEASE, Duration::ZERO);
@@ -122,17 +122,18 @@
     let name: Name = "i1".into();
     assert_eq!(allocator.report(&name, 90.0, 9, held, ms(100)), held);
     let lent = (0..1_000).filter(|n| allocator.borrow(ms(100 + n / 2)).is_ok()).count();
-    assert!(lent <= 13, "{lent} tokens in 0.6 s of a fifth of the rate");
+    assert!(lent <= 13, "{lent} tokens in 0.6 s at a fifth of the rate");
     let later = allocator.report(&name, 90.0, 9, held, ms(1_100));
     assert!(later.per_second > held.per_second);
 }
 
-/// A load of programs, each a chain of calls with pauses. Returns how many ended whole.
+/// Simulates programs that each make 12 calls with pauses. Returns how many completed and how many
+/// started.
 fn simulate_programs(with_admission: bool) -> (usize, usize) {
     const CALLS: u32 = 12;
     const STEP: Duration = Duration::from_millis(10);
     const PAUSE: Duration = Duration::from_millis(250);
-    // A call waits this long for a token, as callers' time limits allow.
+    // Time for which a call waits for a token, limited by the caller's timeout.
     const TOKEN_TIMEOUT: Duration = Duration::from_millis(1_000);
     struct Program {
         left: u32,
@@ -154,7 +155,7 @@
                 instance.heartbeat(&mut allocator, now);
             }
         }
-        // Eight programs a second need 96 calls a second of a rate of 30.
+        // Eight programs per second need 96 calls per second at a rate of 30.
         if step % 12 == 0 {
             let is_open = !with_admission
                 || !allocator.is_near_limit()
@@ -165,7 +166,7 @@
                 programs.push(((step / 12 % 2) as usize, program));
             }
         }
-        // Callers ask again at their own pace, so those that wait come in any order.
+        // Callers retry independently, so the waiting calls come in random order.
         programs.shuffle(&mut rng);
         programs.retain_mut(|(at, program)| {
             if now < program.next {
@@ -179,16 +180,16 @@
                 completed += usize::from(program.left == 0);
                 return program.left > 0;
             }
-            // A program fails with a call that gets no token in time.
+            // A program fails if one of its calls gets no token in time.
             now < *program.since.get_or_insert(now) + TOKEN_TIMEOUT
         });
     }
     (completed, started)
 }
 
-/// A team that asks for three times its rate: 30 s of 30 calls a second are 75 programs of 12 calls.
-/// With the gate most of what the rate bears ends whole, and what begins mostly ends; without it,
-/// the calls of all programs fail in turn.
+/// Guards against an overload in which all programs start and most of them fail. The team asks for
+/// three times its rate; 30 s at 30 calls per second are enough for 75 programs of 12 calls. With
+/// admission control most of these complete, and so do most programs that start.
 #[test]
 fn overload_ends_programs() {
     let (completed, started) = simulate_programs(true);
@@ -202,8 +203,8 @@
     );
 }
 
-/// Plays calls that come to any of many instances, `part` of the rate on average. Returns how many
-/// got no token within their patience, and how many there were.
+/// Simulates calls that arrive at random instances at the fraction `part` of the rate on average.
+/// Returns how many got no token in time, and the number of calls.
 fn simulate_spread_calls(instances: usize, rate: f64, part: f64) -> (usize, usize) {
     const STEP: Duration = Duration::from_millis(10);
     const TOKEN_TIMEOUT: Duration = Duration::from_millis(500);
@@ -238,20 +239,20 @@
     (refused, calls)
 }
 
-/// A team well within its rate is not refused, whether its calls come to two instances or to as many
-/// as it has calls in several seconds.
+/// No call of a team that is well within its rate is refused, whether its calls arrive at two
+/// instances or at as many as it makes calls in several seconds.
 #[test]
 fn calls_spread_thinly() {
     for instances in [2, 8, 74] {
         for rate in [8.0, 20.0, 60.0] {
-            // As much as teams ask for on calm days.
+            // The usual demand of the teams, relative to their rates.
             let (refused, calls) = simulate_spread_calls(instances, rate, 0.625);
             assert_eq!(refused, 0, "of {calls} calls at {instances} instances, rate {rate}");
         }
     }
 }
 
-/// A team that asks for nine tenths of its rate gets them.
+/// A team that asks for 90% of its rate gets at least 99% of its calls admitted.
 #[test]
 fn near_rate() {
     for instances in [2, 8, 74] {
@@ -263,8 +264,8 @@
     }
 }
 
-/// While a team is at its rate, calls of programs under way go on at other instances than the one
-/// where the program began.
+/// While a team is at its rate, a running program may continue at another instance than the one
+/// where it started.
 #[test]
 fn moved_program() {
     let mut allocator = Allocator::new(Duration::ZERO, LEASE, Duration::ZERO);
@@ -280,10 +281,10 @@
     assert!(allocator.admit_program(7, ms(30)).is_ok());
     allocator.report(&name, 40.0, 8, Share::default(), ms(60_000));
     while allocator.borrow(ms(60_000)).is_ok() {}
-    assert!(allocator.admit_program(7, ms(60_000)).is_err(), "it was forgotten long ago");
+    assert!(allocator.admit_program(7, ms(60_000)).is_err(), "the program is no longer known");
 }
 
-/// Tokens of calls that did not run are there for others.
+/// Tokens of calls that did not run are available to other calls.
 #[test]
 fn returned_tokens() {
     let mut allocator = Allocator::new(Duration::ZERO, LEASE, Duration::ZERO);
@@ -296,5 +297,5 @@
         allocator.return_token(ms(3_000));
     }
     let available = (0..100).filter(|_| allocator.borrow(ms(3_000)).is_ok()).count();
-    assert_eq!(available, 4, "never more than the burst");
+    assert_eq!(available, 4, "the reserve never exceeds the burst");
 }
--- a/crates/policy/tests/ramp_sums.rs
+++ b/crates/policy/tests/ramp_sums.rs
@@ -1,4 +1,4 @@
-//! Guards invariant I7: a cold endpoint receives no more than it can bear, over all instances.
+//! Guards invariant I7: a cold endpoint gets no more calls than its capacity, over all instances.
 
 mod common;
 
@@ -36,8 +36,8 @@
 proptest! {
     #![proptest_config(fixed_seed(64, 12))]
 
-    /// Guards against two instances that use the same part while their views differ. The leader
-    /// changes the view at random; each instance learns it late, or loses its lease.
+    /// Guards against two instances that use the same share while their views differ. The leader
+    /// changes the view at random times; each instance receives it late or loses its lease.
     #[test]
     fn sum_of_parts_is_within_total(
         changes in prop::collection::vec((2500..20_000_u64, 0..8_usize), 1..12),
@@ -80,7 +80,8 @@
     }
 }
 
-/// Guards against an instance that missed views and uses a part of a view that others never had.
+/// Guards against an instance that missed views and uses its share of a view without knowing those
+/// in between.
 #[test]
 fn gap_between_views_counts_as_new() {
     let all = names(2);
@@ -91,7 +92,7 @@
     assert!(ramps.cap("e", ms(6000)).unwrap().own > 0);
 }
 
-/// Guards against parts that leave capacity unused in a steady view.
+/// Guards against shares that leave capacity unused in a stable view.
 #[test]
 fn parts_add_up_in_steady_view() {
     let all = names(8);
@@ -134,7 +135,7 @@
     assert!(!ramps.is_warm("e", ms(50_000)));
 }
 
-/// Guards against a restart of the whole fleet that falls on the one endpoint that stayed warm.
+/// Guards against overloading the one endpoint that stays warm when all others restart.
 #[test]
 fn lone_warm_endpoint_is_divided() {
     let all = names(8);
--- a/crates/policy/tests/rate_bound.rs
+++ b/crates/policy/tests/rate_bound.rs
@@ -1,5 +1,5 @@
-//! Guards invariant I6: no team gets more than its rate and burst over all instances, whatever is
-//! lost, delayed, isolated, frozen or restarted.
+//! Guards invariant I6: no team gets more than its rate and burst over all instances, with messages
+//! lost, delayed and repeated, and instances isolated, frozen and restarted.
 
 mod common;
 
@@ -38,7 +38,7 @@
     rate: f64,
     burst: u32,
     offered: f64,
-    /// Calls come in pulses of a burst per instance, this many milliseconds apart.
+    /// If set, calls arrive in bursts at each instance, this many milliseconds apart.
     pulse: Option<u64>,
     loss: f64,
     max_delay: u64,
@@ -55,7 +55,7 @@
     isolated_until: u64,
 }
 
-/// Instances, one leader that grants leases, and the network between them.
+/// Simulation of instances, one leader that grants leases, and the network between them.
 struct World {
     scenario: Scenario,
     rng: StdRng,
@@ -76,7 +76,7 @@
 impl World {
     fn new(scenario: Scenario) -> Self {
         let mut names: Vec<Name> = (0..INSTANCES).map(|i| Name::from(format!("i{i}"))).collect();
-        // Instance 0 owns the team when it is there, instance 1 otherwise, and so on.
+        // Instance 0 owns the team if it is live, otherwise instance 1, and so on.
         for at in 0..INSTANCES {
             let owner = owner_of("team", &names[at..]).unwrap().clone();
             let found = names.iter().position(|n| *n == owner).unwrap();
@@ -140,7 +140,7 @@
         let frozen = |w: &Self, to: usize| to != LEADER && w.instances[to].frozen_until > now;
         let net = std::mem::take(&mut self.net);
         for (at, from, to, message) in net {
-            // Messages to a frozen process stay in its socket until it resumes.
+            // Messages to a frozen process stay in its socket buffer until it resumes.
             if at > now || frozen(self, to) {
                 self.net.push((at, from, to, message));
             } else {
@@ -276,8 +276,8 @@
         }
     }
 
-    /// Highest fill of a bucket that drains at the rate: at most the burst if and only if every
-    /// window of length `T` has at most `burst + rate * T` uses.
+    /// Returns the highest level of a leaky bucket that drains at the rate. It is at most the burst
+    /// if and only if every window of length `T` has at most `burst + rate * T` uses.
     fn highest_fill(&self) -> f64 {
         let (mut fill, mut last, mut highest) = (0.0_f64, 0, 0.0_f64);
         for use_at in &self.uses {
@@ -317,7 +317,7 @@
 proptest! {
     #![proptest_config(fixed_seed(32, 11))]
 
-    /// Guards against a token used twice, or two owners granting from the same refill.
+    /// Guards against a token that is used twice, and two owners that grant from the same refill.
     #[test]
     fn uses_stay_under_rate_and_burst(scenario in scenarios()) {
         let mut world = World::new(scenario);
@@ -330,7 +330,7 @@
     }
 }
 
-/// Runs 10 s without faults, after 4 s in which the instances join and the owner starts.
+/// Simulates 10 s without faults, after 4 s in which the instances join and the owner starts.
 fn run_without_faults(offered: f64, burst: u32) -> World {
     let scenario = Scenario {
         rate: 500.0,
@@ -350,7 +350,7 @@
     world
 }
 
-/// Guards against refusals of calls within rate in steady state, and against lost throughput.
+/// Guards against refusals of calls within the rate in steady state, and against lost throughput.
 #[test]
 fn calls_within_rate_are_admitted() {
     let world = run_without_faults(0.9, 250);
@@ -358,15 +358,15 @@
     assert!(world.uses.len() > 4_300, "{} uses", world.uses.len());
 }
 
-/// Guards against an overload that lowers what is admitted under the rate.
+/// Guards against an overload that reduces the admitted rate.
 #[test]
 fn overload_keeps_full_rate() {
     let world = run_without_faults(5.0, 50);
     assert!(world.uses.len() > 4_950, "{} uses", world.uses.len());
 }
 
-/// Guards against a handover that takes as long as the loss of an owner: an owner that joins again
-/// takes the bucket over from the live one.
+/// Guards against a transfer that takes as long as the failure of an owner: an owner that joins
+/// takes the bucket over from the live former owner.
 #[test]
 fn joining_owner_takes_over() {
     let limit = Limit::new(100.0, 50);
@@ -387,10 +387,10 @@
     assert!(matches!(new.request(&team, limit, &request, ms(5001)), Answer::Starting { .. }));
     let (to, claim) = new.claim(&team, ms(5001)).unwrap();
     assert_eq!(to, former);
-    assert_eq!(old.release(&claim, ms(5002)), None, "the former owner has not heard of the view");
+    assert_eq!(old.release(&claim, ms(5002)), None, "the former owner does not know the view");
     old.observe_view(&view, ms(5010));
     let transfer = old.release(&claim, ms(5010)).unwrap();
-    assert_eq!(old.release(&claim, ms(5011)), None, "a bucket is handed over once");
+    assert_eq!(old.release(&claim, ms(5011)), None, "a bucket is transferred once");
     let mut restarted = OwnedBuckets::new(claim.to.clone(), 3, LEASE, MIN_VALIDITY);
     restarted.observe_view(&view, ms(5011));
     assert!(!restarted.accept(&transfer, limit, ms(5012)));
@@ -401,8 +401,8 @@
     assert_eq!(grant.tokens, 30, "the tokens of the former owner are still outstanding");
 }
 
-/// Guards against an owner that comes back after views it has not seen and grants from its old
-/// bucket, and against a bucket that is handed over when the new owner may have started another.
+/// Guards against an owner that missed views and grants from its old bucket, and against a bucket
+/// that is transferred when the new owner may have started another one.
 #[test]
 fn old_buckets_are_not_used() {
     let limit = Limit::new(100.0, 50);
@@ -423,7 +423,7 @@
     owned.observe_view(&View { epoch: 4, instances: names.clone() }, ms(10_000));
     assert_eq!(owned.release(&claim, ms(11_000)), None);
     assert!(owned.release(&claim, ms(10_999)).is_some());
-    // The new owner is lost; its grants are waited for, and the level starts at zero.
+    // The new owner fails: its grants must expire first, and the level starts at zero.
     owned.observe_view(&alone(5), ms(12_000));
     assert!(matches!(
         owned.request(&claim.team, limit, &request, ms(12_999)),
@@ -451,7 +451,7 @@
     assert_eq!((owner.outstanding(), owner.level()), (1, 7.0));
 }
 
-/// Guards against a call that waits for a token it cannot get before its deadline.
+/// Guards against a call that waits although it cannot get a token before its deadline.
 #[test]
 fn hopeless_calls_are_refused_at_once() {
     let limit = Limit::new(10.0, 1);
--- a/crates/policy/tests/retry_budget.rs
+++ b/crates/policy/tests/retry_budget.rs
@@ -10,7 +10,7 @@
 proptest! {
     #![proptest_config(fixed_seed(128, 14))]
 
-    /// Guards against more retries than the reserve and the part of first attempts allow, per team
+    /// Guards against more retries than the reserve and the ratio of first attempts allow, per team
     /// and for the instance.
     #[test]
     fn retries_stay_within_budget(events in prop::collection::vec((0..3_usize, any::<bool>()), 0..2000)) {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Guards against a budget that one team uses up for the others.
+/// Guards against a team that uses up the budget of the others.
 #[test]
 fn teams_have_their_own_budget() {
     let mut budget = RetryBudget::new(RetryConfig::default());
--- a/crates/policy/tests/route_choice.rs
+++ b/crates/policy/tests/route_choice.rs
@@ -1,4 +1,4 @@
-//! Guards the choice of endpoints.
+//! Tests of endpoint selection.
 
 mod common;
 
@@ -53,8 +53,8 @@
     #![proptest_config(fixed_seed(128, 16))]
 
     /// Guards invariants I7, I8 and I12: no chooser picks an endpoint that is leaving, removed,
-    /// unhealthy, in a zone that is out, above its cap or to be avoided, and each finds one if any
-    /// is left.
+    /// unhealthy, in a disabled zone, above its cap or excluded, and each finds an endpoint if one
+    /// is eligible.
     #[test]
     fn excluded_endpoints_are_never_chosen(
         states in prop::collection::vec(0..7_u8, 12),
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Guards against a load estimate that counts an own call twice, or not at all, whenever the
-    /// report was taken.
+    /// Guards against a load estimate that counts an own call twice or not at all, at any lag of
+    /// the report.
     #[test]
     fn late_reports_are_corrected(
         calls in prop::collection::vec((0..500_u64, 1..500_u64), 1..40),
@@ -116,7 +116,8 @@
     }
 }
 
-/// Guards against herding: 8 instances with the same stale report must not choose one endpoint.
+/// Guards against herding: 8 instances with the same stale report must not choose the same
+/// endpoint.
 #[test]
 fn equal_reports_do_not_herd() {
     let mut counts = [0; 12];
@@ -125,7 +126,7 @@
         let mut rng = StdRng::seed_from_u64(instance);
         let (mut fleet, ids) = fleet(1, 12);
         for (i, id) in ids.iter().enumerate() {
-            // Endpoint 0 looks best, by a little.
+            // Endpoint 0 looks slightly better.
             let running = if i == 0 { 2 } else { 3 };
             fleet.report(*id, &LoadReport { running, queued: 0, measured_at: ms(0) });
         }
@@ -137,11 +138,11 @@
         }
     }
     let most = *counts.iter().max().unwrap();
-    // 48 calls on 12 endpoints make 4 each; all of them fit 5 more on the endpoint.
+    // 48 calls on 12 endpoints are 4 each; with herding, endpoint 0 would get far more.
     assert!(most <= 12, "{counts:?}");
 }
 
-/// Guards against herding on a negligible difference: one endpoint has cached 10 tokens.
+/// Guards against herding on a negligible difference: one endpoint has 10 tokens cached.
 #[test]
 fn near_equal_endpoints_share_calls() {
     let (fleet, ids) = fleet(1, 12);
@@ -159,8 +160,8 @@
     assert!(first <= 4, "{first} of 8 instances chose the same endpoint");
 }
 
-/// Guards against queueing at the endpoints what belongs in the fair queue: one endpoint may be over
-/// its capacity, but not the whole group.
+/// Guards against calls that queue at the endpoints instead of the fair queue: one endpoint may
+/// exceed its capacity, but not the whole group.
 #[test]
 fn full_group_takes_no_calls() {
     let (mut fleet, ids) = fleet(1, 2);
@@ -175,7 +176,7 @@
     }
 }
 
-/// Guards against leaving the cached prefix for noise, and against staying at any price.
+/// Guards against leaving a cached prefix for a small difference, and against staying at any cost.
 #[test]
 fn cached_prefix_attracts_until_load() {
     let (mut fleet, ids) = fleet(2, 2);
@@ -189,7 +190,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let choice = chooser.choose(&fleet, &prefixes, &request(&blocks), &mut rng).unwrap();
     assert_eq!((choice.endpoint, choice.cached_blocks), (ids[3], 40));
-    // At capacity, a long cached history is worth a short wait there, a short one is not.
+    // At capacity, a long cached history is worth a short wait; a short one is not.
     fleet.report(ids[3], &LoadReport { running: 8, queued: 0, measured_at: ms(1) });
     let choice = chooser.choose(&fleet, &prefixes, &request(&blocks), &mut rng).unwrap();
     assert_eq!(choice.endpoint, ids[3]);
@@ -206,8 +207,8 @@
     assert_eq!(fleet.spec(choice.endpoint).zone, "z1".into(), "zone preference yields to load");
 }
 
-/// Guards against an index that outgrows its bound, trusts evicted blocks, or lets a late removal
-/// undo a newer dispatch.
+/// Guards against an index that exceeds its limit, counts evicted blocks as cached, or lets a late
+/// removal undo a newer dispatch.
 #[test]
 fn prefix_index_follows_caches() {
     let mut prefixes = PrefixIndex::new(200);
@@ -224,12 +225,12 @@
     prefixes.record_dispatch(a, &chain(1), ms(100));
     prefixes.record_dispatch(b, &chain(1)[..5], ms(100));
     assert_eq!((depth(&prefixes, &chain(1), a), depth(&prefixes, &chain(1), b)), (20, 5));
-    // A removal from before the dispatch is late; one from after it counts.
+    // A removal from before the dispatch is ignored; one from after it is applied.
     prefixes.apply_event(a, &event(1, 50, CacheChange::Removed(chain(1))));
     assert_eq!(depth(&prefixes, &chain(1), a), 20);
     prefixes.apply_event(a, &event(2, 150, CacheChange::Removed(chain(1)[10..].to_vec())));
     assert_eq!(depth(&prefixes, &chain(1), a), 10);
-    // Stored blocks push out the least recently used ones, also those in lost events.
+    // Stored blocks evict the least recently used ones, and so do those in lost events.
     prefixes.apply_event(b, &event(1, 200, CacheChange::Stored(chain(2))));
     prefixes.apply_event(b, &event(2, 200, CacheChange::Stored(chain(3))));
     assert_eq!(depth(&prefixes, &chain(2), b), 20);
@@ -244,7 +245,7 @@
     assert_eq!(depth(&prefixes, &chain(99), a), 20);
 }
 
-/// Guards against chains that depend on how the text was split, or mix scopes.
+/// Guards against chains that depend on how the text was split, or that are equal in two scopes.
 #[test]
 fn chains_extend() {
     let text: Vec<u8> = (0..1000_u32).map(|i| (i % 251) as u8).collect();
@@ -259,8 +260,7 @@
     assert_ne!(whole.blocks()[0], other.blocks()[0]);
 }
 
-/// Calls stay with the endpoints that the instance is connected to, as long as these are hardly
-/// busier than the others.
+/// Calls go to endpoints with an open connection, unless these are much busier than the others.
 #[test]
 fn connected_endpoints() {
     let cfg = CostConfig { connect_s: 0.1, ..CostConfig::default() };
