--- a/crates/policy/tests/call_priorities.rs
+++ b/crates/policy/tests/call_priorities.rs
@@ -49,7 +49,7 @@
 /// Guards against a team that is delayed for service it used long ago, and against unbounded
 /// memory.
 #[test]
-fn service_is_forgotten() {
+fn service_decays() {
     let mut priorities = Priorities::default();
     rounds(&mut priorities, &[("greedy", 1, 500), ("small", 1, 100)]);
     let now = secs(1_000.0);
@@ -74,7 +74,7 @@
 
 /// Guards against teams within their shares that wait behind one that is held back.
 #[test]
-fn held_back_team_is_passed() {
+fn held_back_team_is_skipped() {
     let mut priorities = Priorities::default();
     rounds(&mut priorities, &[("greedy", 1, 500), ("small", 1, 100)]);
     let mut queue = FairQueue::new(QueueConfig::default(), Box::new(Fcfs));
--- a/crates/policy/tests/cold_starts.rs
+++ b/crates/policy/tests/cold_starts.rs
@@ -43,7 +43,7 @@
 /// Guards against a cold endpoint that no instance may use: with 40 instances and a limit of 3,
 /// three may.
 #[test]
-fn someone_may_start() {
+fn some_instances_may_start() {
     for offset in 0..50 {
         let open = (0..40).filter(|rank| {
             let rank = InstanceRank { rank: *rank, count: 40 };
--- a/crates/policy/tests/faded_loads.rs
+++ b/crates/policy/tests/faded_loads.rs
@@ -7,7 +7,7 @@
 /// Guards against an endpoint that counts as full forever after it was once reported full, because
 /// it gets no more calls whose answers would report a lower load.
 #[test]
-fn full_report_fades() {
+fn full_report_decays() {
     let mut fleet = Fleet::new();
     let id = fleet.upsert(EndpointSpec {
         name: "e1".into(),
--- a/crates/policy/tests/quarantine_trials.rs
+++ b/crates/policy/tests/quarantine_trials.rs
@@ -95,7 +95,7 @@
     #![proptest_config(fixed_seed(64, 31))]
 
     #[test]
-    fn ends_three_and_spares_others(
+    fn crashes_three_endpoints_only(
         seed in any::<u64>(),
         endpoints in 3..12_usize,
         others in 0..120_usize,
@@ -124,7 +124,7 @@
 /// Several reports about one failure of an endpoint count once; a later failure of an endpoint with
 /// the same name counts again.
 #[test]
-fn one_end_counts_once() {
+fn one_failure_counts_once() {
     let mut quarantine = Quarantine::default();
     for n in 0..500 {
         assert!(!quarantine.record_failure(request(1), &endpoint(0), ms(n)));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn one_trial_a_place() {
+fn one_trial_per_endpoint() {
     let mut quarantine = Quarantine::default();
     suspect(&mut quarantine, request(1));
     suspect(&mut quarantine, request(2));
--- a/crates/policy/tests/ramp_sums.rs
+++ b/crates/policy/tests/ramp_sums.rs
@@ -39,7 +39,7 @@
     /// Guards against two instances that use the same share while their views differ. The leader
     /// changes the view at random times; each instance receives it late or loses its lease.
     #[test]
-    fn sum_of_parts_is_within_total(
+    fn sum_of_shares_is_within_total(
         changes in prop::collection::vec((2500..20_000_u64, 0..8_usize), 1..12),
         delays in prop::collection::vec(0..2500_u64, 8 * 13),
         cold in 1..30_u32,
@@ -94,7 +94,7 @@
 
 /// Guards against shares that leave capacity unused in a stable view.
 #[test]
-fn parts_add_up_in_steady_view() {
+fn shares_add_up_in_stable_view() {
     let all = names(8);
     for total in [3, 17, 24] {
         let sum: u32 = all
--- a/crates/policy/tests/rate_bound.rs
+++ b/crates/policy/tests/rate_bound.rs
@@ -239,8 +239,8 @@
             calls = if now.is_multiple_of(every) { self.scenario.burst + 1 } else { 0 };
         }
         for _ in 0..calls {
-            let patience = if self.scenario.pulse.is_some() { 3000 } else { 400 };
-            match self.instances[i].share.acquire(ms(now + patience), ms(now)) {
+            let max_wait_ms = if self.scenario.pulse.is_some() { 3000 } else { 400 };
+            match self.instances[i].share.acquire(ms(now + max_wait_ms), ms(now)) {
                 Admission::Granted(_) => self.uses.push(now),
                 Admission::Refused { .. } => self.refused += 1,
                 Admission::Wait(_) => {}
@@ -453,7 +453,7 @@
 
 /// Guards against a call that waits although it cannot get a token before its deadline.
 #[test]
-fn hopeless_calls_are_refused_at_once() {
+fn calls_past_deadline_are_refused_at_once() {
     let limit = Limit::new(10.0, 1);
     let mut owner = OwnerBucket::new(limit, MIN_VALIDITY, 0.0, ms(0));
     let mut share = InstanceBucket::new("a".into(), limit, InstanceBucketConfig::default());
