--- a/crates/core/commands/node.rs
+++ b/crates/core/commands/node.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result};
 use poplarspan_platform::{Platform, read_settings};
-use poplarspan_relay::{Relay, Running, Settings};
+use poplarspan_relay::{Relay, RunningInstance, Settings};
 use tokio::{
     signal::unix::{SignalKind, signal},
     time::{MissedTickBehavior, interval},
@@ -21,8 +21,8 @@
     let mut signals = Signals::new()?;
     let text = read(&flags.settings)?;
     let settings = parse(&text, &flags)?;
-    let dialect = Arc::new(Platform);
-    let relay = Relay { settings, dialect, tls: flags.tls.files() };
+    let protocol = Arc::new(Platform);
+    let relay = Relay { settings, protocol, tls: flags.tls.files() };
     let running = tokio::select! {
         running = relay.start() => running?,
         // The start may wait for room on the disk.
@@ -71,7 +71,7 @@
 }
 
 /// Takes changed settings. A file that cannot be used changes nothing.
-fn reload(running: &Running, flags: &NodeFlags, held: &mut String) {
+fn reload(running: &RunningInstance, flags: &NodeFlags, held: &mut String) {
     let changed = read(&flags.settings).and_then(|text| {
         let settings = (text != *held).then(|| parse(&text, flags)).transpose()?;
         Ok((text, settings))
--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -46,7 +46,7 @@
     /// Names the program.
     pub id: Name,
     /// Names the line of turns within the program: the main one, or a sub-agent's.
-    pub line: Option<Name>,
+    pub conversation: Option<Name>,
     /// Time until the whole program should have ended.
     pub time_left: Option<Duration>,
     /// Tokens that all turns of the program may generate.
@@ -81,7 +81,7 @@
 
 /// Head of an endpoint's answer.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Whether the endpoint states that it has not run the request.
     pub not_run: bool,
     /// Whether another endpoint than the expected one has answered.
@@ -141,7 +141,7 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum OperatorRequest {
     /// Publish a set of objects.
     Publish,
     /// Return the objects in force.
@@ -159,7 +159,7 @@
         instance: Name,
     },
     /// Return how far the emptying of an instance is.
-    RetireState {
+    RetireStatus {
         /// The instance.
         instance: Name,
     },
--- a/crates/relay/src/control/list.rs
+++ b/crates/relay/src/control/endpoint_list.rs
@@ -14,32 +14,32 @@
 
 /// Time between two readings. With the age of the list itself and the time until the next beat it
 /// stays well below the time that a leaving endpoint goes on serving.
-const INTERVAL: Duration = Duration::from_millis(600);
+const POLL_INTERVAL: Duration = Duration::from_millis(600);
 /// Pause after a reading that failed.
-const RETRY: Duration = Duration::from_millis(250);
-const TIMEOUT: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_PAGE_BYTES: usize = 4 << 20;
 /// Pages of one reading; a list that has more is not taken.
 const MAX_PAGES: usize = 256;
 
 /// Reads the list while its replica leads.
-pub(crate) struct ListReader {
+pub(crate) struct EndpointListReader {
     control: Arc<Control>,
     pool: Arc<Pool>,
     is_failing: bool,
 }
 
-impl ListReader {
+impl EndpointListReader {
     pub(crate) fn new(control: Arc<Control>) -> Self {
-        let cfg = PoolConfig::new(control.dialect.id_header());
+        let cfg = PoolConfig::new(control.protocol.request_id_header());
         Self { control, pool: Pool::new(cfg), is_failing: false }
     }
 
     /// Reads until the task is ended.
     pub(crate) async fn run(mut self) -> Result<()> {
         loop {
-            if self.control.leading().is_none() {
-                sleep(RETRY).await;
+            if self.control.leader_state().is_none() {
+                sleep(RETRY_PAUSE).await;
                 continue;
             }
             match self.read().await {
@@ -47,8 +47,8 @@
                     if std::mem::take(&mut self.is_failing) {
                         log::info!("the list of endpoints can be read again");
                     }
-                    self.take(endpoints);
-                    sleep(INTERVAL).await;
+                    self.apply(endpoints);
+                    sleep(POLL_INTERVAL).await;
                 }
                 Err(e) => {
                     metrics::counter!("poplarspan_relay_list_failures_total").increment(1);
@@ -56,18 +56,18 @@
                         let error = format!("{e:#}");
                         log::warn!(error = error.as_str(); "cannot read the list of endpoints");
                     }
-                    sleep(RETRY).await;
+                    sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    fn take(&self, endpoints: Vec<ListedEndpoint>) {
-        let Some(mut state) = self.control.leading() else { return };
+    fn apply(&self, endpoints: Vec<ListedEndpoint>) {
+        let Some(mut state) = self.control.leader_state() else { return };
         let count = endpoints.len();
         let leaving = endpoints.iter().filter(|e| e.leaving).count();
-        if state.leading.set_directory(endpoints, self.control.clock.now()) {
-            let number = state.leading.directory_number();
+        if state.leader.set_directory(endpoints, self.control.clock.now()) {
+            let number = state.leader.directory_number();
             log::info!(count, leaving, number; "the list of endpoints has changed");
         }
     }
@@ -79,7 +79,7 @@
         let mut token: Option<String> = None;
         for _ in 0..MAX_PAGES {
             let body = self.page(token.as_deref()).await?;
-            let page = self.control.dialect.list_page(&body)?;
+            let page = self.control.protocol.parse_list_page(&body)?;
             endpoints.extend(page.endpoints);
             unreadable += page.unreadable;
             token = page.next;
@@ -95,12 +95,12 @@
 
     async fn page(&self, token: Option<&str>) -> Result<Bytes> {
         metrics::counter!("poplarspan_relay_list_calls_total").increment(1);
-        let address = self.control.settings.list;
+        let address = self.control.settings.endpoint_list_address;
         let mut request = Request::new(Full::new(Bytes::new()));
-        *request.uri_mut() = self.control.dialect.list_request(token);
+        *request.uri_mut() = self.control.protocol.list_page_uri(token);
         let host = HeaderValue::from_str(&address.to_string()).context("an address is ASCII")?;
         request.headers_mut().insert(header::HOST, host);
-        let deadline = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + READ_TIMEOUT;
         let exchange = self.pool.send(address, request, false, deadline).await?;
         let (response, reuse) = exchange.into_parts();
         let status = response.status();
--- a/crates/relay/src/control/hand_on.rs
+++ b/crates/relay/src/control/forwarding.rs
@@ -21,59 +21,59 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// Marks an order that was handed on. It is not handed on again.
-pub(super) const HANDED_ON: HeaderName = HeaderName::from_static("x-poplarspan-handed-on");
+pub(super) const FORWARDED: HeaderName = HeaderName::from_static("x-poplarspan-handed-on");
 /// Longest time for one try to hand an order on; several times what a commit takes.
-const TRY_TIMEOUT: Duration = Duration::from_millis(400);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Further time for each megabyte of the order.
 const TIME_PER_MIB: Duration = Duration::from_secs(1);
 const MAX_ANSWER_BYTES: usize = 32 << 20;
 
 /// A replica that did not run for longer than this was suspended.
-const LONGEST_GAP: Duration = Duration::from_millis(400);
-const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(400);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time after a suspension in which what had arrived before it has been read.
-const CAUGHT_UP_AFTER: Duration = Duration::from_millis(500);
+const STALE_WINDOW: Duration = Duration::from_millis(500);
 
 /// An order as it arrived.
-pub(super) struct Received {
+pub(super) struct ReceivedRequest {
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) body: Bytes,
     /// Whether another replica has handed it on.
-    pub(super) is_handed_on: bool,
+    pub(super) is_forwarded: bool,
 }
 
-impl Received {
+impl ReceivedRequest {
     /// Further time that the size of the order takes.
-    pub(super) fn time_for_size(&self) -> Duration {
+    pub(super) fn transfer_time(&self) -> Duration {
         TIME_PER_MIB * u32::try_from(self.body.len() >> 20).unwrap_or(u32::MAX)
     }
 }
 
 /// Connections to the other replicas' ports for operators.
-pub(super) struct HandOn {
+pub(super) struct Forwarder {
     pool: Arc<Pool>,
 }
 
-impl HandOn {
+impl Forwarder {
     pub(super) fn new() -> Self {
-        Self { pool: Pool::new(PoolConfig::new(HANDED_ON)) }
+        Self { pool: Pool::new(PoolConfig::new(FORWARDED)) }
     }
 
     /// Sends an order to the replica that leads; returns the status and body of its answer.
     pub(super) async fn send(
         &self,
         leader: SocketAddr,
-        order: &Received,
+        order: &ReceivedRequest,
         until: Instant,
     ) -> Result<(StatusCode, Bytes)> {
-        let until = until.min(Instant::now() + TRY_TIMEOUT + order.time_for_size());
+        let until = until.min(Instant::now() + ATTEMPT_TIMEOUT + order.transfer_time());
         let mut req = Request::new(Full::new(order.body.clone()));
         *req.method_mut() = order.method.clone();
         *req.uri_mut() = order.path.parse().context("the path of an order")?;
         let host = HeaderValue::from_str(&leader.to_string()).context("an address is ASCII")?;
         req.headers_mut().insert(header::HOST, host);
-        req.headers_mut().insert(HANDED_ON, HeaderValue::from_static("1"));
+        req.headers_mut().insert(FORWARDED, HeaderValue::from_static("1"));
         // On a connection of its own: one that was used before may lead to a replica that is gone.
         let exchange = self.pool.send(leader, req, true, until).await?;
         let (response, _closed_when_read) = exchange.into_parts();
@@ -91,38 +91,38 @@
 pub(super) struct SuspensionWatch {
     clock: Arc<dyn Clock>,
     /// When the process was last seen to run, in milliseconds of the clock.
-    seen_ms: AtomicU64,
+    last_run_ms: AtomicU64,
     /// Until when orders may date from before a suspension, likewise.
     stale_until_ms: AtomicU64,
 }
 
 impl SuspensionWatch {
     pub(super) fn new(clock: Arc<dyn Clock>) -> Arc<Self> {
-        let seen_ms = AtomicU64::new(millis(clock.now()));
-        Arc::new(Self { clock, seen_ms, stale_until_ms: AtomicU64::new(0) })
+        let last_run_ms = AtomicU64::new(millis(clock.now()));
+        Arc::new(Self { clock, last_run_ms, stale_until_ms: AtomicU64::new(0) })
     }
 
     /// Watches until the task is ended.
     pub(super) async fn run(self: Arc<Self>) -> Result<()> {
         loop {
-            self.look();
-            sleep(WATCH_INTERVAL).await;
+            self.check();
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
     /// Whether an order that is read now may have arrived before a suspension.
     pub(super) fn is_stale(&self) -> bool {
-        self.look();
+        self.check();
         millis(self.clock.now()) < self.stale_until_ms.load(Ordering::Relaxed)
     }
 
-    fn look(&self) {
+    fn check(&self) {
         let now = millis(self.clock.now());
-        let seen = self.seen_ms.swap(now, Ordering::Relaxed);
-        if now.saturating_sub(seen) > millis(LONGEST_GAP) {
+        let seen = self.last_run_ms.swap(now, Ordering::Relaxed);
+        if now.saturating_sub(seen) > millis(SUSPENSION_THRESHOLD) {
             let gap_ms = now.saturating_sub(seen);
             log::warn!(gap_ms; "the process was suspended; orders that wait are refused");
-            self.stale_until_ms.store(now + millis(CAUGHT_UP_AFTER), Ordering::Relaxed);
+            self.stale_until_ms.store(now + millis(STALE_WINDOW), Ordering::Relaxed);
         }
     }
 }
--- a/crates/relay/src/control/leading.rs
+++ b/crates/relay/src/control/leader_state.rs
@@ -12,7 +12,7 @@
     rate::Limit,
     starts::Place,
 };
-use poplarspan_proto::peer::{self, Duty as PeerDuty};
+use poplarspan_proto::peer::{self, Duty as PbDuty};
 
 use super::suspects::Suspects;
 use crate::{ListedEndpoint, Publication};
@@ -21,11 +21,11 @@
 const DRIFT_MARGIN: Duration = Duration::from_millis(100);
 /// Time after the first store was seen in which the other founders must have been seen: all
 /// instances of a new fleet start together.
-const FORMING_TIME: Duration = Duration::from_millis(1_500);
+const STORE_DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// Time between two log lines about a team whose programs are held back.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// A new leader knows all live instances after this time: each sends several beats in it.
-const KNOWS_ALL_AFTER: Duration = Duration::from_millis(1_000);
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_000);
 
 /// A live instance.
 #[derive(Clone, Debug)]
@@ -33,10 +33,10 @@
     pub(crate) name: Name,
     pub(crate) zone: Name,
     pub(crate) address: SocketAddr,
-    pub(crate) duty: PeerDuty,
+    pub(crate) duty: PbDuty,
     pub(crate) store: Option<peer::StoreState>,
     first_seen: Duration,
-    until: Duration,
+    lease_until: Duration,
 }
 
 /// The list of endpoints, and when it was read.
@@ -49,14 +49,14 @@
 }
 
 /// Calls of a team that could not begin a program, since the last line about it in the log.
-struct HeldBack {
+struct ThrottledTeam {
     team: Name,
     calls: u32,
     logged_at: Option<Duration>,
 }
 
 /// State of a leader in one term.
-pub(crate) struct Leading {
+pub(crate) struct LeaderState {
     pub(crate) term: u64,
     since: Duration,
     lease: Duration,
@@ -66,13 +66,13 @@
     // Sorted by team.
     teams: Vec<(Name, Allocator)>,
     // Sorted by team.
-    held_back: Vec<HeldBack>,
+    throttled: Vec<ThrottledTeam>,
     pub(crate) suspects: Suspects,
     /// Instances that joined or were lost, for the log.
     changes: VecDeque<(Name, &'static str)>,
 }
 
-impl Leading {
+impl LeaderState {
     pub(crate) fn new(term: u64, lease: Duration, now: Duration) -> Self {
         Self {
             term,
@@ -81,23 +81,23 @@
             members: Vec::new(),
             directory: Directory::default(),
             teams: Vec::new(),
-            held_back: Vec::new(),
+            throttled: Vec::new(),
             suspects: Suspects::new(term),
             changes: VecDeque::new(),
         }
     }
 
     /// Whether every live instance has had the time to send a beat to this leader.
-    pub(crate) fn knows_all(&self, now: Duration) -> bool {
-        now >= self.since + KNOWS_ALL_AFTER
+    pub(crate) fn has_seen_all_instances(&self, now: Duration) -> bool {
+        now >= self.since + DISCOVERY_TIME
     }
 
     /// Takes note of the sender of a beat.
-    pub(crate) fn note(&mut self, beat: &peer::Beat, now: Duration) -> Option<()> {
+    pub(crate) fn note_heartbeat(&mut self, beat: &peer::Beat, now: Duration) -> Option<()> {
         let address = beat.peer_address.parse().ok()?;
         self.expire(now);
         let name = Name::from(&*beat.instance);
-        let until = now + self.lease + DRIFT_MARGIN;
+        let lease_until = now + self.lease + DRIFT_MARGIN;
         let at = self.members.binary_search_by(|m| m.name.cmp(&name));
         let first_seen = at.map_or(now, |at| self.members[at].first_seen);
         let member = Member {
@@ -107,7 +107,7 @@
             duty: beat.duty(),
             store: beat.store.clone(),
             first_seen,
-            until,
+            lease_until,
         };
         match at {
             Ok(at) => self.members[at] = member,
@@ -123,7 +123,7 @@
     fn expire(&mut self, now: Duration) {
         let Self { members, changes, .. } = self;
         members.retain(|m| {
-            let lives = now < m.until;
+            let lives = now < m.lease_until;
             if !lives {
                 changes.push_back((m.name.clone(), "instance lost"));
             }
@@ -137,7 +137,7 @@
     }
 
     /// Live instances with a duty.
-    pub(crate) fn members(&self, duty: PeerDuty) -> impl Iterator<Item = &Member> {
+    pub(crate) fn members(&self, duty: PbDuty) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |m| m.duty == duty)
     }
 
@@ -148,22 +148,22 @@
 
     /// Place of an instance among those that serve callers.
     pub(crate) fn place(&self, name: &str) -> Place {
-        let fronts = || self.members(PeerDuty::Front);
+        let fronts = || self.members(PbDuty::Front);
         let rank = fronts().take_while(|m| *m.name < *name).count();
         Place { rank: rank as u32, of: fronts().count().max(1) as u32 }
     }
 
     /// The store that leads a group, as far as a live one says so, and the group's voters.
     fn group_leader(&self, group: u32) -> Option<(&Member, &peer::LedGroup)> {
-        let led = self.members(PeerDuty::Store).filter_map(|m| {
+        let led = self.members(PbDuty::Store).filter_map(|m| {
             let group = m.store.as_ref()?.leads.iter().find(|g| g.group == group)?;
             Some((m, group))
         });
-        led.max_by_key(|(m, _)| m.until)
+        led.max_by_key(|(m, _)| m.lease_until)
     }
 
     /// Whether a store votes in none of the groups. None while it cannot be told.
-    pub(crate) fn holds_nothing(&self, instance: &str, groups: u32) -> Option<bool> {
+    pub(crate) fn is_drained(&self, instance: &str, groups: u32) -> Option<bool> {
         let replica = self.member(instance)?.store.as_ref()?.replica;
         let mut is_empty = true;
         for group in 0..groups {
@@ -180,13 +180,13 @@
 
     /// Peer addresses of the stores.
     pub(crate) fn store_addresses(&self) -> Vec<String> {
-        self.members(PeerDuty::Store).map(|m| m.address.to_string()).collect()
+        self.members(PbDuty::Store).map(|m| m.address.to_string()).collect()
     }
 
     /// For each group, the place of its leader among the stores, from 1; 0 if it is not known.
     pub(crate) fn group_leaders(&self, groups: u32) -> Vec<u32> {
         let place = |leader: &Member| {
-            let at = self.members(PeerDuty::Store).position(|m| m.name == leader.name);
+            let at = self.members(PbDuty::Store).position(|m| m.name == leader.name);
             at.map_or(0, |at| at as u32 + 1)
         };
         (0..groups).map(|g| self.group_leader(g).map_or(0, |(leader, _)| place(leader))).collect()
@@ -195,9 +195,9 @@
     /// The stores in the order in which groups take their first voters, when it is time to decide it.
     /// Neighbours are in different zones.
     pub(crate) fn store_ring(&self, now: Duration) -> Option<Vec<u64>> {
-        let stores: Vec<&Member> = self.members(PeerDuty::Store).collect();
+        let stores: Vec<&Member> = self.members(PbDuty::Store).collect();
         let first = stores.iter().map(|m| m.first_seen).min()?;
-        if now < first + FORMING_TIME || !self.knows_all(now) {
+        if now < first + STORE_DISCOVERY_TIME || !self.has_seen_all_instances(now) {
             return None;
         }
         let mut ranked: Vec<(usize, u64)> = Vec::new();
@@ -262,7 +262,7 @@
     }
 
     /// Shares out the rates of the teams that an instance reports.
-    pub(crate) fn share(
+    pub(crate) fn allocate_shares(
         &mut self,
         instance: &Name,
         demand: &[peer::TeamDemand],
@@ -312,7 +312,7 @@
             let begun = allocator.begin(borrow.program, now).map_err(Some);
             if begun.is_err() {
                 let load = allocator.load(now);
-                self.note_held_back(&team.name, limit, load, now);
+                self.note_throttled(&team.name, limit, load, now);
             }
             return begun;
         }
@@ -324,23 +324,23 @@
     }
 
     /// Logs why programs of a team do not begin, once in a while.
-    fn note_held_back(&mut self, team: &Name, limit: Option<Limit>, load: TeamLoad, now: Duration) {
-        let at = match self.held_back.binary_search_by(|h| h.team.cmp(team)) {
+    fn note_throttled(&mut self, team: &Name, limit: Option<Limit>, load: TeamLoad, now: Duration) {
+        let at = match self.throttled.binary_search_by(|h| h.team.cmp(team)) {
             Ok(at) => at,
             Err(at) => {
-                let new = HeldBack { team: team.clone(), calls: 0, logged_at: None };
-                self.held_back.insert(at, new);
+                let new = ThrottledTeam { team: team.clone(), calls: 0, logged_at: None };
+                self.throttled.insert(at, new);
                 at
             }
         };
-        let held_back = &mut self.held_back[at];
-        held_back.calls += 1;
-        if held_back.logged_at.is_some_and(|at| now < at + LOG_INTERVAL) {
+        let throttled = &mut self.throttled[at];
+        throttled.calls += 1;
+        if throttled.logged_at.is_some_and(|at| now < at + LOG_INTERVAL) {
             return;
         }
         log::info!(
             team = &**team,
-            calls = held_back.calls,
+            calls = throttled.calls,
             per_second = limit.map_or(0.0, |l| l.per_second()),
             demand = load.demand,
             programs = load.programs,
@@ -348,14 +348,14 @@
             reserve = load.reserve;
             "programs held back: the team is at its rate"
         );
-        (held_back.calls, held_back.logged_at) = (0, Some(now));
+        (throttled.calls, throttled.logged_at) = (0, Some(now));
     }
 
     fn allocator(&mut self, team: &Name, now: Duration) -> &mut Allocator {
         let at = match self.teams.binary_search_by(|(t, _)| t.cmp(team)) {
             Ok(at) => at,
             Err(at) => {
-                let settled_at = self.since + KNOWS_ALL_AFTER;
+                let settled_at = self.since + DISCOVERY_TIME;
                 let allocator = Allocator::new(settled_at, self.lease + DRIFT_MARGIN, now);
                 self.teams.insert(at, (team.clone(), allocator));
                 at
--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -1,10 +1,10 @@
 //! Duties of a control replica: it replicates the board, and while it leads, it gives leases to the
 //! other instances, reads the list of endpoints and carries out orders.
 
-mod hand_on;
-mod leading;
-mod list;
-mod orders;
+mod endpoint_list;
+mod forwarding;
+mod leader_state;
+mod operator_api;
 mod suspects;
 
 use std::{
@@ -24,37 +24,37 @@
 use prost::Message;
 
 use crate::{
-    Board, Dialect, Duty, Publication, Settings, board,
+    ControlState, InstanceRole, Protocol, Publication, Settings, control_state,
     groups::group_count,
     now_ms,
-    replica::{Replica, plan::machine},
+    replica::{Replica, membership::machine},
 };
-use leading::Leading;
-use suspects::Now;
+use leader_state::LeaderState;
+use suspects::Timestamps;
 
-pub(crate) use list::ListReader;
-pub(crate) use orders::OrderServer;
+pub(crate) use endpoint_list::EndpointListReader;
+pub(crate) use operator_api::OperatorServer;
 
 /// Part of the bound for withdrawn keys that a lease lasts. The rest covers the time until an
 /// instance asks again.
-const LEASE_PART: f64 = 0.6;
+const LEASE_FRACTION: f64 = 0.6;
 
 /// Length of the leases of fronts.
 pub(crate) fn lease_length(settings: &Settings) -> Duration {
-    settings.bounds.revoke.mul_f64(LEASE_PART)
+    settings.bounds.key_revocation.mul_f64(LEASE_FRACTION)
 }
 
 /// A control replica.
 pub(crate) struct Control {
     settings: Arc<Settings>,
     replica: Arc<Replica>,
-    dialect: Arc<dyn Dialect>,
+    protocol: Arc<dyn Protocol>,
     clock: Arc<dyn Clock>,
     state: Mutex<State>,
 }
 
 struct State {
-    leading: Leading,
+    leader: LeaderState,
     /// The publication in force, for its limits.
     publication: Option<Arc<Publication>>,
 }
@@ -63,36 +63,40 @@
     pub(crate) fn new(
         settings: Arc<Settings>,
         replica: Arc<Replica>,
-        dialect: Arc<dyn Dialect>,
+        protocol: Arc<dyn Protocol>,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
-        let leading = Leading::new(0, lease_length(&settings), clock.now());
-        let state = Mutex::new(State { leading, publication: None });
-        Arc::new(Self { settings, replica, dialect, clock, state })
+        let leader = LeaderState::new(0, lease_length(&settings), clock.now());
+        let state = Mutex::new(State { leader, publication: None });
+        Arc::new(Self { settings, replica, protocol, clock, state })
     }
 
     /// The state of the current term. None when this replica does not lead.
-    fn leading(&self) -> Option<MutexGuard<'_, State>> {
+    fn leader_state(&self) -> Option<MutexGuard<'_, State>> {
         let term = self.replica.leads()?;
         let mut state = self.state.lock().expect("no panic while locked");
-        if state.leading.term != term {
+        if state.leader.term != term {
             log::info!(term; "leads the control group");
             metrics::counter!("poplarspan_relay_terms_led_total").increment(1);
-            state.leading = Leading::new(term, lease_length(&self.settings), self.clock.now());
+            state.leader = LeaderState::new(term, lease_length(&self.settings), self.clock.now());
         }
         Some(state)
     }
 
     /// The publication in force, read anew when the board has another version.
-    fn publication(&self, state: &mut State, board: &Board) -> Option<Arc<Publication>> {
-        if board.version() == 0 {
+    fn publication(
+        &self,
+        state: &mut State,
+        control_state: &ControlState,
+    ) -> Option<Arc<Publication>> {
+        if control_state.version() == 0 {
             return None;
         }
-        if state.publication.as_ref().is_none_or(|p| p.version != board.version()) {
-            match read_publication(&*self.dialect, board.version(), board.body()) {
+        if state.publication.as_ref().is_none_or(|p| p.version != control_state.version()) {
+            match read_publication(&*self.protocol, control_state.version(), control_state.body()) {
                 Ok(publication) => state.publication = Some(Arc::new(publication)),
                 Err(error) => {
-                    let version = board.version();
+                    let version = control_state.version();
                     log::error!(version, error = error.as_str(); "cannot read the publication");
                 }
             }
@@ -101,62 +105,64 @@
     }
 
     /// A lease for an instance, with what changed since its last one.
-    async fn beat(&self, beat: peer::Beat) -> Result<peer::BeatAnswer, peer::Failure> {
-        let board = self.board().await?;
+    async fn handle_heartbeat(&self, beat: peer::Beat) -> Result<peer::BeatAnswer, peer::Failure> {
+        let control_state = self.control_state().await?;
         let voters = self.replica.voters().await;
         let now = self.clock.now();
-        let mut state = self.leading().ok_or_else(|| self.replica.not_leader())?;
-        let publication = self.publication(&mut state, &board);
-        let leading = &mut state.leading;
-        leading.note(&beat, now).ok_or_else(|| invalid("the address of the instance"))?;
-        for (instance, change) in leading.take_changes() {
+        let mut state = self.leader_state().ok_or_else(|| self.replica.not_leader())?;
+        let publication = self.publication(&mut state, &control_state);
+        let leader = &mut state.leader;
+        leader.note_heartbeat(&beat, now).ok_or_else(|| invalid("the address of the instance"))?;
+        for (instance, change) in leader.take_changes() {
             log::info!(instance = &*instance; "{change}");
         }
-        let moment = self.now();
-        leading.suspects.observe(&board, &beat, moment);
-        let quarantine = leading.suspects.list_for(beat.quarantine, moment);
-        let place = leading.place(&beat.instance);
+        let moment = self.timestamps();
+        leader.suspects.observe(&control_state, &beat, moment);
+        let quarantine = leader.suspects.list_for(beat.quarantine, moment);
+        let place = leader.place(&beat.instance);
         let shares = publication.map_or_else(Vec::new, |publication| {
-            leading.share(&Name::from(&*beat.instance), &beat.demand, &publication, now)
+            leader.allocate_shares(&Name::from(&*beat.instance), &beat.demand, &publication, now)
+        });
+        let published = (control_state.version() > beat.version).then(|| peer::Published {
+            version: control_state.version(),
+            body: control_state.body().clone(),
         });
-        let published = (board.version() > beat.version)
-            .then(|| peer::Published { version: board.version(), body: board.body().clone() });
         let names = |list: &[Name]| list.iter().map(|n| n.to_string()).collect();
         Ok(peer::BeatAnswer {
             lease_ms: lease_length(&self.settings).as_millis() as u64,
             publication: published,
-            directory: leading.directory_for(beat.directory, now),
-            zones_out: names(board.zones_out()),
+            directory: leader.directory_for(beat.directory, now),
+            zones_out: names(control_state.zones_out()),
             fronts: place.of,
             rank: place.rank,
             shares,
-            cores: voters.iter().map(|id| self.control_peer(*id)).collect(),
-            stores: leading.store_addresses(),
-            store_ring: board.store_ring().to_vec(),
-            retiring: leading.store_replicas(board.retiring()),
-            group_leaders: leading.group_leaders(board.store_groups()),
+            cores: voters.iter().map(|id| self.control_peer_address(*id)).collect(),
+            stores: leader.store_addresses(),
+            store_ring: control_state.store_ring().to_vec(),
+            retiring: leader.store_replicas(control_state.retiring()),
+            group_leaders: leader.group_leaders(control_state.store_groups()),
             quarantine,
         })
     }
 
-    fn control_peer(&self, id: ReplicaId) -> String {
-        self.settings.peer_of(machine(id), Duty::Control).to_string()
+    fn control_peer_address(&self, id: ReplicaId) -> String {
+        self.settings.peer_address_of(machine(id), InstanceRole::Control).to_string()
     }
 
     /// The board, read behind a read barrier.
-    async fn board(&self) -> Result<Board, peer::Failure> {
-        let board = self.replica.query(Board::clone).await;
-        board.ok_or_else(|| self.replica.not_leader())
+    async fn control_state(&self) -> Result<ControlState, peer::Failure> {
+        let control_state = self.replica.query(ControlState::clone).await;
+        control_state.ok_or_else(|| self.replica.not_leader())
     }
 
     async fn borrow(&self, borrow: peer::Borrow) -> Result<peer::Borrowed, peer::Failure> {
         // Tokens are given out by a leader whose lease holds, so that two leaders never do.
-        let board = self.board().await?;
+        let control_state = self.control_state().await?;
         let now = self.clock.now();
-        let mut state = self.leading().ok_or_else(|| self.replica.not_leader())?;
-        let publication = self.publication(&mut state, &board);
+        let mut state = self.leader_state().ok_or_else(|| self.replica.not_leader())?;
+        let publication = self.publication(&mut state, &control_state);
         let publication = publication.ok_or_else(|| invalid("no publication is in force"))?;
-        let lent = state.leading.borrow(&borrow, &publication, now);
+        let lent = state.leader.borrow(&borrow, &publication, now);
         Ok(match lent {
             Ok(()) => peer::Borrowed { granted: true, retry_after_ms: 0 },
             Err(after) => {
@@ -166,22 +172,23 @@
         })
     }
 
-    fn now(&self) -> Now {
-        Now { steady: self.clock.now(), epoch_ms: now_ms() }
+    fn timestamps(&self) -> Timestamps {
+        Timestamps { monotonic: self.clock.now(), epoch_ms: now_ms() }
     }
 
     /// Rules on events of requests under which endpoints end.
-    async fn rule(
+    async fn handle_suspect_events(
         &self,
         events: peer::SuspectEvents,
     ) -> Result<peer::SuspectRulings, peer::Failure> {
-        let board = self.board().await?;
-        let now = self.now();
+        let control_state = self.control_state().await?;
+        let now = self.timestamps();
         let (mut rulings, mut commands) = (Vec::new(), Vec::new());
         {
-            let mut state = self.leading().ok_or_else(|| self.replica.not_leader())?;
+            let mut state = self.leader_state().ok_or_else(|| self.replica.not_leader())?;
             for event in &events.events {
-                let (ruling, command) = state.leading.suspects.rule(event, &board, now);
+                let (ruling, command) =
+                    state.leader.suspects.handle_event(event, &control_state, now);
                 rulings.push(ruling.into());
                 commands.extend(command);
             }
@@ -194,21 +201,21 @@
 
     /// Commits a command of the board.
     async fn commit(&self, body: board_command::Body) -> Result<u64, ProposeError> {
-        let result = self.replica.propose(board::command(body)).await?;
+        let result = self.replica.propose(control_state::encode_command(body)).await?;
         Ok(pb::BoardResult::decode(result).map_or(0, |r| r.version))
     }
 
     /// Decides how the stores form groups, once they are known.
-    pub(crate) async fn run_forming(self: Arc<Self>) -> anyhow::Result<()> {
+    pub(crate) async fn run_group_formation(self: Arc<Self>) -> anyhow::Result<()> {
         const INTERVAL: Duration = Duration::from_millis(200);
         loop {
             tokio::time::sleep(INTERVAL).await;
-            let Ok(board) = self.board().await else { continue };
-            if !board.store_ring().is_empty() {
+            let Ok(control_state) = self.control_state().await else { continue };
+            if !control_state.store_ring().is_empty() {
                 return Ok(());
             }
             let now = self.clock.now();
-            let ring = self.leading().and_then(|s| s.leading.store_ring(now));
+            let ring = self.leader_state().and_then(|s| s.leader.store_ring(now));
             let Some(ring) = ring else { continue };
             let (stores, groups) = (ring.len(), group_count(ring.len()));
             match self.commit(board_command::Body::Form(pb::FormStore { ring, groups })).await {
@@ -224,11 +231,11 @@
 
 /// Reads and checks a set of objects.
 pub(crate) fn read_publication(
-    dialect: &dyn Dialect,
+    protocol: &dyn Protocol,
     version: u64,
     body: &Bytes,
 ) -> Result<Publication, String> {
-    let objects = dialect.objects(body).map_err(|e| e.to_string())?;
+    let objects = protocol.parse_objects(body).map_err(|e| e.to_string())?;
     let publication = Publication::new(objects).map_err(|e| e.to_string())?;
     if publication.version != version {
         return Err(format!("the set has version {}, not {version}", publication.version));
@@ -237,14 +244,14 @@
 }
 
 pub(crate) fn invalid(message: &str) -> peer::Failure {
-    failed(FailureCode::Invalid, message)
+    peer_failure(FailureCode::Invalid, message)
 }
 
 fn unavailable(message: &str) -> peer::Failure {
-    failed(FailureCode::Unavailable, message)
+    peer_failure(FailureCode::Unavailable, message)
 }
 
-fn failed(code: FailureCode, message: &str) -> peer::Failure {
+fn peer_failure(code: FailureCode, message: &str) -> peer::Failure {
     peer::Failure { code: code.into(), message: message.to_owned(), leader_address: String::new() }
 }
 
@@ -255,12 +262,14 @@
                 return failure(FailureCode::Unauthorized, "only instances may ask for this");
             }
             let answer = match body {
-                request::Body::Beat(beat) => self.beat(beat).await.map(response::Body::Beat),
+                request::Body::Beat(beat) => {
+                    self.handle_heartbeat(beat).await.map(response::Body::Beat)
+                }
                 request::Body::Borrow(borrow) => {
                     self.borrow(borrow).await.map(response::Body::Borrowed)
                 }
                 request::Body::Suspects(events) => {
-                    self.rule(events).await.map(response::Body::Suspects)
+                    self.handle_suspect_events(events).await.map(response::Body::Suspects)
                 }
                 request::Body::Join(join) => {
                     self.replica.join(join).await.map(response::Body::Joined)
--- a/crates/relay/src/control/orders.rs
+++ b/crates/relay/src/control/operator_api.rs
@@ -11,7 +11,7 @@
 use poplarspan_agreement::ProposeError;
 use poplarspan_policy::Name;
 use poplarspan_proto::{
-    peer::Duty as PeerDuty,
+    peer::Duty as PbDuty,
     relay::{self as pb, board_command::Body},
 };
 use tokio::{
@@ -22,9 +22,9 @@
 
 use super::{
     Control,
-    hand_on::{HANDED_ON, HandOn, Received, SuspensionWatch},
+    forwarding::{FORWARDED, Forwarder, ReceivedRequest, SuspensionWatch},
 };
-use crate::{Board, Order, Publication, replica::plan::MIN_VOTERS};
+use crate::{ControlState, OperatorRequest, Publication, replica::membership::MIN_VOTERS};
 
 /// Largest publication, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
@@ -36,7 +36,7 @@
 const MAX_CONNECTIONS: usize = 256;
 
 /// Time in which an order is handed on; operators turn to another replica after a second.
-const PATIENCE: Duration = Duration::from_millis(850);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(850);
 /// Pause before a further try, in which another replica may be elected.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
@@ -46,18 +46,18 @@
 struct NotLeading;
 
 /// Serves operators.
-pub(crate) struct OrderServer {
+pub(crate) struct OperatorServer {
     control: Arc<Control>,
-    hand_on: HandOn,
+    forwarder: Forwarder,
     watch: Arc<SuspensionWatch>,
     slots: Arc<Semaphore>,
 }
 
-impl OrderServer {
+impl OperatorServer {
     pub(crate) fn new(control: Arc<Control>) -> Arc<Self> {
         let watch = SuspensionWatch::new(control.clock.clone());
         let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-        Arc::new(Self { control, hand_on: HandOn::new(), watch, slots })
+        Arc::new(Self { control, forwarder: Forwarder::new(), watch, slots })
     }
 
     /// Watches for suspensions until the task is ended.
@@ -89,9 +89,9 @@
 
     async fn answer(&self, req: Request<Incoming>) -> Result<Answer, Infallible> {
         let (method, path) = (req.method().clone(), req.uri().path().to_owned());
-        let answer = match self.control.dialect.order(&method, &path) {
+        let answer = match self.control.protocol.parse_operator_request(&method, &path) {
             Some(order) => match self.receive(req).await {
-                Ok(received) => self.carry_out(&order, &received).await,
+                Ok(received) => self.execute(&order, &received).await,
                 Err(refusal) => refusal,
             },
             None => self.refuse(StatusCode::NOT_FOUND, "there is no such order"),
@@ -106,35 +106,35 @@
         Ok(answer)
     }
 
-    async fn receive(&self, req: Request<Incoming>) -> Result<Received, Answer> {
+    async fn receive(&self, req: Request<Incoming>) -> Result<ReceivedRequest, Answer> {
         let (parts, body) = req.into_parts();
         let body = match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) => return Err(self.refuse(StatusCode::BAD_REQUEST, &e.to_string())),
             Err(_) => return Err(self.refuse(StatusCode::REQUEST_TIMEOUT, "the body is late")),
         };
-        let is_handed_on = parts.headers.contains_key(HANDED_ON);
+        let is_forwarded = parts.headers.contains_key(FORWARDED);
         let path = parts.uri.path().to_owned();
-        Ok(Received { method: parts.method, path, body, is_handed_on })
+        Ok(ReceivedRequest { method: parts.method, path, body, is_forwarded })
     }
 
     /// Carries an order out, here or at the replica that leads.
-    async fn carry_out(&self, order: &Order, received: &Received) -> Answer {
+    async fn execute(&self, order: &OperatorRequest, received: &ReceivedRequest) -> Answer {
         if self.watch.is_stale() {
             let message = "the order may date from before a suspension";
             return self.refuse(StatusCode::SERVICE_UNAVAILABLE, message);
         }
-        let until = Instant::now() + PATIENCE + received.time_for_size();
+        let until = Instant::now() + FORWARD_TIMEOUT + received.transfer_time();
         loop {
-            if self.control.leading().is_some()
-                && let Ok(answer) = self.lead(order, received.body.clone()).await
+            if self.control.leader_state().is_some()
+                && let Ok(answer) = self.execute_as_leader(order, received.body.clone()).await
             {
                 return answer;
             }
-            if received.is_handed_on {
+            if received.is_forwarded {
                 break;
             }
-            if let Some(answer) = self.hand_on(received, until).await {
+            if let Some(answer) = self.forward(received, until).await {
                 return answer;
             }
             if Instant::now() + RETRY_PAUSE >= until {
@@ -146,11 +146,11 @@
     }
 
     /// The answer of the replica that leads, unless it has none to this order.
-    async fn hand_on(&self, received: &Received, until: Instant) -> Option<Answer> {
-        let port = self.control.settings.orders?.port();
+    async fn forward(&self, received: &ReceivedRequest, until: Instant) -> Option<Answer> {
+        let port = self.control.settings.operator_address?.port();
         let leader = SocketAddr::new(self.control.replica.leader()?.ip(), port);
-        match self.hand_on.send(leader, received, until).await {
-            Ok((status, body)) if !status.is_server_error() => Some(whole(status, body)),
+        match self.forwarder.send(leader, received, until).await {
+            Ok((status, body)) if !status.is_server_error() => Some(json_response(status, body)),
             Ok((status, _)) => {
                 let status = status.as_u16();
                 log::info!(leader = leader.to_string().as_str(), status; "order not taken");
@@ -168,24 +168,28 @@
     }
 
     /// Carries an order out while this replica leads.
-    async fn lead(&self, order: &Order, body: Bytes) -> Result<Answer, NotLeading> {
+    async fn execute_as_leader(
+        &self,
+        order: &OperatorRequest,
+        body: Bytes,
+    ) -> Result<Answer, NotLeading> {
         match order {
-            Order::Publish => self.publish(body).await,
-            Order::Read => self.read().await,
-            Order::Zone { zone, out } => {
+            OperatorRequest::Publish => self.publish(body).await,
+            OperatorRequest::Read => self.read().await,
+            OperatorRequest::Zone { zone, out } => {
                 if !self.control.settings.zones.contains(zone) {
                     return Ok(self.refuse(StatusCode::NOT_FOUND, "there is no such zone"));
                 }
                 let set = pb::SetZone { zone: zone.to_string(), out: *out };
                 self.commit(Body::Zone(set)).await
             }
-            Order::Retire { instance } => self.retire(instance).await,
-            Order::RetireState { instance } => self.retire_state(instance).await,
+            OperatorRequest::Retire { instance } => self.retire(instance).await,
+            OperatorRequest::RetireStatus { instance } => self.retire_status(instance).await,
         }
     }
 
     async fn publish(&self, body: Bytes) -> Result<Answer, NotLeading> {
-        let checked = self.control.dialect.objects(&body).and_then(Publication::new);
+        let checked = self.control.protocol.parse_objects(&body).and_then(Publication::new);
         match checked {
             Ok(publication) => {
                 let version = publication.version;
@@ -200,34 +204,34 @@
     }
 
     async fn read(&self) -> Result<Answer, NotLeading> {
-        let board = self.board().await?;
-        if board.version() == 0 {
+        let control_state = self.control_state().await?;
+        if control_state.version() == 0 {
             let message = "nothing has been published yet";
             return Ok(self.refuse(StatusCode::SERVICE_UNAVAILABLE, message));
         }
-        Ok(whole(StatusCode::OK, board.body().clone()))
+        Ok(json_response(StatusCode::OK, control_state.body().clone()))
     }
 
     async fn retire(&self, instance: &Name) -> Result<Answer, NotLeading> {
-        let board = self.board().await?;
-        if board.retiring().contains(instance) {
-            return Ok(whole(StatusCode::OK, Bytes::from_static(b"{}")));
+        let control_state = self.control_state().await?;
+        if control_state.retiring().contains(instance) {
+            return Ok(json_response(StatusCode::OK, Bytes::from_static(b"{}")));
         }
         {
             let now = self.control.clock.now();
-            let state = self.control.leading().ok_or(NotLeading)?;
-            let leading = &state.leading;
-            if !leading.knows_all(now) {
+            let state = self.control.leader_state().ok_or(NotLeading)?;
+            let leader = &state.leader;
+            if !leader.has_seen_all_instances(now) {
                 let message = "this leader does not know all instances yet";
                 return Ok(self.refuse(StatusCode::SERVICE_UNAVAILABLE, message));
             }
-            let is_store = leading.member(instance).is_some_and(|m| m.duty == PeerDuty::Store);
+            let is_store = leader.member(instance).is_some_and(|m| m.duty == PbDuty::Store);
             if !is_store {
                 return Ok(self.refuse(StatusCode::NOT_FOUND, "there is no such store"));
             }
-            let stays = leading
-                .members(PeerDuty::Store)
-                .filter(|m| m.name != *instance && !board.retiring().contains(&m.name))
+            let stays = leader
+                .members(PbDuty::Store)
+                .filter(|m| m.name != *instance && !control_state.retiring().contains(&m.name))
                 .count();
             // As many as bear what may be lost at once, and still are a majority.
             let needed = 2 * self.control.settings.tolerated_losses + 1;
@@ -238,24 +242,25 @@
         self.commit(Body::Retire(pb::Retire { instance: instance.to_string() })).await
     }
 
-    async fn retire_state(&self, instance: &Name) -> Result<Answer, NotLeading> {
-        let board = self.board().await?;
-        if !board.retiring().contains(instance) {
+    async fn retire_status(&self, instance: &Name) -> Result<Answer, NotLeading> {
+        let control_state = self.control_state().await?;
+        if !control_state.retiring().contains(instance) {
             return Ok(self.refuse(StatusCode::NOT_FOUND, "this store is not being emptied"));
         }
-        let state = self.control.leading().ok_or(NotLeading)?;
+        let state = self.control.leader_state().ok_or(NotLeading)?;
         // While a leader is not known, nobody can say that the store holds nothing.
-        let is_done = state.leading.holds_nothing(instance, board.store_groups()).unwrap_or(false);
-        Ok(whole(StatusCode::OK, self.control.dialect.retire_state(is_done)))
+        let is_done =
+            state.leader.is_drained(instance, control_state.store_groups()).unwrap_or(false);
+        Ok(json_response(StatusCode::OK, self.control.protocol.retire_status_body(is_done)))
     }
 
-    async fn board(&self) -> Result<Board, NotLeading> {
-        self.control.board().await.map_err(|_| NotLeading)
+    async fn control_state(&self) -> Result<ControlState, NotLeading> {
+        self.control.control_state().await.map_err(|_| NotLeading)
     }
 
     async fn commit(&self, body: Body) -> Result<Answer, NotLeading> {
         match timeout(COMMIT_TIMEOUT, self.control.commit(body)).await {
-            Ok(Ok(_)) => Ok(whole(StatusCode::OK, Bytes::from_static(b"{}"))),
+            Ok(Ok(_)) => Ok(json_response(StatusCode::OK, Bytes::from_static(b"{}"))),
             Ok(Err(ProposeError::NotLeader { .. })) => Err(NotLeading),
             Ok(Err(e)) => Ok(self.refuse(StatusCode::INTERNAL_SERVER_ERROR, &e.to_string())),
             Err(_) => {
@@ -266,11 +271,11 @@
     }
 
     fn refuse(&self, status: StatusCode, message: &str) -> Answer {
-        whole(status, self.control.dialect.fault(message))
+        json_response(status, self.control.protocol.error_body(message))
     }
 }
 
-fn whole(status: StatusCode, body: Bytes) -> Answer {
+fn json_response(status: StatusCode, body: Bytes) -> Answer {
     let mut answer = Response::new(Full::new(body));
     *answer.status_mut() = status;
     let json = header::HeaderValue::from_static("application/json");
--- a/crates/relay/src/control/suspects.rs
+++ b/crates/relay/src/control/suspects.rs
@@ -13,19 +13,19 @@
 };
 
 use crate::{
-    Board,
-    board::{Condemned, read_fingerprint, write_fingerprint},
+    ControlState,
+    control_state::{BlockedRequest, read_fingerprint, write_fingerprint},
 };
 
 /// Time beyond that of the run in which an instance finds out how a trial has ended.
-const VERDICT_TIME: Duration = Duration::from_secs(4);
+const TRIAL_RESULT_TIMEOUT: Duration = Duration::from_secs(4);
 /// A condemned request is on the board within this time, or goes on trial again.
-const COMMIT_TIME: Duration = Duration::from_secs(10);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A time since the leader's start, and the same as milliseconds since the epoch.
 #[derive(Clone, Copy)]
-pub(crate) struct Now {
-    pub(crate) steady: Duration,
+pub(crate) struct Timestamps {
+    pub(crate) monotonic: Duration,
     pub(crate) epoch_ms: u64,
 }
 
@@ -34,14 +34,14 @@
     quarantine: Quarantine,
     /// As in [`peer::Quarantine`].
     number: u64,
-    /// Until when requests are refused whose condemnation may not be on the board yet.
-    condemned_until: Option<Duration>,
+    /// Until when requests are refused whose blocked_request may not be on the board yet.
+    pending_block_until: Option<Duration>,
     /// As last seen on the board.
-    condemned: Arc<Vec<Condemned>>,
+    blocked: Arc<Vec<BlockedRequest>>,
     /// Those on the board that are refused, sorted.
     refused: Vec<Fingerprint>,
     /// When one of them goes on trial, in milliseconds since the epoch.
-    refused_until_ms: u64,
+    next_unblock_ms: u64,
 }
 
 impl Suspects {
@@ -49,71 +49,76 @@
         Self {
             quarantine: Quarantine::default(),
             number: term << 32,
-            condemned_until: None,
-            condemned: Arc::default(),
+            pending_block_until: None,
+            blocked: Arc::default(),
             refused: Vec::new(),
-            refused_until_ms: u64::MAX,
+            next_unblock_ms: u64::MAX,
         }
     }
 
     /// Follows what is condemned: it is refused, and then goes on trial.
-    fn follow(&mut self, board: &Board, now: Now) {
-        if self.condemned_until.take_if(|until| now.steady >= *until).is_some() {
+    fn sync_blocked(&mut self, control_state: &ControlState, now: Timestamps) {
+        if self.pending_block_until.take_if(|until| now.monotonic >= *until).is_some() {
             self.number += 1;
         }
-        let is_known = Arc::ptr_eq(&self.condemned, board.condemned());
-        if is_known && now.epoch_ms < self.refused_until_ms {
+        let is_known = Arc::ptr_eq(&self.blocked, control_state.blocked());
+        if is_known && now.epoch_ms < self.next_unblock_ms {
             return;
         }
-        self.condemned = board.condemned().clone();
-        self.refused_until_ms = u64::MAX;
+        self.blocked = control_state.blocked().clone();
+        self.next_unblock_ms = u64::MAX;
         self.refused.clear();
-        for condemned in self.condemned.iter() {
-            let until_ms = condemned.refused_until_ms();
+        for entry in self.blocked.iter() {
+            let until_ms = entry.blocked_until_ms();
             if now.epoch_ms < until_ms {
-                self.refused_until_ms = self.refused_until_ms.min(until_ms);
-                self.refused.push(condemned.request);
+                self.next_unblock_ms = self.next_unblock_ms.min(until_ms);
+                self.refused.push(entry.request);
             } else {
-                self.quarantine.adopt(condemned.request, now.steady);
+                self.quarantine.adopt(entry.request, now.monotonic);
             }
         }
         self.number += 1;
     }
 
     /// Follows what is condemned, and takes over the suspects of a former leader.
-    pub(crate) fn observe(&mut self, board: &Board, beat: &peer::Beat, now: Now) {
-        self.follow(board, now);
+    pub(crate) fn observe(
+        &mut self,
+        control_state: &ControlState,
+        beat: &peer::Beat,
+        now: Timestamps,
+    ) {
+        self.sync_blocked(control_state, now);
         let has_other_leader = beat.quarantine >> 32 != self.number >> 32;
         if !has_other_leader {
             return;
         }
         for request in beat.suspects.iter().filter_map(|bytes| read_fingerprint(bytes)) {
-            if !self.is_refused(request) && self.quarantine.adopt(request, now.steady) {
+            if !self.is_blocked(request) && self.quarantine.adopt(request, now.monotonic) {
                 self.number += 1;
             }
         }
     }
 
     /// Refuses a request, which is on its way to the board.
-    fn condemn(&mut self, request: Fingerprint, now: Now) -> board_command::Body {
-        let until = now.steady + COMMIT_TIME;
-        if self.quarantine.condemn(request, until, now.steady) {
+    fn block(&mut self, request: Fingerprint, now: Timestamps) -> board_command::Body {
+        let until = now.monotonic + COMMIT_TIMEOUT;
+        if self.quarantine.condemn(request, until, now.monotonic) {
             log_request(request, "request is refused: endpoints end under it");
             metrics::counter!("poplarspan_relay_condemned_requests_total").increment(1);
         }
-        self.condemned_until = Some(until);
+        self.pending_block_until = Some(until);
         self.number += 1;
         let request = write_fingerprint(request);
         board_command::Body::Condemn(pb::Condemn { request, at_ms: now.epoch_ms, times: 0 })
     }
 
     /// The list for an instance that holds the list `held`. None if it is current.
-    pub(crate) fn list_for(&self, held: u64, now: Now) -> Option<peer::Quarantine> {
+    pub(crate) fn list_for(&self, held: u64, now: Timestamps) -> Option<peer::Quarantine> {
         if held == self.number {
             return None;
         }
         let mut refused = self.refused.clone();
-        refused.extend(self.quarantine.condemned(now.steady));
+        refused.extend(self.quarantine.condemned(now.monotonic));
         refused.sort_unstable();
         refused.dedup();
         Some(peer::Quarantine {
@@ -123,45 +128,47 @@
         })
     }
 
-    fn is_refused(&self, request: Fingerprint) -> bool {
+    fn is_blocked(&self, request: Fingerprint) -> bool {
         self.refused.binary_search(&request).is_ok()
     }
 
     /// Rules on an event. The command, if there is one, is to be committed before the answer.
-    pub(crate) fn rule(
+    pub(crate) fn handle_event(
         &mut self,
         event: &peer::SuspectEvent,
-        board: &Board,
-        now: Now,
+        control_state: &ControlState,
+        now: Timestamps,
     ) -> (SuspectRuling, Option<board_command::Body>) {
         let Some(request) = read_fingerprint(&event.request) else {
             return (SuspectRuling::Unspecified, None);
         };
-        self.follow(board, now);
-        let is_refused = self.is_refused(request);
+        self.sync_blocked(control_state, now);
+        let is_blocked = self.is_blocked(request);
         let endpoint = Name::from(&*event.endpoint);
         match event.kind() {
             SuspectEventKind::EndpointEnded => {
                 let is_on_trial = self.quarantine.is_on_trial(request, &endpoint);
                 // An event that is told again asks for a command that may have failed.
-                if self.quarantine.is_condemned(request, now.steady) || (is_on_trial && !is_refused)
+                if self.quarantine.is_condemned(request, now.monotonic)
+                    || (is_on_trial && !is_blocked)
                 {
-                    let command = self.condemn(request, now);
+                    let command = self.block(request, now);
                     return (SuspectRuling::Refused, Some(command));
                 }
-                if is_refused {
+                if is_blocked {
                     return (SuspectRuling::Refused, None);
                 }
-                if self.quarantine.note(request, &endpoint, now.steady) {
+                if self.quarantine.note(request, &endpoint, now.monotonic) {
                     self.number += 1;
                     log_request(request, "request is a suspect: it runs on trial");
                 }
                 (SuspectRuling::Free, None)
             }
-            SuspectEventKind::Begin if is_refused => (SuspectRuling::Refused, None),
+            SuspectEventKind::Begin if is_blocked => (SuspectRuling::Refused, None),
             SuspectEventKind::Begin => {
-                let until = now.steady + Duration::from_millis(event.run_ms) + VERDICT_TIME;
-                let ruling = match self.quarantine.begin(request, &endpoint, until, now.steady) {
+                let until =
+                    now.monotonic + Duration::from_millis(event.run_ms) + TRIAL_RESULT_TIMEOUT;
+                let ruling = match self.quarantine.begin(request, &endpoint, until, now.monotonic) {
                     Ruling::Free => SuspectRuling::Free,
                     Ruling::OnTrial => SuspectRuling::OnTrial,
                     Ruling::Busy => SuspectRuling::Busy,
@@ -179,8 +186,8 @@
                     let request = write_fingerprint(request);
                     board_command::Body::Acquit(pb::Acquit { request })
                 };
-                let is_condemned = is_refused || board.condemnation(request).is_some();
-                (SuspectRuling::Free, is_condemned.then(acquit))
+                let was_blocked = is_blocked || control_state.blocked_request(request).is_some();
+                (SuspectRuling::Free, was_blocked.then(acquit))
             }
             SuspectEventKind::TrialOver => {
                 self.quarantine.end_trial(request, &endpoint);
--- a/crates/relay/src/board.rs
+++ b/crates/relay/src/control_state.rs
@@ -16,15 +16,15 @@
 
 /// For how long a request is refused, in milliseconds: the first time, the second, and from then on.
 /// It may have been condemned for an end that had another cause, or what it ends may be mended.
-const REFUSED_FOR_MS: [u64; 3] = [60 * 1000, 600 * 1000, KEPT_FOR_MS];
+const BLOCK_DURATIONS_MS: [u64; 3] = [60 * 1000, 600 * 1000, BLOCK_HISTORY_MS];
 /// For how long it is remembered that a request was condemned, in milliseconds.
-const KEPT_FOR_MS: u64 = 7 * 24 * 3600 * 1000;
-/// Condemned requests that are kept; beyond, the one that was condemned longest ago runs again.
-const MAX_CONDEMNED: usize = 4_096;
+const BLOCK_HISTORY_MS: u64 = 7 * 24 * 3600 * 1000;
+/// BlockedRequest requests that are kept; beyond, the one that was condemned longest ago runs again.
+const MAX_BLOCKED_REQUESTS: usize = 4_096;
 
 /// A request under which endpoints have ended. It is refused for a while, and then runs on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Condemned {
+pub struct BlockedRequest {
     /// The request.
     pub request: Fingerprint,
     /// When it was condemned last, in milliseconds since the epoch.
@@ -33,17 +33,17 @@
     pub times: u32,
 }
 
-impl Condemned {
+impl BlockedRequest {
     /// When it may run on trial, in milliseconds since the epoch.
-    pub fn refused_until_ms(&self) -> u64 {
+    pub fn blocked_until_ms(&self) -> u64 {
         let earlier = usize::try_from(self.times.saturating_sub(1)).unwrap_or(usize::MAX);
-        self.at_ms.saturating_add(REFUSED_FOR_MS[earlier.min(REFUSED_FOR_MS.len() - 1)])
+        self.at_ms.saturating_add(BLOCK_DURATIONS_MS[earlier.min(BLOCK_DURATIONS_MS.len() - 1)])
     }
 }
 
 /// State machine of the control group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Board {
+pub struct ControlState {
     version: u64,
     body: Bytes,
     // Sorted.
@@ -52,10 +52,10 @@
     // Sorted.
     retiring: Vec<Name>,
     // Sorted by request.
-    condemned: Arc<Vec<Condemned>>,
+    blocked: Arc<Vec<BlockedRequest>>,
 }
 
-impl Board {
+impl ControlState {
     /// Version in force; 0 before the first publication.
     pub fn version(&self) -> u64 {
         self.version
@@ -87,58 +87,60 @@
     }
 
     /// Requests that were condemned, sorted by request.
-    pub fn condemned(&self) -> &Arc<Vec<Condemned>> {
-        &self.condemned
+    pub fn blocked(&self) -> &Arc<Vec<BlockedRequest>> {
+        &self.blocked
     }
 
     /// What is known of a request that was condemned.
-    pub fn condemnation(&self, request: Fingerprint) -> Option<Condemned> {
-        let at = self.condemned.binary_search_by_key(&request, |c| c.request).ok()?;
-        Some(self.condemned[at])
+    pub fn blocked_request(&self, request: Fingerprint) -> Option<BlockedRequest> {
+        let at = self.blocked.binary_search_by_key(&request, |c| c.request).ok()?;
+        Some(self.blocked[at])
     }
 
-    fn condemn(&mut self, request: Fingerprint, at_ms: u64) {
-        let condemned = Arc::make_mut(&mut self.condemned);
-        condemned.retain(|c| c.at_ms.saturating_add(KEPT_FOR_MS) > at_ms);
-        match condemned.binary_search_by_key(&request, |c| c.request) {
+    fn block(&mut self, request: Fingerprint, at_ms: u64) {
+        let blocked = Arc::make_mut(&mut self.blocked);
+        blocked.retain(|c| c.at_ms.saturating_add(BLOCK_HISTORY_MS) > at_ms);
+        match blocked.binary_search_by_key(&request, |c| c.request) {
             // One that is refused already is told again.
-            Ok(at) if at_ms < condemned[at].refused_until_ms() => {}
+            Ok(at) if at_ms < blocked[at].blocked_until_ms() => {}
             Ok(at) => {
-                condemned[at].at_ms = at_ms;
-                condemned[at].times += 1;
+                blocked[at].at_ms = at_ms;
+                blocked[at].times += 1;
             }
-            Err(at) => condemned.insert(at, Condemned { request, at_ms, times: 1 }),
+            Err(at) => blocked.insert(at, BlockedRequest { request, at_ms, times: 1 }),
         }
-        if condemned.len() > MAX_CONDEMNED
-            && let Some(oldest) = (0..condemned.len()).min_by_key(|at| condemned[*at].at_ms)
+        if blocked.len() > MAX_BLOCKED_REQUESTS
+            && let Some(oldest) = (0..blocked.len()).min_by_key(|at| blocked[*at].at_ms)
         {
-            condemned.remove(oldest);
+            blocked.remove(oldest);
         }
     }
 
-    fn acquit(&mut self, request: Fingerprint) {
-        if self.condemnation(request).is_some() {
-            Arc::make_mut(&mut self.condemned).retain(|c| c.request != request);
+    fn unblock(&mut self, request: Fingerprint) {
+        if self.blocked_request(request).is_some() {
+            Arc::make_mut(&mut self.blocked).retain(|c| c.request != request);
         }
     }
 
-    fn execute(&mut self, body: Body) {
+    fn apply_command(&mut self, body: Body) {
         match body {
             Body::Publish(publish) if publish.version > self.version => {
                 self.version = publish.version;
                 self.body = publish.body;
             }
             Body::Publish(_) => {}
-            Body::Zone(zone) => set(&mut self.zones_out, zone.zone.into(), zone.out),
+            Body::Zone(zone) => set_membership(&mut self.zones_out, zone.zone.into(), zone.out),
             Body::Form(form) if self.stores.ring.is_empty() => self.stores = form,
             Body::Form(_) => {}
-            Body::Retire(retire) => set(&mut self.retiring, retire.instance.into(), true),
+            Body::Retire(retire) => {
+                set_membership(&mut self.retiring, retire.instance.into(), true)
+            }
             Body::Condemn(condemn) => match read_fingerprint(&condemn.request) {
-                Some(request) => self.condemn(request, condemn.at_ms),
+                Some(request) => self.block(request, condemn.at_ms),
                 None => log::error!("a digest of another length is ignored"),
             },
             Body::Acquit(acquit) => match read_fingerprint(&acquit.request) {
-                Some(request) => self.acquit(request),
+                Some(request) => self.unblock(request),
                 None => log::error!("a digest of another length is ignored"),
             },
         }
@@ -146,7 +148,7 @@
 }
 
 /// Makes a sorted list contain a name, or not.
-fn set(list: &mut Vec<Name>, name: Name, present: bool) {
+fn set_membership(list: &mut Vec<Name>, name: Name, present: bool) {
     match (list.binary_search(&name), present) {
         (Err(at), true) => list.insert(at, name),
         (Ok(at), false) => {
@@ -167,14 +169,14 @@
 }
 
 /// Encodes a command.
-pub(crate) fn command(body: Body) -> Bytes {
+pub(crate) fn encode_command(body: Body) -> Bytes {
     pb::BoardCommand { body: Some(body) }.encode_to_vec().into()
 }
 
-impl StateMachine for Board {
+impl StateMachine for ControlState {
     fn apply(&mut self, index: u64, data: &[u8]) -> Bytes {
         match pb::BoardCommand::decode(data) {
-            Ok(pb::BoardCommand { body: Some(body) }) => self.execute(body),
+            Ok(pb::BoardCommand { body: Some(body) }) => self.apply_command(body),
             Ok(_) => log::error!(index; "command of an unknown kind is ignored"),
             Err(e) => {
                 let error = e.to_string();
@@ -192,7 +194,7 @@
             zones_out: names(&self.zones_out),
             stores: Some(self.stores.clone()),
             retiring: names(&self.retiring),
-            condemned: self.condemned.iter().map(write_condemned).collect(),
+            condemned: self.blocked.iter().map(write_blocked).collect(),
         }
         .encode_to_vec()
         .into()
@@ -205,16 +207,16 @@
         let (zones_out, retiring) = (names(zones_out), names(retiring));
         let read = |c: &pb::Condemn| {
             let request = read_fingerprint(&c.request).context("a digest of another length")?;
-            Ok(Condemned { request, at_ms: c.at_ms, times: c.times })
+            Ok(BlockedRequest { request, at_ms: c.at_ms, times: c.times })
         };
-        let condemned = condemned.iter().map(read).collect::<anyhow::Result<Vec<_>>>()?.into();
+        let blocked = condemned.iter().map(read).collect::<anyhow::Result<Vec<_>>>()?.into();
         let stores = stores.unwrap_or_default();
-        *self = Self { version, body, zones_out, stores, retiring, condemned };
+        *self = Self { version, body, zones_out, stores, retiring, blocked };
         Ok(())
     }
 }
 
-fn write_condemned(condemned: &Condemned) -> pb::Condemn {
-    let Condemned { request, at_ms, times } = *condemned;
+fn write_blocked(blocked: &BlockedRequest) -> pb::Condemn {
+    let BlockedRequest { request, at_ms, times } = *blocked;
     pb::Condemn { request: write_fingerprint(request), at_ms, times }
 }
--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet_client.rs
@@ -27,21 +27,20 @@
 };
 
 use crate::{
-    Dialect, ListedEndpoint, Publication, Settings,
-    board::{read_fingerprint, write_fingerprint},
-    control,
+    ListedEndpoint, Protocol, Publication, Settings, control,
+    control_state::{read_fingerprint, write_fingerprint},
 };
 
 /// Time between two beats. A change reaches an instance after this long at most, plus the way.
-const INTERVAL: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause before the next candidate is asked.
-const RETRY: Duration = Duration::from_millis(50);
-/// Instances that are asked at a time while no leader is known.
-const ASKED_AT_ONCE: usize = 3;
-const BEAT_TIMEOUT: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Instances that are asked at a time while no leader is search.
+const PARALLEL_CANDIDATES: usize = 3;
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(300);
 /// An instance that did not answer as the leader is not asked again for this long, even if others
 /// still take it for the leader.
-const AVOID_LOST: Duration = Duration::from_millis(1_000);
+const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(1_000);
 
 /// What an instance knows of the fleet.
 #[derive(Clone, Debug)]
@@ -56,16 +55,16 @@
     pub(crate) stores: Vec<SocketAddr>,
     /// The stores in the order in which groups take their first voters.
     pub(crate) store_ring: Vec<ReplicaId>,
-    /// Leader of each group of stores, if it is known. Empty until there are groups.
+    /// Leader of each group of stores, if it is search. Empty until there are groups.
     pub(crate) group_leaders: Vec<Option<SocketAddr>>,
     /// Replicas of stores that are to be emptied.
     pub(crate) retiring: Vec<u64>,
-    pub(crate) quarantined: Arc<Quarantined>,
+    pub(crate) quarantine_list: Arc<QuarantineList>,
 }
 
 /// Requests that do not run freely.
 #[derive(Debug, Default)]
-pub(crate) struct Quarantined {
+pub(crate) struct QuarantineList {
     /// As in [`peer::Quarantine`].
     number: u64,
     /// Run on trial only; sorted.
@@ -74,7 +73,7 @@
     pub(crate) refused: Vec<Fingerprint>,
 }
 
-impl Quarantined {
+impl QuarantineList {
     /// All of them. To a new leader they are suspects, as far as its board does not refuse them.
     fn all(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.suspects.iter().chain(&self.refused).copied()
@@ -97,18 +96,18 @@
 }
 
 /// What an instance adds to its beats, and takes from the answers.
-pub(crate) trait Report: Send + Sync {
+pub(crate) trait HeartbeatReport: Send + Sync {
     /// Completes a beat.
     fn fill<'a>(&'a self, beat: &'a mut peer::Beat) -> BoxFuture<'a, ()>;
 
     /// Takes note of the shares in an answer.
-    fn take_shares(&self, shares: &[peer::TeamShare]);
+    fn apply_shares(&self, shares: &[peer::TeamShare]);
 }
 
 /// An instance's tie to the control group.
-pub(crate) struct Fleet {
+pub(crate) struct FleetClient {
     settings: Arc<Settings>,
-    dialect: Arc<dyn Dialect>,
+    protocol: Arc<dyn Protocol>,
     client: PeerClient,
     clock: Arc<dyn Clock>,
     incarnation: u64,
@@ -119,34 +118,34 @@
     lease_until_us: AtomicU64,
     /// When the process ends, once it is shutting down.
     ends_at: Mutex<Option<Instant>>,
-    known: Mutex<Known>,
+    search: Mutex<LeaderSearch>,
     /// Wakes the beats, for changes that the leader should hear of at once.
-    hurry: Notify,
+    wake_heartbeat: Notify,
 }
 
 /// Where the leader may be found.
 #[derive(Default)]
-struct Known {
+struct LeaderSearch {
     leader: Option<SocketAddr>,
     /// Who answered the last beat as the leader.
     answered: Option<SocketAddr>,
-    cores: Vec<SocketAddr>,
+    control_replicas: Vec<SocketAddr>,
     seeds: Vec<SocketAddr>,
-    turn: usize,
+    next_candidate: usize,
     /// An instance that has just failed to answer, and until when it is not asked.
-    avoid: Option<(SocketAddr, Instant)>,
+    unresponsive: Option<(SocketAddr, Instant)>,
 }
 
-impl Known {
-    fn is_avoided(&self, address: SocketAddr) -> bool {
-        self.avoid.is_some_and(|(avoid, until)| avoid == address && Instant::now() < until)
+impl LeaderSearch {
+    fn is_unresponsive(&self, address: SocketAddr) -> bool {
+        self.unresponsive.is_some_and(|(lost, until)| lost == address && Instant::now() < until)
     }
 }
 
-impl Fleet {
+impl FleetClient {
     pub(crate) fn new(
         settings: Arc<Settings>,
-        dialect: Arc<dyn Dialect>,
+        protocol: Arc<dyn Protocol>,
         client: PeerClient,
         clock: Arc<dyn Clock>,
         duty: peer::Duty,
@@ -160,12 +159,13 @@
             store_ring: Vec::new(),
             group_leaders: Vec::new(),
             retiring: Vec::new(),
-            quarantined: Arc::default(),
+            quarantine_list: Arc::default(),
         };
-        let known = Known { seeds: settings.control_peers(), ..Known::default() };
+        let search =
+            LeaderSearch { seeds: settings.control_peer_addresses(), ..LeaderSearch::default() };
         Arc::new(Self {
             settings,
-            dialect,
+            protocol,
             client,
             clock,
             incarnation: rand::random(),
@@ -174,12 +174,12 @@
             changed: watch::Sender::new(0),
             lease_until_us: AtomicU64::new(0),
             ends_at: Mutex::default(),
-            known: Mutex::new(known),
-            hurry: Notify::new(),
+            search: Mutex::new(search),
+            wake_heartbeat: Notify::new(),
         })
     }
 
-    /// What is known now.
+    /// What is search now.
     pub(crate) fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
@@ -210,47 +210,47 @@
     }
 
     /// Sends the next beat at once.
-    pub(crate) fn hurry(&self) {
-        self.hurry.notify_one();
+    pub(crate) fn send_heartbeat_now(&self) {
+        self.wake_heartbeat.notify_one();
     }
 
     /// Whether a beat goes to others than the leader that answered the last one.
-    fn asks_others(&self, candidates: &[SocketAddr]) -> bool {
-        let known = self.known.lock().expect("no panic while locked");
-        known.answered.is_none_or(|answered| candidates != [answered])
+    fn asks_other_instances(&self, candidates: &[SocketAddr]) -> bool {
+        let search = self.search.lock().expect("no panic while locked");
+        search.answered.is_none_or(|answered| candidates != [answered])
     }
 
     /// Takes the seeds of changed settings.
     pub(crate) fn set_seeds(&self, seeds: Vec<SocketAddr>) {
-        self.known.lock().expect("no panic while locked").seeds = seeds;
+        self.search.lock().expect("no panic while locked").seeds = seeds;
     }
 
-    /// Peer address of the leader of the control group, if it is known.
+    /// Peer address of the leader of the control group, if it is search.
     pub(crate) fn leader(&self) -> Option<SocketAddr> {
-        self.known.lock().expect("no panic while locked").leader
+        self.search.lock().expect("no panic while locked").leader
     }
 
     /// Sends beats until the task is ended.
-    pub(crate) async fn run(self: Arc<Self>, report: Arc<dyn Report>) -> Result<()> {
+    pub(crate) async fn run(self: Arc<Self>, report: Arc<dyn HeartbeatReport>) -> Result<()> {
         loop {
             let started = Instant::now();
-            let is_answered = self.beat(&*report).await;
-            let pause = if is_answered { INTERVAL } else { RETRY };
-            let rest = pause.saturating_sub(started.elapsed()).max(RETRY);
-            // Running out means that it is time for the next beat.
-            let _ = timeout(rest, self.hurry.notified()).await;
+            let is_answered = self.send_heartbeat(&*report).await;
+            let pause = if is_answered { HEARTBEAT_INTERVAL } else { RETRY_PAUSE };
+            let rest = pause.saturating_sub(started.elapsed()).max(RETRY_PAUSE);
+            // RunningInstance out means that it is time for the next beat.
+            let _ = timeout(rest, self.wake_heartbeat.notified()).await;
             if !is_answered {
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 
     /// Sends one beat. Returns whether it was answered by the leader.
-    async fn beat(&self, report: &dyn Report) -> bool {
+    async fn send_heartbeat(&self, report: &dyn HeartbeatReport) -> bool {
         let candidates = self.candidates();
         let view = self.view();
-        let suspects = match self.asks_others(&candidates) {
-            true => view.quarantined.all().map(write_fingerprint).collect(),
+        let suspects = match self.asks_other_instances(&candidates) {
+            true => view.quarantine_list.all().map(write_fingerprint).collect(),
             false => Vec::new(),
         };
         let mut beat = peer::Beat {
@@ -264,18 +264,19 @@
             demand: Vec::new(),
             draining: self.is_draining(),
             store: None,
-            quarantine: view.quarantined.number,
+            quarantine: view.quarantine_list.number,
             suspects,
         };
         report.fill(&mut beat).await;
         let asked_at = self.clock.now();
         let ask = |address| {
-            let call = self.client.call(address, request::Body::Beat(beat.clone()), BEAT_TIMEOUT);
+            let call =
+                self.client.call(address, request::Body::Beat(beat.clone()), HEARTBEAT_TIMEOUT);
             call.map(move |answer| (address, answer))
         };
         let mut asked: FuturesUnordered<_> = candidates.into_iter().map(ask).collect();
         while let Some((address, answer)) = asked.next().await {
-            if self.take_answer(address, answer, asked_at, report) {
+            if self.handle_answer(address, answer, asked_at, report) {
                 return true;
             }
         }
@@ -283,26 +284,26 @@
     }
 
     /// Takes the answer to a beat. Returns whether it came from the leader.
-    fn take_answer(
+    fn handle_answer(
         &self,
         address: SocketAddr,
         answer: Result<response::Body, CallError>,
         asked_at: Duration,
-        report: &dyn Report,
+        report: &dyn HeartbeatReport,
     ) -> bool {
         match answer {
             Ok(response::Body::Beat(answer)) => {
-                report.take_shares(&answer.shares);
-                self.found(address);
-                self.take(answer, asked_at);
+                report.apply_shares(&answer.shares);
+                self.leader_found(address);
+                self.apply(answer, asked_at);
                 true
             }
             Err(CallError::Failed(failure)) => {
-                self.lost(address, failure.leader_address.parse().ok(), true);
+                self.leader_lost(address, failure.leader_address.parse().ok(), true);
                 false
             }
             Ok(_) | Err(_) => {
-                self.lost(address, None, false);
+                self.leader_lost(address, None, false);
                 false
             }
         }
@@ -311,42 +312,43 @@
     /// Whom to ask: the leader, or several that may know it, so that one that does not answer costs
     /// no time.
     fn candidates(&self) -> Vec<SocketAddr> {
-        let mut known = self.known.lock().expect("no panic while locked");
-        if let Some(leader) = known.leader {
+        let mut search = self.search.lock().expect("no panic while locked");
+        if let Some(leader) = search.leader {
             return vec![leader];
         }
-        known.turn = known.turn.wrapping_add(1);
-        let mut all: Vec<_> = known.cores.iter().chain(&known.seeds).copied().collect();
+        search.next_candidate = search.next_candidate.wrapping_add(1);
+        let mut all: Vec<_> =
+            search.control_replicas.iter().chain(&search.seeds).copied().collect();
         all.sort_unstable();
         all.dedup();
-        all.retain(|address| !known.is_avoided(*address));
-        let first = known.turn.wrapping_mul(ASKED_AT_ONCE) % all.len().max(1);
-        all.iter().cycle().skip(first).take(ASKED_AT_ONCE.min(all.len())).copied().collect()
+        all.retain(|address| !search.is_unresponsive(*address));
+        let first = search.next_candidate.wrapping_mul(PARALLEL_CANDIDATES) % all.len().max(1);
+        all.iter().cycle().skip(first).take(PARALLEL_CANDIDATES.min(all.len())).copied().collect()
     }
 
-    fn found(&self, address: SocketAddr) {
-        let mut known = self.known.lock().expect("no panic while locked");
-        known.answered = Some(address);
-        if known.leader.replace(address) != Some(address) {
+    fn leader_found(&self, address: SocketAddr) {
+        let mut search = self.search.lock().expect("no panic while locked");
+        search.answered = Some(address);
+        if search.leader.replace(address) != Some(address) {
             let leader = address.to_string();
             log::info!(leader = leader.as_str(); "found the leader of the control group");
         }
     }
 
-    fn lost(&self, address: SocketAddr, hint: Option<SocketAddr>, has_answered: bool) {
-        let mut known = self.known.lock().expect("no panic while locked");
-        if known.leader == Some(address) {
+    fn leader_lost(&self, address: SocketAddr, hint: Option<SocketAddr>, has_answered: bool) {
+        let mut search = self.search.lock().expect("no panic while locked");
+        if search.leader == Some(address) {
             let leader = address.to_string();
             log::warn!(leader = leader.as_str(); "lost the leader of the control group");
             metrics::counter!("poplarspan_relay_leader_losses_total").increment(1);
         }
         if !has_answered {
-            known.avoid = Some((address, Instant::now() + AVOID_LOST));
+            search.unresponsive = Some((address, Instant::now() + UNRESPONSIVE_PAUSE));
         }
-        known.leader = hint.filter(|hint| *hint != address && !known.is_avoided(*hint));
+        search.leader = hint.filter(|hint| *hint != address && !search.is_unresponsive(*hint));
     }
 
-    fn take(&self, answer: peer::BeatAnswer, asked_at: Duration) {
+    fn apply(&self, answer: peer::BeatAnswer, asked_at: Duration) {
         let old = self.view();
         let publication = self.next_publication(&old, answer.publication);
         let directory = answer.directory.map(|d| Arc::new(read_directory(d, self.clock.now())));
@@ -354,9 +356,9 @@
         let addresses = |list: Vec<String>| -> Vec<SocketAddr> {
             list.iter().filter_map(|a| a.parse().ok()).collect()
         };
-        let cores = addresses(answer.cores);
-        if !cores.is_empty() {
-            self.known.lock().expect("no panic while locked").cores = cores;
+        let control_replicas = addresses(answer.cores);
+        if !control_replicas.is_empty() {
+            self.search.lock().expect("no panic while locked").control_replicas = control_replicas;
         }
         let stores = addresses(answer.stores);
         let leader = |place: u32| stores.get((place as usize).checked_sub(1)?).copied();
@@ -370,9 +372,10 @@
             store_ring: answer.store_ring.into_iter().map(ReplicaId).collect(),
             group_leaders,
             retiring: answer.retiring,
-            quarantined: answer
-                .quarantine
-                .map_or_else(|| old.quarantined.clone(), |q| Arc::new(Quarantined::read(&q))),
+            quarantine_list: answer.quarantine.map_or_else(
+                || old.quarantine_list.clone(),
+                |q| Arc::new(QuarantineList::read(&q)),
+            ),
         };
         if view.zones_out != old.zones_out {
             let zones = view.zones_out.join(",");
@@ -398,7 +401,7 @@
         let held_version = held.as_ref().map_or(0, |p| p.version);
         let Some(published) = published.filter(|p| p.version > held_version) else { return held };
         let version = published.version;
-        match control::read_publication(&*self.dialect, version, &published.body) {
+        match control::read_publication(&*self.protocol, version, &published.body) {
             Ok(publication) => {
                 log::info!(version, before = held_version; "publication in force");
                 Some(Arc::new(publication))
--- a/crates/relay/src/front/answered.rs
+++ b/crates/relay/src/front/answered.rs
@@ -8,41 +8,41 @@
 use tokio::time::Instant;
 
 /// A generation of requests lasts this long, or until it is full. Two are remembered.
-const GENERATION: Duration = Duration::from_secs(15);
+const GENERATION_TIME: Duration = Duration::from_secs(15);
 const MAX_REQUESTS: usize = 4_096;
 
 #[derive(Default)]
-pub(crate) struct Answered {
+pub(crate) struct AnsweredRequests {
     // Sorted.
-    young: Vec<Fingerprint>,
+    current: Vec<Fingerprint>,
     // Sorted.
-    old: Vec<Fingerprint>,
-    young_since: Option<Instant>,
+    previous: Vec<Fingerprint>,
+    current_since: Option<Instant>,
 }
 
-impl Answered {
+impl AnsweredRequests {
     pub(crate) fn insert(&mut self, request: Fingerprint, now: Instant) {
-        self.age(now);
-        if let Err(at) = self.young.binary_search(&request) {
-            self.young.insert(at, request);
+        self.rotate(now);
+        if let Err(at) = self.current.binary_search(&request) {
+            self.current.insert(at, request);
         }
     }
 
     pub(crate) fn contains(&mut self, request: Fingerprint, now: Instant) -> bool {
-        self.age(now);
-        [&self.young, &self.old].iter().any(|list| list.binary_search(&request).is_ok())
+        self.rotate(now);
+        [&self.current, &self.previous].iter().any(|list| list.binary_search(&request).is_ok())
     }
 
     /// Begins a new generation when it is time.
-    fn age(&mut self, now: Instant) {
-        let age = self.young_since.map_or(Duration::MAX, |at| now.saturating_duration_since(at));
-        if age < GENERATION && self.young.len() < MAX_REQUESTS {
+    fn rotate(&mut self, now: Instant) {
+        let age = self.current_since.map_or(Duration::MAX, |at| now.saturating_duration_since(at));
+        if age < GENERATION_TIME && self.current.len() < MAX_REQUESTS {
             return;
         }
-        self.old = std::mem::take(&mut self.young);
-        if age >= 2 * GENERATION {
-            self.old.clear();
+        self.previous = std::mem::take(&mut self.current);
+        if age >= 2 * GENERATION_TIME {
+            self.previous.clear();
         }
-        self.young_since = Some(now);
+        self.current_since = Some(now);
     }
 }
--- a/crates/relay/src/front/attempt.rs
+++ b/crates/relay/src/front/attempt.rs
@@ -18,20 +18,20 @@
 
 use super::{
     Front,
-    endpoints::{Chosen, Outcome},
-    memory::Held,
-    quarantine::{Entry, Trial},
+    endpoints::{ChosenEndpoint, Outcome},
+    memory::MemoryReservation,
+    quarantine::{Admission, Trial},
     refusal::Refusal,
-    schedule::{NoPlace, Slot, Want},
+    schedule::{PlacementError, PlacementRequest, Slot},
 };
-use crate::{AnswerHead, CallHead, Forward, Route, RouteKind};
+use crate::{CallHead, Forward, ResponseHead, Route, RouteKind};
 
 /// Endpoints that may refuse a call, or not be reached, before it is given up.
 const MAX_UNSENT: u32 = 6;
 /// Endpoints that keep refusing are asked again after this pause.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
 /// When a call that was given up unsent may come back.
-const COME_BACK: Duration = Duration::from_millis(250);
+const RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// A call that was admitted.
 pub(crate) struct Call {
@@ -42,12 +42,12 @@
     pub(crate) body: Bytes,
     pub(crate) route: Route,
     pub(crate) team: Option<Name>,
-    pub(crate) want: Arc<Want>,
+    pub(crate) want: Arc<PlacementRequest>,
     pub(crate) urgency: Option<u8>,
     /// When the caller has to have an answer.
     pub(crate) deadline: Instant,
     /// Memory of the body.
-    pub(crate) _held: Held,
+    pub(crate) _memory: MemoryReservation,
     /// Computed when it is first asked for.
     pub(crate) fingerprint: OnceLock<Fingerprint>,
 }
@@ -77,7 +77,7 @@
 }
 
 /// An answer that has begun.
-pub(crate) struct Begun {
+pub(crate) struct StartedResponse {
     pub(crate) parts: response::Parts,
     pub(crate) body: Incoming,
     pub(crate) reuse: Reuse,
@@ -102,13 +102,13 @@
 }
 
 /// What became of one attempt that gave no answer.
-enum Missed {
+enum AttemptError {
     /// The endpoint has not run the call and will not.
     NotRun,
     /// The endpoint may have run the call.
     Unknown,
     /// The call must not run now at any endpoint.
-    Barred(Refusal),
+    Refused(Refusal),
 }
 
 impl Attempts {
@@ -126,44 +126,47 @@
     }
 
     /// Sends the call until an endpoint begins to answer. A stream goes on after `last_event`.
-    pub(crate) async fn next(&mut self, last_event: Option<&Name>) -> Result<Begun, Refusal> {
+    pub(crate) async fn next(
+        &mut self,
+        last_event: Option<&Name>,
+    ) -> Result<StartedResponse, Refusal> {
         loop {
             if self.front.quarantine.is_refused(&self.call) {
-                return Err(self.ends_endpoints());
+                return Err(self.crashes_endpoints());
             }
             let since = Instant::now();
             let placed = self.front.schedule.acquire(&self.call.want, &self.tried).await;
             self.waited += since.elapsed();
             let slot = match placed {
                 Ok(slot) => slot,
-                Err(NoPlace::NoneOpen { .. }) if self.may_start_over() => {
+                Err(PlacementError::NoEndpoint { .. }) if self.may_retry_refused() => {
                     tokio::time::sleep(REFUSED_PAUSE).await;
                     self.tried.clear();
                     continue;
                 }
-                Err(NoPlace::NoneOpen { come_back }) => {
-                    return Err(self.give_up("no_endpoint", "no endpoint is open", come_back));
+                Err(PlacementError::NoEndpoint { retry_after }) => {
+                    return Err(self.refuse("no_endpoint", "no endpoint is open", retry_after));
                 }
-                Err(NoPlace::TooLate { come_back }) => {
+                Err(PlacementError::TooLate { retry_after }) => {
                     let message = "the call cannot be served in time";
-                    return Err(self.give_up("too_late", message, come_back));
+                    return Err(self.refuse("too_late", message, retry_after));
                 }
             };
             self.last = Some(slot.endpoint.name.clone());
             match self.send(slot, last_event).await {
                 Ok(begun) => return Ok(begun),
-                Err(Missed::NotRun) => {
+                Err(AttemptError::NotRun) => {
                     self.unsent += 1;
                     if self.unsent >= MAX_UNSENT {
                         let message = "endpoints refuse the call or cannot be reached";
-                        return Err(self.give_up("refused", message, COME_BACK));
+                        return Err(self.refuse("refused", message, RETRY_AFTER));
                     }
                 }
-                Err(Missed::Barred(refusal)) => return Err(refusal),
-                Err(Missed::Unknown) => {
+                Err(AttemptError::Refused(refusal)) => return Err(refusal),
+                Err(AttemptError::Unknown) => {
                     self.ran += 1;
                     if !self.may_retry() {
-                        return Err(self.lost());
+                        return Err(self.unknown_outcome());
                     }
                 }
             }
@@ -171,7 +174,7 @@
     }
 
     /// Whether endpoints that refused the call may be asked again.
-    fn may_start_over(&self) -> bool {
+    fn may_retry_refused(&self) -> bool {
         self.unsent > 0 && self.ran == 0 && self.call.time_left() > 4 * REFUSED_PAUSE
     }
 
@@ -184,32 +187,36 @@
 
     /// Takes note that an endpoint that began to answer did not complete.
     pub(crate) fn failed(&mut self, slot: Slot, cause: &str) {
-        self.note_lost(&slot.endpoint, cause);
+        self.note_incomplete(&slot.endpoint, cause);
         self.ran += 1;
         self.tried.push(slot.endpoint.name.clone());
         slot.finish(Outcome::Failed);
     }
 
-    async fn send(&mut self, slot: Slot, last_event: Option<&Name>) -> Result<Begun, Missed> {
+    async fn send(
+        &mut self,
+        slot: Slot,
+        last_event: Option<&Name>,
+    ) -> Result<StartedResponse, AttemptError> {
         let call = self.call.clone();
         let endpoint = slot.endpoint.clone();
         self.tried.push(endpoint.name.clone());
         if self.front.fleet.lease_left().is_none() {
             self.unsent = MAX_UNSENT;
-            return Err(Missed::NotRun);
+            return Err(AttemptError::NotRun);
         }
-        match self.front.quarantine.enter(&call, &endpoint).await {
-            Entry::Free => {}
-            Entry::OnTrial(trial) => self.trial = Some(trial),
-            Entry::EndpointTaken => return Err(Missed::NotRun),
-            Entry::EndpointAway => {
+        match self.front.quarantine.admit(&call, &endpoint).await {
+            Admission::Free => {}
+            Admission::OnTrial(trial) => self.trial = Some(trial),
+            Admission::EndpointTaken => return Err(AttemptError::NotRun),
+            Admission::EndpointUnreachable => {
                 slot.finish(Outcome::Failed);
-                return Err(Missed::NotRun);
+                return Err(AttemptError::NotRun);
             }
-            Entry::Refused => return Err(Missed::Barred(self.ends_endpoints())),
-            Entry::NotNow => {
+            Admission::Refused => return Err(AttemptError::Refused(self.crashes_endpoints())),
+            Admission::Busy => {
                 let message = "the request is on trial, since endpoints have ended under it";
-                return Err(Missed::Barred(self.give_up("on_trial", message, COME_BACK)));
+                return Err(AttemptError::Refused(self.refuse("on_trial", message, RETRY_AFTER)));
             }
         }
         let request = self.request(&endpoint.name, last_event);
@@ -226,7 +233,7 @@
         };
         let (response, reuse) = exchange.into_parts();
         let (parts, body) = response.into_parts();
-        let head = self.front.dialect.answer(&parts);
+        let head = self.front.protocol.parse_response(&parts);
         if let Some(load) = head.load {
             slot.report(load);
         }
@@ -234,20 +241,20 @@
             slot.note_leaving();
         }
         if head.not_run || head.is_other_endpoint {
-            self.log_miss(&slot, "endpoint has not run the call", parts.status.as_u16());
+            self.log_no_answer(&slot, "endpoint has not run the call", parts.status.as_u16());
             self.trial = None;
             tokio::spawn(drain(body, reuse));
             slot.finish(if head.is_other_endpoint { Outcome::Failed } else { Outcome::Refused });
-            return Err(Missed::NotRun);
+            return Err(AttemptError::NotRun);
         }
         if !is_genuine(parts.status, &head) {
-            self.log_miss(&slot, "answer is not the endpoint's", parts.status.as_u16());
+            self.log_no_answer(&slot, "answer is not the endpoint's", parts.status.as_u16());
             metrics::counter!("poplarspan_relay_foreign_answers_total").increment(1);
             self.trial = None;
             slot.finish(Outcome::Failed);
-            return Err(Missed::Unknown);
+            return Err(AttemptError::Unknown);
         }
-        Ok(Begun { parts, body, reuse, slot })
+        Ok(StartedResponse { parts, body, reuse, slot })
     }
 
     fn request(&self, endpoint: &Name, last_event: Option<&Name>) -> Request<Full<Bytes>> {
@@ -262,49 +269,49 @@
         let mut request = Request::new(Full::new(call.body.clone()));
         *request.method_mut() = call.method.clone();
         *request.uri_mut() = call.uri.clone();
-        *request.headers_mut() = self.front.dialect.forward(&call.headers, &forward);
+        *request.headers_mut() = self.front.protocol.forward_headers(&call.headers, &forward);
         request
     }
 
-    fn note_failure(&mut self, slot: Slot, error: &SendError) -> Missed {
+    fn note_failure(&mut self, slot: Slot, error: &SendError) -> AttemptError {
         let cause = error.to_string();
         match error {
             SendError::NotPermitted | SendError::NotSent(_) => {
                 let (endpoint, id) = (&*slot.endpoint.name, &*self.call.head.id);
                 log::warn!(id, endpoint, cause = cause.as_str(); "call did not leave");
             }
-            _ => self.note_lost(&slot.endpoint, &cause),
+            _ => self.note_incomplete(&slot.endpoint, &cause),
         }
         self.trial = None;
         match error {
             SendError::NotPermitted => {
                 // The lease has ended, or the endpoint is leaving; either says nothing of its health.
                 slot.finish(Outcome::Abandoned);
-                Missed::NotRun
+                AttemptError::NotRun
             }
             SendError::NotSent(_) => {
                 slot.finish(Outcome::Failed);
-                Missed::NotRun
+                AttemptError::NotRun
             }
             SendError::Silent if self.call.time_left().is_zero() => {
                 // The call's own time limit says little about the endpoint.
                 slot.finish(Outcome::Abandoned);
-                Missed::Unknown
+                AttemptError::Unknown
             }
             _ => {
                 slot.finish(Outcome::Failed);
-                Missed::Unknown
+                AttemptError::Unknown
             }
         }
     }
 
     /// Takes note that an endpoint may have run the call and gave no whole answer.
-    fn note_lost(&mut self, endpoint: &Chosen, cause: &str) {
+    fn note_incomplete(&mut self, endpoint: &ChosenEndpoint, cause: &str) {
         let (id, request) = (&*self.call.head.id, self.call.fingerprint().to_string());
         let name = &*endpoint.name;
         log::warn!(id, request = request.as_str(), endpoint = name, cause; "endpoint gave no whole answer");
         metrics::counter!("poplarspan_relay_lost_runs_total").increment(1);
-        self.front.quarantine.lost(&self.call, endpoint, self.trial.take());
+        self.front.quarantine.note_incomplete(&self.call, endpoint, self.trial.take());
     }
 
     /// Takes note that the call has a whole answer.
@@ -312,24 +319,28 @@
         self.front.quarantine.answered(&self.call, self.trial.take());
     }
 
-    fn log_miss(&self, slot: &Slot, what: &'static str, status: u16) {
+    fn log_no_answer(&self, slot: &Slot, what: &'static str, status: u16) {
         let (id, endpoint) = (&*self.call.head.id, &*slot.endpoint.name);
         log::info!(id, endpoint, status; "{what}");
     }
 
     /// The answer for a call that gets no further place.
-    fn give_up(&self, code: &'static str, message: &'static str, come_back: Duration) -> Refusal {
-        if self.ran > 0 { self.lost() } else { Refusal::not_now(code, message, come_back) }
+    fn refuse(&self, code: &'static str, message: &'static str, retry_after: Duration) -> Refusal {
+        if self.ran > 0 {
+            self.unknown_outcome()
+        } else {
+            Refusal::retry_later(code, message, retry_after)
+        }
     }
 
     /// The answer for a request under which endpoints end.
-    fn ends_endpoints(&self) -> Refusal {
+    fn crashes_endpoints(&self) -> Refusal {
         let message = "endpoints have ended each time that they ran this request";
         Refusal::new(StatusCode::UNPROCESSABLE_ENTITY, "request_crashes_endpoints", message)
     }
 
     /// The answer for a call that may have run, but has no answer.
-    pub(crate) fn lost(&self) -> Refusal {
+    pub(crate) fn unknown_outcome(&self) -> Refusal {
         if self.call.time_left().is_zero() {
             let message = "no answer in time";
             return Refusal::new(StatusCode::GATEWAY_TIMEOUT, "timeout", message);
@@ -339,7 +350,7 @@
 }
 
 /// Whether an answer comes from the endpoint itself.
-fn is_genuine(status: StatusCode, head: &AnswerHead) -> bool {
+fn is_genuine(status: StatusCode, head: &ResponseHead) -> bool {
     !head.is_encoded && (head.is_sealed || !status.is_success())
 }
 
--- a/crates/relay/src/front/body.rs
+++ b/crates/relay/src/front/body.rs
@@ -10,56 +10,56 @@
 use http_body_util::{BodyExt, Full, StreamBody, combinators::UnsyncBoxBody};
 use hyper::body::{Body, Frame, SizeHint};
 
-use super::memory::Held;
+use super::memory::MemoryReservation;
 
 /// Ends an answer that cannot be completed: the connection is closed, so that the caller does not
 /// take what has arrived for the whole.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer was cut short: {0}")]
-pub(crate) struct Cut(pub(crate) &'static str);
+pub(crate) struct TruncatedBody(pub(crate) &'static str);
 
 /// Body of an answer to a caller.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, Cut>;
+pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
 /// A body that is there as a whole.
-pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
+pub(crate) fn full(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// A body that is there as a whole, with the memory that is held for it.
-pub(crate) fn held(bytes: Bytes, held: Held) -> AnswerBody {
-    HeldBody { whole: Full::new(bytes), _held: held }.boxed_unsync()
+pub(crate) fn reserved(bytes: Bytes, reservation: MemoryReservation) -> AnswerBody {
+    ReservedBody { full: Full::new(bytes), _reservation: reservation }.boxed_unsync()
 }
 
-struct HeldBody {
-    whole: Full<Bytes>,
-    _held: Held,
+struct ReservedBody {
+    full: Full<Bytes>,
+    _reservation: MemoryReservation,
 }
 
-impl Body for HeldBody {
+impl Body for ReservedBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        let frame = Pin::new(&mut self.whole).poll_frame(cx);
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
+        let frame = Pin::new(&mut self.full).poll_frame(cx);
         frame.map_err(|never| match never {})
     }
 
     fn is_end_stream(&self) -> bool {
-        self.whole.is_end_stream()
+        self.full.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.whole.size_hint()
+        self.full.size_hint()
     }
 }
 
 /// A body that arrives in pieces.
-pub(crate) fn pieces(
-    stream: impl Stream<Item = Result<Bytes, Cut>> + Send + 'static,
+pub(crate) fn streamed(
+    stream: impl Stream<Item = Result<Bytes, TruncatedBody>> + Send + 'static,
 ) -> AnswerBody {
     use futures::StreamExt;
     StreamBody::new(stream.map(|piece| piece.map(Frame::data))).boxed_unsync()
--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -17,8 +17,8 @@
     starts::{Place, StartGate},
 };
 
-use super::schedule::Want;
-use crate::{ListedEndpoint, Load, PromptPart, Publication, fleet::View};
+use super::schedule::PlacementRequest;
+use crate::{ListedEndpoint, Load, PromptPart, Publication, fleet_client::View};
 
 /// Tokens of one block of a prompt in the index of cached prompts.
 const BLOCK_TOKENS: u32 = 256;
@@ -28,7 +28,7 @@
 /// accelerator reads of a mixture-of-experts model.
 const PREFILL_PER_SECOND: f64 = 300_000.0;
 /// Service time that is assumed until one has been measured, in seconds.
-const SERVICE_S: f64 = 0.2;
+const INITIAL_SERVICE_S: f64 = 0.2;
 /// A load report of an answer counts half after this time, which is about that of one answer.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(600);
 /// Costs of an endpoint. What a call adds to the time of the others in the batch counts as much as
@@ -48,19 +48,19 @@
     connect_s: 0.012,
 };
 /// First pause after a failure, doubled with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MIN_PAUSE: Duration = Duration::from_millis(250);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 /// Calls that an endpoint gets at a time after it has failed, until it has answered one.
-const TRIAL_CALLS: u32 = 1;
-/// Longest life of what is known of a line's last endpoint.
-const FORGET_LINE: Duration = Duration::from_secs(30);
-const MAX_LINES: usize = 8_192;
+const PROBE_CALLS: u32 = 1;
+/// Longest life of what is known of a conversation's last endpoint.
+const CONVERSATION_TTL: Duration = Duration::from_secs(30);
+const MAX_CONVERSATIONS: usize = 8_192;
 /// A part counts as shared once this many lines have used it.
-const SHARED_BY: u32 = 8;
+const MIN_SHARING_CONVERSATIONS: u32 = 8;
 /// Parts whose use is remembered; beyond, the one that was used longest ago is forgotten.
 const MAX_SHARED_PARTS: usize = 512;
 
-struct Known {
+struct EndpointState {
     name: Name,
     service: Name,
     id: EndpointId,
@@ -76,7 +76,7 @@
 
 /// A chosen endpoint.
 #[derive(Clone, Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct ChosenEndpoint {
     pub(crate) name: Name,
     pub(crate) address: SocketAddr,
 }
@@ -108,14 +108,14 @@
 struct PartUse {
     id: u64,
     /// Lines that used the part, as far as they followed one another.
-    lines: u32,
-    last_line: Option<Name>,
+    conversations: u32,
+    last_conversation: Option<Name>,
     at: Duration,
 }
 
 impl SharedParts {
-    /// Takes note of the parts of a line's prompt. The last one is the line's own.
-    fn note(&mut self, want: &Want, now: Duration) {
+    /// Takes note of the parts of a conversation's prompt. The last one is the conversation's own.
+    fn note(&mut self, want: &PlacementRequest, now: Duration) {
         let shared = want.parts.len().saturating_sub(1);
         for part in &want.parts[..shared] {
             let at = match self.parts.binary_search_by_key(&part.id, |p| p.id) {
@@ -123,7 +123,8 @@
                 Err(at) => {
                     self.make_room();
                     let at = at.min(self.parts.len());
-                    let new = PartUse { id: part.id, lines: 0, last_line: None, at: now };
+                    let new =
+                        PartUse { id: part.id, conversations: 0, last_conversation: None, at: now };
                     self.parts.insert(at, new);
                     self.parts.sort_unstable_by_key(|p| p.id);
                     self.parts.binary_search_by_key(&part.id, |p| p.id).unwrap_or(at)
@@ -131,18 +132,18 @@
             };
             let part = &mut self.parts[at];
             part.at = now;
-            if part.last_line != want.line {
-                part.last_line.clone_from(&want.line);
-                part.lines = part.lines.saturating_add(1);
+            if part.last_conversation != want.conversation {
+                part.last_conversation.clone_from(&want.conversation);
+                part.conversations = part.conversations.saturating_add(1);
             }
         }
     }
 
     /// Number of leading parts that many lines share.
-    fn leading(&self, want: &Want) -> usize {
+    fn leading(&self, want: &PlacementRequest) -> usize {
         let is_shared = |part: &&PromptPart| {
             let found = self.parts.binary_search_by_key(&part.id, |p| p.id);
-            found.is_ok_and(|at| self.parts[at].lines >= SHARED_BY)
+            found.is_ok_and(|at| self.parts[at].conversations >= MIN_SHARING_CONVERSATIONS)
         };
         want.parts.iter().take_while(is_shared).count()
     }
@@ -156,8 +157,8 @@
     }
 }
 
-struct Line {
-    name: Name,
+struct LastEndpoint {
+    conversation: Name,
     id: EndpointId,
     at: Duration,
 }
@@ -169,9 +170,9 @@
     prefixes: PrefixIndex,
     chooser: CostChooser,
     // Sorted by name.
-    known: Vec<Known>,
+    endpoints: Vec<EndpointState>,
     // Sorted by name.
-    lines: Vec<Line>,
+    last_endpoints: Vec<LastEndpoint>,
     shared: SharedParts,
     departures: Departures,
     place: Place,
@@ -187,8 +188,8 @@
             fleet: Fleet::new(),
             prefixes: PrefixIndex::new(MAX_BLOCKS),
             chooser: CostChooser::new(zone, COSTS),
-            known: Vec::new(),
-            lines: Vec::new(),
+            endpoints: Vec::new(),
+            last_endpoints: Vec::new(),
             shared: SharedParts::default(),
             departures: Departures::default(),
             place: Place { rank: 0, of: 1 },
@@ -206,7 +207,7 @@
         if is_new_list || version != self.version {
             self.directory = view.directory.number;
             self.version = version;
-            self.follow(view, now);
+            self.apply_list(view, now);
         }
         if view.zones_out != self.zones_out {
             for zone in view.zones_out.iter().chain(&self.zones_out) {
@@ -216,12 +217,12 @@
         }
     }
 
-    fn follow(&mut self, view: &View, now: Duration) {
+    fn apply_list(&mut self, view: &View, now: Duration) {
         let listed = &view.directory.endpoints;
         let starts: Vec<_> = listed.iter().map(start_of).collect();
         self.departures.follow(&starts);
-        let Self { known, fleet, .. } = self;
-        known.retain(|k| {
+        let Self { endpoints, fleet, .. } = self;
+        endpoints.retain(|k| {
             let stays = listed.iter().any(|e| e.name == k.name && e.address == k.address);
             if !stays {
                 fleet.remove(&k.name);
@@ -253,20 +254,20 @@
             groups: vec![endpoint.service.clone()],
             capacity,
             prefill_per_second: engine.map_or(f64::INFINITY, |_| PREFILL_PER_SECOND),
-            service_s: SERVICE_S,
+            service_s: INITIAL_SERVICE_S,
             leaving: endpoint.leaving || self.departures.includes(start_of(endpoint)),
         });
         let cold_until = now + endpoint.cold_left.saturating_sub(age);
-        match self.known.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
+        match self.endpoints.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
             Ok(at) => {
-                let known = &mut self.known[at];
+                let known = &mut self.endpoints[at];
                 known.cold_until = known.cold_until.max(cold_until);
                 known.started_ms = endpoint.started_ms;
             }
             Err(at) => {
                 let blocks = engine.map_or(0, |e| e.cache_tokens / u64::from(BLOCK_TOKENS));
                 self.prefixes.declare(id, u32::try_from(blocks).unwrap_or(u32::MAX));
-                let known = Known {
+                let known = EndpointState {
                     name: endpoint.name.clone(),
                     service: endpoint.service.clone(),
                     id,
@@ -277,7 +278,7 @@
                     failures: 0,
                     paused_until: None,
                 };
-                self.known.insert(at, known);
+                self.endpoints.insert(at, known);
             }
         }
     }
@@ -285,30 +286,30 @@
     /// Lets reported loads fade, and tries endpoints again that have failed.
     pub(crate) fn tick(&mut self, now: Duration) {
         self.fleet.fade(LOAD_HALF_LIFE, now);
-        for known in &mut self.known {
+        for known in &mut self.endpoints {
             if known.paused_until.is_some_and(|until| now >= until) {
                 known.paused_until = None;
                 self.fleet.set_healthy(known.id, true);
-                self.fleet.set_cap(known.id, Some(TRIAL_CALLS));
+                self.fleet.set_cap(known.id, Some(PROBE_CALLS));
             }
         }
-        if self.lines.len() > MAX_LINES {
-            self.lines.retain(|l| now < l.at + FORGET_LINE / 10);
+        if self.last_endpoints.len() > MAX_CONVERSATIONS {
+            self.last_endpoints.retain(|l| now < l.at + CONVERSATION_TTL / 10);
         }
-        self.lines.retain(|l| now < l.at + FORGET_LINE);
+        self.last_endpoints.retain(|l| now < l.at + CONVERSATION_TTL);
     }
 
     /// Chooses an endpoint and counts the call there.
     pub(crate) fn place(
         &mut self,
-        want: &Want,
+        want: &PlacementRequest,
         tried: &[Name],
         publication: Option<&Publication>,
         now: Duration,
-    ) -> Result<Chosen, NoRoute> {
+    ) -> Result<ChosenEndpoint, NoRoute> {
         let cold_rate =
             publication.and_then(|p| p.service(&want.service)).map_or(0.0, |s| s.cold_per_second);
-        let avoid = self.avoid(want, tried, cold_rate, now);
+        let avoid = self.excluded(want, tried, cold_rate, now);
         self.note_connections(&want.service);
         let (blocks, prompt_tokens) = self.own_blocks(want);
         let request = RouteRequest {
@@ -316,24 +317,24 @@
             blocks,
             block_tokens: BLOCK_TOKENS,
             prompt_tokens,
-            last: want.line.as_ref().and_then(|line| self.last_of(line)),
+            last: want.conversation.as_ref().and_then(|conversation| self.last_of(conversation)),
             avoid: &avoid,
         };
         let mut rng = rand::rng();
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &request, &mut rng)?;
-        Ok(self.count(want, &choice, now))
+        Ok(self.record_dispatch(want, &choice, now))
     }
 
     fn note_connections(&mut self, service: &Name) {
         let connected = self.pool.connected();
-        for known in self.known.iter().filter(|k| k.service == *service) {
+        for known in self.endpoints.iter().filter(|k| k.service == *service) {
             let is_connected = connected.binary_search(&known.address).is_ok();
             self.fleet.set_connected(known.id, is_connected);
         }
     }
 
     /// Blocks and tokens of a prompt without the leading parts that many lines share.
-    fn own_blocks<'a>(&self, want: &'a Want) -> (&'a [u64], u32) {
+    fn own_blocks<'a>(&self, want: &'a PlacementRequest) -> (&'a [u64], u32) {
         let leading = &want.parts[..self.shared.leading(want)];
         let tokens: u32 = leading.iter().map(|p| p.tokens).sum();
         let blocks: usize = leading.iter().map(|p| (p.tokens / BLOCK_TOKENS) as usize).sum();
@@ -342,10 +343,16 @@
 
     /// Endpoints that must not get the call: those that were tried, and cold ones that have had as
     /// many calls in this second as they bear from this front.
-    fn avoid(&mut self, want: &Want, tried: &[Name], rate: f64, now: Duration) -> Vec<EndpointId> {
+    fn excluded(
+        &mut self,
+        want: &PlacementRequest,
+        tried: &[Name],
+        rate: f64,
+        now: Duration,
+    ) -> Vec<EndpointId> {
         let place = self.place;
         let mut avoid = Vec::new();
-        for known in self.known.iter_mut().filter(|k| k.service == want.service) {
+        for known in self.endpoints.iter_mut().filter(|k| k.service == want.service) {
             let is_cold = rate > 0.0 && now < known.cold_until;
             let is_tried = tried.contains(&known.name);
             if is_tried || (is_cold && !known.gate.is_open(rate, place, offset(&known.name), now)) {
@@ -355,7 +362,12 @@
         avoid
     }
 
-    fn count(&mut self, want: &Want, choice: &Choice, now: Duration) -> Chosen {
+    fn record_dispatch(
+        &mut self,
+        want: &PlacementRequest,
+        choice: &Choice,
+        now: Duration,
+    ) -> ChosenEndpoint {
         let id = choice.endpoint;
         self.fleet.began(id, now);
         let (blocks, prompt_tokens) = self.own_blocks(want);
@@ -366,33 +378,33 @@
         metrics::counter!("poplarspan_relay_own_prompt_tokens_total").increment(prompt_tokens);
         metrics::counter!("poplarspan_relay_cached_prompt_tokens_total")
             .increment(cached.min(prompt_tokens));
-        if let Some(line) = &want.line {
-            let entry = Line { name: line.clone(), id, at: now };
-            match self.lines.binary_search_by(|l| l.name.cmp(line)) {
-                Ok(at) => self.lines[at] = entry,
-                Err(at) => self.lines.insert(at, entry),
+        if let Some(conversation) = &want.conversation {
+            let entry = LastEndpoint { conversation: conversation.clone(), id, at: now };
+            match self.last_endpoints.binary_search_by(|l| l.conversation.cmp(conversation)) {
+                Ok(at) => self.last_endpoints[at] = entry,
+                Err(at) => self.last_endpoints.insert(at, entry),
             }
         }
         let name = self.fleet.spec(id).name.clone();
         let at = self.position(&name).expect("the fleet holds known endpoints");
-        let known = &mut self.known[at];
+        let known = &mut self.endpoints[at];
         if now < known.cold_until {
             known.gate.start(now);
         }
-        Chosen { name, address: known.address }
+        ChosenEndpoint { name, address: known.address }
     }
 
-    fn last_of(&self, line: &Name) -> Option<EndpointId> {
-        let at = self.lines.binary_search_by(|l| l.name.cmp(line)).ok()?;
-        Some(self.lines[at].id)
+    fn last_of(&self, conversation: &Name) -> Option<EndpointId> {
+        let at = self.last_endpoints.binary_search_by(|l| l.conversation.cmp(conversation)).ok()?;
+        Some(self.last_endpoints[at].id)
     }
 
     /// Takes a call back from its endpoint.
-    pub(crate) fn end(&mut self, name: &Name, outcome: Outcome, held: Duration, now: Duration) {
+    pub(crate) fn end(&mut self, name: &Name, outcome: Outcome, took: Duration, now: Duration) {
         let Ok(at) = self.position(name) else { return };
-        let known = &mut self.known[at];
+        let known = &mut self.endpoints[at];
         let id = known.id;
-        self.fleet.ended(id, (outcome == Outcome::Answered).then_some(held), now);
+        self.fleet.ended(id, (outcome == Outcome::Answered).then_some(took), now);
         match outcome {
             Outcome::Answered | Outcome::Refused => {
                 if known.failures > 0 {
@@ -402,7 +414,7 @@
                 }
             }
             Outcome::Failed => {
-                let pause = (FIRST_PAUSE * 2u32.pow(known.failures.min(8))).min(LONGEST_PAUSE);
+                let pause = (MIN_PAUSE * 2u32.pow(known.failures.min(8))).min(MAX_PAUSE);
                 known.failures += 1;
                 if known.paused_until.is_none() {
                     let failures = known.failures;
@@ -420,7 +432,7 @@
     pub(crate) fn report(&mut self, name: &Name, load: Load, now: Duration) {
         if let Ok(at) = self.position(name) {
             let report = LoadReport { running: load.running, queued: load.waiting, taken: now };
-            self.fleet.report(self.known[at].id, &report);
+            self.fleet.report(self.endpoints[at].id, &report);
         }
     }
 
@@ -428,7 +440,7 @@
     /// the list says, until its next start is known.
     pub(crate) fn note_leaving(&mut self, name: &Name) {
         let Ok(at) = self.position(name) else { return };
-        let known = &self.known[at];
+        let known = &self.endpoints[at];
         if !self.fleet.spec(known.id).leaving {
             log::info!(endpoint = &**name; "endpoint says that it is leaving");
         }
@@ -437,9 +449,9 @@
     }
 
     /// Whether an endpoint that was chosen may still be sent the call.
-    pub(crate) fn may_receive(&self, chosen: &Chosen) -> bool {
+    pub(crate) fn may_receive(&self, chosen: &ChosenEndpoint) -> bool {
         self.position(&chosen.name).is_ok_and(|at| {
-            let known = &self.known[at];
+            let known = &self.endpoints[at];
             known.address == chosen.address && self.fleet.may_receive(known.id)
         })
     }
@@ -452,7 +464,7 @@
     }
 
     fn position(&self, name: &str) -> Result<usize, usize> {
-        self.known.binary_search_by(|k| (*k.name).cmp(name))
+        self.endpoints.binary_search_by(|k| (*k.name).cmp(name))
     }
 }
 
--- a/crates/relay/src/front/handler.rs
+++ b/crates/relay/src/front/handler.rs
@@ -13,16 +13,16 @@
 
 use super::{
     Front,
-    attempt::{Attempts, Begun, Call},
+    attempt::{Attempts, Call, StartedResponse},
     body::{self, AnswerBody},
     endpoints::{Outcome, blocks},
     events::EventReader,
-    memory::{Held, ReadError},
-    programs::{OpenTurn, TurnName, TurnNeeds},
+    memory::{MemoryReservation, ReadError},
+    programs::{OpenTurn, TurnName, TurnRequirements},
     rates::Token,
     refusal::Refusal,
-    schedule::{Slot, Want},
-    stream::{Keeping, Relaying, tokens_per_event},
+    schedule::{PlacementRequest, Slot},
+    stream::{StreamRelay, TurnRecording, tokens_per_event},
 };
 use crate::{CallHead, ProgramHead, Publication, Route, RouteKind, Team};
 
@@ -31,9 +31,9 @@
 /// Time in which the body of a request must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// When a call may come back while the front holds no lease; about the time of an election.
-const COME_BACK: Duration = Duration::from_millis(400);
+const RETRY_AFTER: Duration = Duration::from_millis(400);
 /// When a call that another front can serve may come back.
-const ELSEWHERE: Duration = Duration::from_millis(10);
+const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(10);
 /// Cost of a call to a plain service, in tokens.
 const SERVICE_COST: u64 = 64;
 /// Prompt tokens that cost as much as one generated token, as most of a prompt is cached.
@@ -44,7 +44,7 @@
 const URGENCY_STEP: u8 = 2;
 const LEAST_URGENCY: u8 = 9;
 /// Of the calls that end well, one in this many is logged; of all others, each.
-const SAMPLE: u64 = 16;
+const LOG_SAMPLE: u64 = 16;
 
 /// Headers that concern one connection only.
 const HOP_HEADERS: [header::HeaderName; 6] = [
@@ -57,7 +57,7 @@
 ];
 
 /// Writes the log line of a call when it has ended.
-pub(crate) struct Ending {
+pub(crate) struct CallRecord {
     id: Name,
     program: Option<Name>,
     route: Option<Name>,
@@ -73,7 +73,7 @@
     outcome: &'static str,
 }
 
-impl Ending {
+impl CallRecord {
     fn new(head: &CallHead, started: Instant) -> Self {
         Self {
             id: head.id.clone(),
@@ -107,11 +107,11 @@
             return true;
         }
         let digest = blake3::hash(self.id.as_bytes());
-        u64::from(digest.as_bytes()[0]) % SAMPLE == 0
+        u64::from(digest.as_bytes()[0]) % LOG_SAMPLE == 0
     }
 }
 
-impl Drop for Ending {
+impl Drop for CallRecord {
     fn drop(&mut self) {
         let took = self.started.elapsed();
         let outcome = self.outcome;
@@ -148,9 +148,9 @@
     pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Response<AnswerBody> {
         let started = Instant::now();
         let (parts, body) = req.into_parts();
-        let mut answer = match self.dialect.call(&parts) {
+        let mut answer = match self.protocol.parse_call(&parts) {
             Ok(head) => {
-                let ending = Ending::new(&head, started);
+                let ending = CallRecord::new(&head, started);
                 self.clone().answer(parts, head, body, ending).await
             }
             Err(e) => {
@@ -171,7 +171,7 @@
         parts: request::Parts,
         head: CallHead,
         body: Incoming,
-        mut ending: Ending,
+        mut ending: CallRecord,
     ) -> Response<AnswerBody> {
         let admitted = match self.admit(parts, head, body, &mut ending).await {
             Ok(admitted) => admitted,
@@ -186,11 +186,11 @@
 
     fn refuse(&self, refusal: &Refusal) -> Response<AnswerBody> {
         metrics::counter!("poplarspan_relay_refusals_total", "code" => refusal.code).increment(1);
-        let text = self.dialect.fault(&refusal.message);
-        let mut answer = Response::new(body::whole(text));
+        let text = self.protocol.error_body(&refusal.message);
+        let mut answer = Response::new(body::full(text));
         *answer.status_mut() = refusal.status;
-        if let Some(after) = refusal.come_back {
-            let (name, value) = self.dialect.come_back(after);
+        if let Some(after) = refusal.retry_after {
+            let (name, value) = self.protocol.retry_after_header(after);
             answer.headers_mut().insert(name, value);
         }
         answer
@@ -202,15 +202,19 @@
         parts: request::Parts,
         head: CallHead,
         body: Incoming,
-        ending: &mut Ending,
-    ) -> Result<Admitted, Refusal> {
+        ending: &mut CallRecord,
+    ) -> Result<AdmittedCall, Refusal> {
         let view = self.fleet.view();
         let Some(publication) = view.publication.clone() else {
-            return Err(Refusal::not_now("not_ready", "nothing has been published", COME_BACK));
+            return Err(Refusal::retry_later(
+                "not_ready",
+                "nothing has been published",
+                RETRY_AFTER,
+            ));
         };
         ending.version = publication.version;
         let Some(lease_left) = self.fleet.lease_left() else {
-            return Err(Refusal::not_now("no_lease", "the front holds no lease", COME_BACK));
+            return Err(Refusal::retry_later("no_lease", "the front holds no lease", RETRY_AFTER));
         };
         ending.lease_left = lease_left;
         let Some(route) = publication.route(&head.host, parts.uri.path()).cloned() else {
@@ -223,9 +227,10 @@
         let deadline = ending.started + time;
         if self.fleet.ends_at().is_some_and(|end| deadline > end) {
             let message = "the instance ends before the call could";
-            return Err(Refusal::not_now("shutting_down", message, ELSEWHERE));
+            return Err(Refusal::retry_later("shutting_down", message, RETRY_ELSEWHERE_AFTER));
         }
-        let (body, held) = self.read_body(body, publication.limits.max_body, deadline).await?;
+        let (body, reservation) =
+            self.read_body(body, publication.limits.max_body, deadline).await?;
         let token = match &team {
             Some(team) => {
                 let program = head.program.as_ref().map(|p| &p.id);
@@ -234,7 +239,7 @@
             None => Token::Free,
         };
         let begun = self.begin_turn(&route, &head, team.as_ref(), body, deadline).await;
-        let (turn, keeping, body) = match begun {
+        let (turn, recording, body) = match begun {
             Ok(begun) => begun,
             Err(refusal) => {
                 // Programs that go on after their budget is spent must not use up their team's rate.
@@ -242,9 +247,9 @@
                 return Err(refusal);
             }
         };
-        let body = (body, held);
+        let body = (body, reservation);
         let call = self.call(parts, head, body, route, team.as_ref(), deadline, &publication);
-        Ok(Admitted { call: Arc::new(call), turn, keeping })
+        Ok(AdmittedCall { call: Arc::new(call), turn, recording })
     }
 
     /// Begins a turn, if the call is one whose tokens are counted or whose history is kept.
@@ -255,7 +260,7 @@
         team: Option<&Team>,
         body: Bytes,
         deadline: Instant,
-    ) -> Result<(Option<OpenTurn>, Option<Keeping>, Bytes), Refusal> {
+    ) -> Result<(Option<OpenTurn>, Option<TurnRecording>, Bytes), Refusal> {
         let is_stream = matches!(route.kind, RouteKind::Stream { .. });
         let Some(program) = head.program.as_ref().filter(|_| is_stream) else {
             return Ok((None, None, body));
@@ -269,14 +274,14 @@
             program: program.id.clone(),
             turn: head.id.clone(),
         };
-        let needs = TurnNeeds {
+        let needs = TurnRequirements {
             most: u64::from(head.max_output_tokens),
             budget: program.token_budget,
             previous,
             deadline,
         };
         let (turn, history) = self.programs.begin(&name, needs).await?;
-        let keeping = route.retain.map(|_| Keeping {
+        let recording = route.retain.map(|_| TurnRecording {
             history: history.clone(),
             input: body.clone(),
             previous: previous.cloned(),
@@ -290,7 +295,7 @@
             whole.put(body);
             whole.freeze()
         };
-        Ok((Some(turn), keeping, body))
+        Ok((Some(turn), recording, body))
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -298,25 +303,25 @@
         &self,
         parts: request::Parts,
         head: CallHead,
-        (body, held): (Bytes, Held),
+        (body, reservation): (Bytes, MemoryReservation),
         route: Route,
         team: Option<&Team>,
         deadline: Instant,
         publication: &Publication,
     ) -> Call {
-        let line = line_of(&head);
-        let hash = blake3::hash(line.as_ref().unwrap_or(&head.id).as_bytes());
+        let conversation = affinity_of(&head);
+        let hash = blake3::hash(conversation.as_ref().unwrap_or(&head.id).as_bytes());
         let hash = u64::from_le_bytes(*hash.as_bytes().first_chunk().expect("32 bytes"));
         let service = route.service(hash).clone();
         let is_engine = publication.service(&service).is_some_and(|s| s.engine.is_some());
         let priority = team.and_then(|t| t.priority).unwrap_or(route.priority);
         let urgency = FIRST_URGENCY.saturating_add(priority.saturating_mul(URGENCY_STEP));
         let left = deadline.saturating_duration_since(Instant::now());
-        let want = Want {
+        let want = PlacementRequest {
             service,
             team: team.map_or_else(|| "".into(), |t| t.name.clone()),
             program: head.program.as_ref().map(|p| p.id.clone()),
-            line,
+            conversation,
             parts: head.prompt.as_slice().into(),
             blocks: blocks(&head.prompt).into(),
             prompt_tokens: head.prompt.iter().map(|p| p.tokens).sum(),
@@ -334,12 +339,16 @@
             urgency: is_engine.then_some(urgency.min(LEAST_URGENCY)),
             deadline,
             head,
-            _held: held,
+            _memory: reservation,
             fingerprint: OnceLock::new(),
         }
     }
 
-    async fn run(self: Arc<Self>, admitted: Admitted, mut ending: Ending) -> Response<AnswerBody> {
+    async fn run(
+        self: Arc<Self>,
+        admitted: AdmittedCall,
+        mut ending: CallRecord,
+    ) -> Response<AnswerBody> {
         let mut attempts = Attempts::new(self.clone(), admitted.call.clone());
         let refusal = loop {
             let begun = attempts.next(None).await;
@@ -362,10 +371,10 @@
                 Err((slot, cause)) => attempts.failed(slot, &cause),
             }
             if !attempts.may_retry() {
-                break attempts.lost();
+                break attempts.unknown_outcome();
             }
         };
-        debug_assert!(attempts.ran == 0 || !refusal.promises_not_run());
+        debug_assert!(attempts.ran == 0 || !refusal.guarantees_not_run());
         ending.status = refusal.status.as_u16();
         ending.finish(refusal.code);
         self.refuse(&refusal)
@@ -374,15 +383,15 @@
     /// Reads an answer whole. Returns the place at the endpoint if it was cut short, and why.
     async fn collect(
         &self,
-        begun: Begun,
+        begun: StartedResponse,
         deadline: Instant,
     ) -> Result<Response<AnswerBody>, (Slot, String)> {
-        let Begun { parts, body, reuse, slot } = begun;
+        let StartedResponse { parts, body, reuse, slot } = begun;
         match self.memory.collect(body, MAX_ANSWER_BYTES, deadline).await {
-            Ok((body, held)) => {
+            Ok((body, reservation)) => {
                 reuse.finish();
                 slot.finish(Outcome::Answered);
-                let mut answer = Response::new(body::held(body, held));
+                let mut answer = Response::new(body::reserved(body, reservation));
                 *answer.status_mut() = parts.status;
                 *answer.headers_mut() = end_to_end(&parts.headers);
                 answer.headers_mut().remove(header::CONTENT_LENGTH);
@@ -398,7 +407,7 @@
         body: Incoming,
         max: usize,
         deadline: Instant,
-    ) -> Result<(Bytes, Held), Refusal> {
+    ) -> Result<(Bytes, MemoryReservation), Refusal> {
         let until = deadline.min(Instant::now() + BODY_TIMEOUT);
         self.memory.collect(body, max, until).await.map_err(|e| {
             let message = e.to_string();
@@ -406,11 +415,13 @@
                 ReadError::TooLarge(_) => {
                     Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large", message)
                 }
-                ReadError::NoRoom => Refusal::not_now("no_memory", message, COME_BACK),
-                ReadError::Broken(_) => {
+                ReadError::OutOfMemory => Refusal::retry_later("no_memory", message, RETRY_AFTER),
+                ReadError::Interrupted(_) => {
                     Refusal::new(StatusCode::BAD_REQUEST, "broken_body", message)
                 }
-                ReadError::Late => Refusal::new(StatusCode::REQUEST_TIMEOUT, "late_body", message),
+                ReadError::Timeout => {
+                    Refusal::new(StatusCode::REQUEST_TIMEOUT, "late_body", message)
+                }
             }
         })
     }
@@ -418,17 +429,17 @@
     /// Hands on a stream.
     fn stream(
         self: &Arc<Self>,
-        admitted: Admitted,
+        admitted: AdmittedCall,
         attempts: Attempts,
-        begun: Begun,
-        ending: Ending,
+        begun: StartedResponse,
+        ending: CallRecord,
     ) -> Response<AnswerBody> {
-        let Admitted { call, turn, keeping } = admitted;
+        let AdmittedCall { call, turn, recording } = admitted;
         let mut answer = Response::new(());
         *answer.status_mut() = begun.parts.status;
         *answer.headers_mut() = end_to_end(&begun.parts.headers);
         answer.headers_mut().remove(header::CONTENT_LENGTH);
-        let relaying = Relaying {
+        let relaying = StreamRelay {
             attempts,
             begun: Some(begun),
             reader: EventReader::default(),
@@ -436,20 +447,20 @@
             events: 0,
             tokens_per_event: tokens_per_event(self, &call.want.service),
             turn,
-            keeping,
+            recording,
             ending,
             is_done: false,
-            held: self.memory.hold(),
+            reservation: self.memory.reserve(),
         };
         answer.map(|()| relaying.into_body())
     }
 }
 
 /// A call that may run.
-struct Admitted {
+struct AdmittedCall {
     call: Arc<Call>,
     turn: Option<OpenTurn>,
-    keeping: Option<Keeping>,
+    recording: Option<TurnRecording>,
 }
 
 /// Headers of an answer without those that concern one connection only.
@@ -478,12 +489,12 @@
 }
 
 /// What keeps calls together at an endpoint: the line of turns, or the object that they are about.
-fn line_of(head: &CallHead) -> Option<Name> {
-    let line = |p: &ProgramHead| p.line.clone().unwrap_or_else(|| p.id.clone());
+fn affinity_of(head: &CallHead) -> Option<Name> {
+    let conversation = |p: &ProgramHead| p.conversation.clone().unwrap_or_else(|| p.id.clone());
     if head.prompt.is_empty() {
         return head.affinity.clone();
     }
-    head.program.as_ref().map(line)
+    head.program.as_ref().map(conversation)
 }
 
 /// Estimated service, in generated tokens.
--- a/crates/relay/src/front/listener.rs
+++ b/crates/relay/src/front/listener.rs
@@ -18,13 +18,13 @@
 const MAX_CONNECTIONS: usize = 2_500;
 /// Time in which the first request of a new connection is read, also when connections are being
 /// closed: it may have been sent before the caller could know.
-const FIRST_REQUEST: Duration = Duration::from_millis(500);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a failed accept, for instance when the process is out of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// Smallest buffer that hyper allows.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 /// Read buffer beyond the largest head, for the start of the body.
-const BUFFER_ROOM_BYTES: usize = 4 * 1024;
+const BODY_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Serves callers on one address.
 pub(crate) struct Listener {
@@ -79,7 +79,7 @@
             let front = front.clone();
             async move { Ok::<_, Infallible>(front.handle(req).await) }
         });
-        let buffer = (limits.max_head + BUFFER_ROOM_BYTES).max(MIN_BUFFER_BYTES);
+        let buffer = (limits.max_head + BODY_BUFFER_BYTES).max(MIN_BUFFER_BYTES);
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             // The timer also runs while a connection is idle, so it has the longer of both bounds.
@@ -89,14 +89,14 @@
         let mut connection = pin!(connection);
         let mut closing = self.closing.subscribe();
         let accepted = Instant::now();
-        let asked = async {
+        let close_requested = async {
             // Fails only when the listener is gone.
             let _ = closing.wait_for(|closing| *closing).await;
-            sleep_until(accepted + FIRST_REQUEST).await;
+            sleep_until(accepted + FIRST_REQUEST_TIMEOUT).await;
         };
         let served = tokio::select! {
             served = connection.as_mut() => served,
-            () = asked => {
+            () = close_requested => {
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
--- a/crates/relay/src/front/memory.rs
+++ b/crates/relay/src/front/memory.rs
@@ -1,4 +1,4 @@
-//! Memory that the bodies of all calls of a front hold together.
+//! Memory that the bodies of all calls of a front reserve together.
 //!
 //! A single body may be large, and a front has thousands of connections, so each body asks for its
 //! share as it arrives. One that finds none left is given up, instead of the whole process.
@@ -13,8 +13,8 @@
     time::{Instant, timeout_at},
 };
 
-/// Bytes that all bodies may hold; the smallest fronts have some 88 MB for everything.
-const MAX_HELD_BYTES: usize = 32 << 20;
+/// Bytes that all bodies may reserve; the smallest fronts have some 88 MB for everything.
+const MAX_RESERVED_BYTES: usize = 32 << 20;
 /// Bytes of one permit.
 const UNIT_BYTES: usize = 1 << 10;
 
@@ -26,13 +26,13 @@
     TooLarge(usize),
     /// The bodies of other calls leave no room for it.
     #[error("no memory is left for the body")]
-    NoRoom,
+    OutOfMemory,
     /// It broke off.
     #[error("the body broke off: {0}")]
-    Broken(hyper::Error),
+    Interrupted(hyper::Error),
     /// It did not arrive in time.
     #[error("the body did not arrive in time")]
-    Late,
+    Timeout,
 }
 
 /// The memory of a front for bodies.
@@ -42,12 +42,12 @@
 
 impl Default for BodyMemory {
     fn default() -> Self {
-        Self { units: Arc::new(Semaphore::new(MAX_HELD_BYTES / UNIT_BYTES)) }
+        Self { units: Arc::new(Semaphore::new(MAX_RESERVED_BYTES / UNIT_BYTES)) }
     }
 }
 
 /// Memory of one body, given back when dropped.
-pub(crate) struct Held {
+pub(crate) struct MemoryReservation {
     units: Arc<Semaphore>,
     permit: Option<OwnedSemaphorePermit>,
     bytes: usize,
@@ -55,8 +55,8 @@
 
 impl BodyMemory {
     /// A body that holds nothing yet.
-    pub(crate) fn hold(&self) -> Held {
-        Held { units: self.units.clone(), permit: None, bytes: 0 }
+    pub(crate) fn reserve(&self) -> MemoryReservation {
+        MemoryReservation { units: self.units.clone(), permit: None, bytes: 0 }
     }
 
     /// Reads a body whole.
@@ -65,22 +65,22 @@
         mut body: Incoming,
         max: usize,
         until: Instant,
-    ) -> Result<(Bytes, Held), ReadError> {
-        let mut held = self.hold();
+    ) -> Result<(Bytes, MemoryReservation), ReadError> {
+        let mut reservation = self.reserve();
         // Most bodies arrive in one piece, which is not copied then.
         let mut first: Option<Bytes> = None;
         let mut rest = BytesMut::new();
         loop {
             let frame = match timeout_at(until, body.frame()).await {
-                Err(_) => return Err(ReadError::Late),
+                Err(_) => return Err(ReadError::Timeout),
                 Ok(None) => break,
-                Ok(Some(frame)) => frame.map_err(ReadError::Broken)?,
+                Ok(Some(frame)) => frame.map_err(ReadError::Interrupted)?,
             };
             let Ok(data) = frame.into_data() else { continue };
-            if data.len() > max - held.bytes {
+            if data.len() > max - reservation.bytes {
                 return Err(ReadError::TooLarge(max));
             }
-            held.resize(held.bytes + data.len())?;
+            reservation.resize(reservation.bytes + data.len())?;
             match &first {
                 None => first = Some(data),
                 Some(start) => {
@@ -92,27 +92,27 @@
             }
         }
         let whole = if rest.is_empty() { first.unwrap_or_default() } else { rest.freeze() };
-        Ok((whole, held))
+        Ok((whole, reservation))
     }
 }
 
-impl Held {
+impl MemoryReservation {
     /// Holds so many bytes from now on.
     pub(crate) fn resize(&mut self, bytes: usize) -> Result<(), ReadError> {
         let (old, new) = (self.bytes.div_ceil(UNIT_BYTES), bytes.div_ceil(UNIT_BYTES));
         if new > old {
-            let more = u32::try_from(new - old).map_err(|_| ReadError::NoRoom)?;
+            let more = u32::try_from(new - old).map_err(|_| ReadError::OutOfMemory)?;
             let permit = self.units.clone().try_acquire_many_owned(more);
             let permit = permit.map_err(|_| {
                 metrics::counter!("poplarspan_relay_bodies_without_room_total").increment(1);
-                ReadError::NoRoom
+                ReadError::OutOfMemory
             })?;
             match &mut self.permit {
-                Some(held) => held.merge(permit),
+                Some(reservation) => reservation.merge(permit),
                 None => self.permit = Some(permit),
             }
-        } else if let Some(held) = &mut self.permit {
-            drop(held.split(old - new));
+        } else if let Some(reservation) = &mut self.permit {
+            drop(reservation.split(old - new));
         }
         self.bytes = bytes;
         Ok(())
--- a/crates/relay/src/front/mod.rs
+++ b/crates/relay/src/front/mod.rs
@@ -1,6 +1,6 @@
 //! A front: serves callers.
 //!
-//! A call goes one way: it is decoded ([`crate::Dialect`]), admitted ([`handler`]: route, key, rate,
+//! A call goes one way: it is decoded ([`crate::Protocol`]), admitted ([`handler`]: route, key, rate,
 //! budget), placed ([`schedule`]), sent ([`attempt`]), and its answer is handed on whole
 //! ([`handler`]) or as it arrives ([`stream`]).
 
@@ -30,10 +30,10 @@
 use poplarspan_proto::peer;
 
 use crate::{
-    Dialect,
-    fleet::{Fleet, Report},
+    Protocol,
+    fleet_client::{FleetClient, HeartbeatReport},
 };
-use endpoints::Chosen;
+use endpoints::ChosenEndpoint;
 use memory::BodyMemory;
 use programs::Programs;
 use quarantine::Quarantine;
@@ -50,8 +50,8 @@
 
 /// What the calls of a front share.
 pub(crate) struct Front {
-    pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) fleet: Arc<Fleet>,
+    pub(crate) protocol: Arc<dyn Protocol>,
+    pub(crate) fleet: Arc<FleetClient>,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) schedule: Arc<Schedule>,
     pub(crate) rates: Arc<Rates>,
@@ -63,18 +63,18 @@
 
 impl Front {
     /// Connections to endpoints.
-    pub(crate) fn pool(dialect: &dyn Dialect) -> Arc<Pool> {
+    pub(crate) fn pool(protocol: &dyn Protocol) -> Arc<Pool> {
         Pool::new(PoolConfig {
             connect_timeout: CONNECT_TIMEOUT,
             max_idle: MAX_IDLE,
             unacknowledged: UNACKNOWLEDGED,
-            ..PoolConfig::new(dialect.id_header())
+            ..PoolConfig::new(protocol.request_id_header())
         })
     }
 
     /// Whether a call may still be sent to an endpoint that was chosen for it; asked right before its
     /// first byte leaves.
-    pub(crate) fn may_send(&self, chosen: &Chosen) -> bool {
+    pub(crate) fn may_send(&self, chosen: &ChosenEndpoint) -> bool {
         self.fleet.lease_left().is_some() && self.schedule.may_receive(chosen)
     }
 
@@ -107,13 +107,13 @@
     }
 }
 
-impl Report for Front {
+impl HeartbeatReport for Front {
     fn fill<'a>(&'a self, beat: &'a mut peer::Beat) -> BoxFuture<'a, ()> {
         beat.demand = self.rates.demand();
         Box::pin(std::future::ready(()))
     }
 
-    fn take_shares(&self, shares: &[peer::TeamShare]) {
+    fn apply_shares(&self, shares: &[peer::TeamShare]) {
         self.rates.set_shares(shares);
     }
 }
--- a/crates/relay/src/front/programs.rs
+++ b/crates/relay/src/front/programs.rs
@@ -9,7 +9,7 @@
 //! turn waits for its commit, because its caller may continue from it at once; what other turns have
 //! used is settled in the background.
 
-mod histories;
+mod history_cache;
 
 use std::{
     net::SocketAddr,
@@ -31,20 +31,20 @@
 };
 
 use super::refusal::Refusal;
-use crate::{fleet::Fleet, groups::group_of};
-use histories::Histories;
+use crate::{fleet_client::FleetClient, groups::group_of};
+use history_cache::HistoryCache;
 
 /// Longest wait for an answer of one store before another is asked.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-const RETRY: Duration = Duration::from_millis(40);
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
 /// A store that has too many calls is left alone for this long.
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(150);
 /// Reservations that may wait to be settled; more stay reserved.
 const MAX_UNSETTLED: usize = 4_096;
 /// Time in which ends are collected into one call.
-const BATCH_TIME: Duration = Duration::from_millis(50);
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_BATCH: usize = 256;
-const COME_BACK: Duration = Duration::from_millis(300);
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 /// A turn, as the stores know it.
 #[derive(Clone, Debug)]
 pub(crate) struct TurnName {
@@ -54,7 +54,7 @@
 }
 
 /// What a turn needs before it may run.
-pub(crate) struct TurnNeeds<'a> {
+pub(crate) struct TurnRequirements<'a> {
     /// Most tokens that it may generate.
     pub(crate) most: u64,
     /// Tokens that all turns of the program may generate; none for no limit.
@@ -67,17 +67,17 @@
 
 /// Access to the stores.
 pub(crate) struct Programs {
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetClient>,
     client: PeerClient,
     clock: Arc<dyn Clock>,
     /// For each group, the store that answered last as the leader.
     leaders: Mutex<Vec<Option<SocketAddr>>>,
-    histories: Mutex<Histories>,
-    ends: mpsc::Sender<Unsettled>,
+    history_cache: Mutex<HistoryCache>,
+    ends: mpsc::Sender<PendingSettlement>,
 }
 
 /// The end of a turn, on its way to the group of its program.
-struct Unsettled {
+struct PendingSettlement {
     group: u32,
     end: peer::TurnEnd,
 }
@@ -85,7 +85,7 @@
 /// Settles what programs have used, in the background.
 pub(crate) struct Settler {
     programs: Arc<Programs>,
-    rx: mpsc::Receiver<Unsettled>,
+    rx: mpsc::Receiver<PendingSettlement>,
 }
 
 /// A turn that has begun. Dropping it settles what it has used.
@@ -97,14 +97,14 @@
     /// Whether tokens are reserved that are not settled.
     is_reserved: bool,
     /// Whether the turn that it continues is kept by another group.
-    is_from_elsewhere: bool,
+    continues_other_group: bool,
     /// Tokens handed to the caller.
     pub(crate) used: u64,
 }
 
 impl Programs {
     pub(crate) fn new(
-        fleet: Arc<Fleet>,
+        fleet: Arc<FleetClient>,
         client: PeerClient,
         clock: Arc<dyn Clock>,
     ) -> (Arc<Self>, Settler) {
@@ -114,7 +114,7 @@
             client,
             clock,
             leaders: Mutex::default(),
-            histories: Mutex::default(),
+            history_cache: Mutex::default(),
             ends,
         });
         (programs.clone(), Settler { programs, rx })
@@ -124,7 +124,7 @@
     pub(crate) async fn begin(
         self: &Arc<Self>,
         name: &TurnName,
-        needs: TurnNeeds<'_>,
+        needs: TurnRequirements<'_>,
     ) -> Result<(OpenTurn, Bytes), Refusal> {
         let groups = self.groups(needs.deadline).await?;
         // Made first, so that a caller who leaves while the reservation is under way has it settled.
@@ -133,10 +133,11 @@
             programs: self.clone(),
             group: group_of(&name.team, &name.program, groups),
             is_reserved: needs.budget.is_some(),
-            is_from_elsewhere: false,
+            continues_other_group: false,
             used: 0,
         };
-        let known = needs.previous.and_then(|p| self.histories().get(open.group, &name.team, p));
+        let known =
+            needs.previous.and_then(|p| self.history_cache().get(open.group, &name.team, p));
         let unread = needs.previous.filter(|_| known.is_none());
         if needs.budget.is_none() && unread.is_none() {
             return Ok((open, known.unwrap_or_default()));
@@ -153,12 +154,13 @@
         };
         let mut begun = self.begin_at(&begin, needs.deadline).await?;
         if begun.verdict() == TurnVerdict::UnknownTurn {
-            let Some(history) = self.find_elsewhere(&begin, groups, needs.deadline).await? else {
+            let Some(history) = self.find_in_other_groups(&begin, groups, needs.deadline).await?
+            else {
                 open.is_reserved = false;
                 let message = "the team has no such turn";
                 return Err(Refusal::new(StatusCode::NOT_FOUND, "unknown_turn", message));
             };
-            open.is_from_elsewhere = true;
+            open.continues_other_group = true;
             begin.previous = None;
             begun = self.begin_at(&begin, needs.deadline).await?;
             begun.history = history;
@@ -171,7 +173,7 @@
                 Err(Refusal::new(StatusCode::PAYMENT_REQUIRED, "budget_spent", message))
             }
             TurnVerdict::UnknownTurn | TurnVerdict::Unspecified => {
-                Err(stores_away("the stores gave no verdict"))
+                Err(stores_unavailable("the stores gave no verdict"))
             }
         }
     }
@@ -186,7 +188,7 @@
             }
             // Fails only at the end of the process.
             if !matches!(timeout_at(deadline, changes.changed()).await, Ok(Ok(()))) {
-                return Err(stores_away("the stores have not formed groups yet"));
+                return Err(stores_unavailable("the stores have not formed groups yet"));
             }
         }
     }
@@ -199,13 +201,13 @@
         let body = || request::Body::TurnBegin(begin.clone());
         match self.call(begin.group, body, deadline).await {
             Some(response::Body::TurnBegun(begun)) => Ok(begun),
-            _ => Err(stores_away("the stores do not answer")),
+            _ => Err(stores_unavailable("the stores do not answer")),
         }
     }
 
     /// Looks for the turn that `begin` continues in the groups that it does not belong to. Returns
     /// none if all of them say that there is no such turn.
-    async fn find_elsewhere(
+    async fn find_in_other_groups(
         &self,
         begin: &peer::TurnBegin,
         groups: u32,
@@ -215,24 +217,24 @@
             let read = peer::TurnBegin { group, budget: None, least: 0, ..begin.clone() };
             self.begin_at(&read, deadline).await
         };
-        let mut is_unsure = None;
+        let mut unanswered = None;
         for answer in join_all((0..groups).filter(|g| *g != begin.group).map(ask)).await {
             match answer {
                 Ok(begun) if begun.verdict() == TurnVerdict::Granted => {
                     return Ok(Some(begun.history));
                 }
                 Ok(_) => {}
-                Err(refusal) => is_unsure = Some(refusal),
+                Err(refusal) => unanswered = Some(refusal),
             }
         }
-        is_unsure.map_or(Ok(None), Err)
+        unanswered.map_or(Ok(None), Err)
     }
 
-    fn histories(&self) -> MutexGuard<'_, Histories> {
-        self.histories.lock().expect("no panic while locked")
+    fn history_cache(&self) -> MutexGuard<'_, HistoryCache> {
+        self.history_cache.lock().expect("no panic while locked")
     }
 
-    fn settle(&self, end: Unsettled) {
+    fn settle(&self, end: PendingSettlement) {
         if let Err(e) = self.ends.try_send(end) {
             let program = e.into_inner().end.program;
             log::warn!(program = program.as_str(); "too much waits to be settled; tokens stay reserved");
@@ -247,10 +249,10 @@
         body: impl Fn() -> request::Body,
         deadline: Instant,
     ) -> Option<response::Body> {
-        let mut turn = 0;
+        let mut attempt = 0;
         while Instant::now() < deadline {
-            let Some(address) = self.candidate(group, turn) else {
-                sleep(RETRY).await;
+            let Some(address) = self.candidate(group, attempt) else {
+                sleep(RETRY_PAUSE).await;
                 continue;
             };
             let call = self.client.call(address, body(), CALL_TIMEOUT);
@@ -260,14 +262,14 @@
                     return Some(answer);
                 }
                 Ok(Err(CallError::Failed(failure))) => {
-                    turn += usize::from(self.note_failure(group, address, &failure));
+                    attempt += usize::from(self.note_failure(group, address, &failure));
                     let is_busy = failure.code() == FailureCode::Unavailable;
-                    sleep(if is_busy { OVERLOAD_PAUSE } else { RETRY }).await;
+                    sleep(if is_busy { OVERLOAD_PAUSE } else { RETRY_PAUSE }).await;
                 }
                 Ok(Err(_)) => {
                     self.set_leader(group, None);
-                    turn += 1;
-                    sleep(RETRY).await;
+                    attempt += 1;
+                    sleep(RETRY_PAUSE).await;
                 }
                 Err(_) => break,
             }
@@ -295,14 +297,14 @@
         leaders[at] = leader;
     }
 
-    /// The store that is asked in the attempt `turn` for the leader of a group.
-    fn candidate(&self, group: u32, turn: usize) -> Option<SocketAddr> {
+    /// The store that is asked in the attempt `attempt` for the leader of a group.
+    fn candidate(&self, group: u32, attempt: usize) -> Option<SocketAddr> {
         let leaders = self.leaders.lock().expect("no panic while locked");
         let known = leaders.get(group as usize).copied().flatten();
         let view = self.fleet.view();
         let told = || view.group_leaders.get(group as usize).copied().flatten();
-        let any = || view.stores.get(turn % view.stores.len().max(1)).copied();
-        known.or_else(|| told().filter(|_| turn == 0)).or_else(any)
+        let any = || view.stores.get(attempt % view.stores.len().max(1)).copied();
+        known.or_else(|| told().filter(|_| attempt == 0)).or_else(any)
     }
 }
 
@@ -317,7 +319,7 @@
 }
 
 impl OpenTurn {
-    fn end(&self) -> Unsettled {
+    fn end(&self) -> PendingSettlement {
         let end = peer::TurnEnd {
             team: self.name.team.to_string(),
             program: self.name.program.to_string(),
@@ -325,7 +327,7 @@
             used: self.used,
             kept: None,
         };
-        Unsettled { group: self.group, end }
+        PendingSettlement { group: self.group, end }
     }
 
     /// Keeps the turn; returns once it is durable.
@@ -333,9 +335,9 @@
     /// Fails when the stores do not answer in time; the turn may be kept all the same.
     pub(crate) async fn keep(&mut self, kept: KeptTurn, deadline: Instant) -> Result<(), Refusal> {
         let name = self.name.clone();
-        let Unsettled { group, mut end } = self.end();
+        let PendingSettlement { group, mut end } = self.end();
         // The group does not hold the turns before, so this one is kept with all of them.
-        let (previous, input) = if self.is_from_elsewhere {
+        let (previous, input) = if self.continues_other_group {
             (None, concat(&[&kept.history, &kept.input]))
         } else {
             (kept.previous.map(|p| p.to_string()), kept.input.clone())
@@ -353,7 +355,7 @@
                 self.is_reserved = false;
                 let whole = concat(&[&kept.history, &kept.input, &kept.output]);
                 let now = self.programs.clock.now();
-                self.programs.histories().put(group, &name.team, &name.turn, whole, now);
+                self.programs.history_cache().put(group, &name.team, &name.turn, whole, now);
                 Ok(())
             }
             _ => {
@@ -380,12 +382,12 @@
         let mut waiting: Vec<(u32, Vec<peer::TurnEnd>)> = Vec::new();
         let mut busy: Vec<u32> = Vec::new();
         let mut calls = FuturesUnordered::new();
-        let mut batches = interval(BATCH_TIME);
+        let mut batches = interval(BATCH_INTERVAL);
         batches.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 end = self.rx.recv(), if count(&waiting) < MAX_UNSETTLED => {
-                    let Some(Unsettled { group, end }) = end else { return Ok(()) };
+                    let Some(PendingSettlement { group, end }) = end else { return Ok(()) };
                     match waiting.binary_search_by_key(&group, |(g, _)| *g) {
                         Ok(at) => waiting[at].1.push(end),
                         Err(at) => waiting.insert(at, (group, vec![end])),
@@ -426,6 +428,6 @@
     whole.freeze()
 }
 
-fn stores_away(message: &'static str) -> Refusal {
-    Refusal::not_now("stores_away", message, COME_BACK)
+fn stores_unavailable(message: &'static str) -> Refusal {
+    Refusal::retry_later("stores_away", message, RETRY_AFTER)
 }
--- a/crates/relay/src/front/programs/histories.rs
+++ b/crates/relay/src/front/programs/history_cache.rs
@@ -1,4 +1,4 @@
-//! Histories of turns that this front has kept, so that the next turn of the same line needs no
+//! HistoryCache of turns that this front has kept, so that the next turn of the same line needs no
 //! store.
 
 use std::{collections::VecDeque, time::Duration};
@@ -11,9 +11,9 @@
 /// A line that has gone on for this long without the front has probably gone elsewhere.
 const MAX_AGE: Duration = Duration::from_secs(20);
 
-/// Histories, the oldest first.
+/// HistoryCache, the oldest first.
 #[derive(Default)]
-pub(super) struct Histories {
+pub(super) struct HistoryCache {
     entries: VecDeque<Entry>,
     bytes: usize,
 }
@@ -27,7 +27,7 @@
     at: Duration,
 }
 
-impl Histories {
+impl HistoryCache {
     /// Inputs and outputs up to and with a turn that was kept here, by a group.
     pub(super) fn get(&self, group: u32, team: &Name, turn: &Name) -> Option<Bytes> {
         // Lines mostly continue from their last turn.
--- a/crates/relay/src/front/quarantine.rs
+++ b/crates/relay/src/front/quarantine.rs
@@ -30,34 +30,34 @@
     time::{Instant, sleep},
 };
 
-use super::{answered::Answered, attempt::Call, endpoints::Chosen};
-use crate::{board::write_fingerprint, fleet::Fleet};
+use super::{answered::AnsweredRequests, attempt::Call, endpoints::ChosenEndpoint};
+use crate::{control_state::write_fingerprint, fleet_client::FleetClient};
 
-/// A look that finds that an endpoint has ended serves all calls that are lost there within this time.
-const LOOK_VALID: Duration = Duration::from_secs(1);
+/// A probe that finds that an endpoint has ended serves all calls that are lost there within this time.
+const PROBE_TTL: Duration = Duration::from_secs(1);
 /// Looks at an endpoint after a trial, and the time between two. It has ended if it accepts no
 /// connection in any of them.
-const TRIAL_LOOKS: u32 = 3;
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const TRIAL_PROBES: u32 = 3;
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// Events of calls that are lost together go to the leader together.
-const GATHERING: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 const RULING_TIMEOUT: Duration = Duration::from_millis(300);
-const RETRY: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// Events that no leader has taken for this long are dropped; longer than an election takes.
 const DROP_AFTER: Duration = Duration::from_secs(2);
 /// Events that wait; further ones are dropped.
-const MAX_WAITING: usize = 4_096;
+const MAX_PENDING: usize = 4_096;
 
 /// Whether a call may be sent to an endpoint.
-pub(crate) enum Entry {
+pub(crate) enum Admission {
     Free,
     OnTrial(Trial),
     /// Another suspect runs at the endpoint.
     EndpointTaken,
     /// The endpoint accepts no connection.
-    EndpointAway,
+    EndpointUnreachable,
     /// The request runs elsewhere, or no leader answers.
-    NotNow,
+    Busy,
     Refused,
 }
 
@@ -75,12 +75,12 @@
     }
 }
 
-struct Waiting {
+struct PendingEvent {
     event: SuspectEvent,
     since: Instant,
 }
 
-struct Look {
+struct Probe {
     address: SocketAddr,
     at: Instant,
     is_accepting: Shared<BoxFuture<'static, bool>>,
@@ -88,79 +88,88 @@
 
 /// Quarantine as a front sees it.
 pub(crate) struct Quarantine {
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetClient>,
     client: PeerClient,
     pool: Arc<Pool>,
-    waiting: Mutex<Vec<Waiting>>,
-    is_waiting: Notify,
-    looks: Mutex<Vec<Look>>,
-    answered: Mutex<Answered>,
+    pending: Mutex<Vec<PendingEvent>>,
+    event_added: Notify,
+    probes: Mutex<Vec<Probe>>,
+    answered: Mutex<AnsweredRequests>,
 }
 
 impl Quarantine {
-    pub(crate) fn new(fleet: Arc<Fleet>, client: PeerClient, pool: Arc<Pool>) -> Arc<Self> {
+    pub(crate) fn new(fleet: Arc<FleetClient>, client: PeerClient, pool: Arc<Pool>) -> Arc<Self> {
         Arc::new(Self {
             fleet,
             client,
             pool,
-            waiting: Mutex::default(),
-            is_waiting: Notify::new(),
-            looks: Mutex::default(),
+            pending: Mutex::default(),
+            event_added: Notify::new(),
+            probes: Mutex::default(),
             answered: Mutex::default(),
         })
     }
 
     /// Whether the request of a call is refused.
     pub(crate) fn is_refused(&self, call: &Call) -> bool {
-        let list = &self.fleet.view().quarantined.refused;
+        let list = &self.fleet.view().quarantine_list.refused;
         !list.is_empty() && list.binary_search(&call.fingerprint()).is_ok()
     }
 
     fn is_suspect(&self, call: &Call) -> bool {
-        let list = &self.fleet.view().quarantined.suspects;
+        let list = &self.fleet.view().quarantine_list.suspects;
         !list.is_empty() && list.binary_search(&call.fingerprint()).is_ok()
     }
 
     /// Asks whether a call may be sent to an endpoint.
-    pub(crate) async fn enter(self: &Arc<Self>, call: &Call, endpoint: &Chosen) -> Entry {
+    pub(crate) async fn admit(
+        self: &Arc<Self>,
+        call: &Call,
+        endpoint: &ChosenEndpoint,
+    ) -> Admission {
         if self.is_refused(call) {
-            return Entry::Refused;
+            return Admission::Refused;
         }
         if !self.is_suspect(call) {
-            return Entry::Free;
+            return Admission::Free;
         }
         let request = call.fingerprint();
         let run_ms = u64::try_from(call.time_left().as_millis()).unwrap_or(u64::MAX);
         let begin = event(SuspectEventKind::Begin, request, &endpoint.name);
-        let rulings = self.tell(vec![SuspectEvent { run_ms, ..begin }]).await;
+        let rulings = self.send_events(vec![SuspectEvent { run_ms, ..begin }]).await;
         match rulings.as_deref().and_then(|rulings| rulings.first()) {
-            Some(SuspectRuling::Free) => Entry::Free,
+            Some(SuspectRuling::Free) => Admission::Free,
             Some(SuspectRuling::OnTrial) => {
                 let (quarantine, name) = (self.clone(), endpoint.name.clone());
                 let trial = Trial { quarantine, request, endpoint: name };
                 // An endpoint that has ended before says nothing of this run.
                 match self.pool.is_accepting(endpoint.address).await {
-                    true => Entry::OnTrial(trial),
-                    false => Entry::EndpointAway,
+                    true => Admission::OnTrial(trial),
+                    false => Admission::EndpointUnreachable,
                 }
             }
-            Some(SuspectRuling::EndpointTaken) => Entry::EndpointTaken,
-            Some(SuspectRuling::Refused) => Entry::Refused,
-            Some(SuspectRuling::Busy | SuspectRuling::Unspecified) | None => Entry::NotNow,
+            Some(SuspectRuling::EndpointTaken) => Admission::EndpointTaken,
+            Some(SuspectRuling::Refused) => Admission::Refused,
+            Some(SuspectRuling::Busy | SuspectRuling::Unspecified) | None => Admission::Busy,
         }
     }
 
     /// Takes note that an endpoint has given no whole answer to a call, and finds out meanwhile
     /// whether it has ended.
-    pub(crate) fn lost(self: &Arc<Self>, call: &Call, endpoint: &Chosen, trial: Option<Trial>) {
+    pub(crate) fn note_incomplete(
+        self: &Arc<Self>,
+        call: &Call,
+        endpoint: &ChosenEndpoint,
+        trial: Option<Trial>,
+    ) {
         let (this, request, endpoint) = (self.clone(), call.fingerprint(), endpoint.clone());
         if self.answered_requests().contains(request, Instant::now()) {
             return;
         }
         tokio::spawn(async move {
             let has_ended = match &trial {
-                Some(_) => this.has_ended_for_good(&endpoint).await,
-                None => !this.look(endpoint.address).await,
+                Some(_) => this.stays_unreachable(&endpoint).await,
+                None => !this.probe(endpoint.address).await,
             };
             if has_ended {
                 this.push(event(SuspectEventKind::EndpointEnded, request, &endpoint.name));
@@ -178,73 +187,73 @@
         }
     }
 
-    fn answered_requests(&self) -> MutexGuard<'_, Answered> {
+    fn answered_requests(&self) -> MutexGuard<'_, AnsweredRequests> {
         self.answered.lock().expect("no panic while locked")
     }
 
     /// Whether an endpoint accepts no connection, and goes on so for a while.
-    async fn has_ended_for_good(&self, endpoint: &Chosen) -> bool {
-        for _ in 0..TRIAL_LOOKS {
+    async fn stays_unreachable(&self, endpoint: &ChosenEndpoint) -> bool {
+        for _ in 0..TRIAL_PROBES {
             if self.pool.is_accepting(endpoint.address).await {
                 return false;
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(PROBE_INTERVAL).await;
         }
         true
     }
 
-    /// Whether an endpoint accepts connections. Calls that are lost together share a look.
-    fn look(&self, address: SocketAddr) -> Shared<BoxFuture<'static, bool>> {
+    /// Whether an endpoint accepts connections. Calls that are lost together share a probe.
+    fn probe(&self, address: SocketAddr) -> Shared<BoxFuture<'static, bool>> {
         let now = Instant::now();
-        let mut looks = self.looks.lock().expect("no panic while locked");
+        let mut probes = self.probes.lock().expect("no panic while locked");
         // One that has found an endpoint up says nothing of what came after it.
-        looks.retain(|l| now < l.at + LOOK_VALID && l.is_accepting.peek() != Some(&true));
-        if let Some(look) = looks.iter().find(|look| look.address == address) {
-            return look.is_accepting.clone();
+        probes.retain(|l| now < l.at + PROBE_TTL && l.is_accepting.peek() != Some(&true));
+        if let Some(probe) = probes.iter().find(|probe| probe.address == address) {
+            return probe.is_accepting.clone();
         }
         let pool = self.pool.clone();
         let is_accepting = async move { pool.is_accepting(address).await }.boxed().shared();
-        looks.push(Look { address, at: now, is_accepting: is_accepting.clone() });
+        probes.push(Probe { address, at: now, is_accepting: is_accepting.clone() });
         is_accepting
     }
 
-    fn waiting(&self) -> MutexGuard<'_, Vec<Waiting>> {
-        self.waiting.lock().expect("no panic while locked")
+    fn pending(&self) -> MutexGuard<'_, Vec<PendingEvent>> {
+        self.pending.lock().expect("no panic while locked")
     }
 
     fn push(&self, event: SuspectEvent) {
-        let mut waiting = self.waiting();
-        if waiting.len() >= MAX_WAITING {
+        let mut pending = self.pending();
+        if pending.len() >= MAX_PENDING {
             log::warn!("too many events of suspects wait; one is dropped");
             return;
         }
-        waiting.push(Waiting { event, since: Instant::now() });
-        drop(waiting);
-        self.is_waiting.notify_one();
+        pending.push(PendingEvent { event, since: Instant::now() });
+        drop(pending);
+        self.event_added.notify_one();
     }
 
     /// Passes events on to the leader, until the task is ended.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         loop {
-            if self.waiting().is_empty() {
-                self.is_waiting.notified().await;
-                sleep(GATHERING).await;
+            if self.pending().is_empty() {
+                self.event_added.notified().await;
+                sleep(BATCH_DELAY).await;
             }
-            let events: Vec<_> = self.waiting().iter().map(|w| w.event.clone()).collect();
+            let events: Vec<_> = self.pending().iter().map(|w| w.event.clone()).collect();
             let count = events.len();
             if count == 0 {
                 continue;
             }
-            if self.tell(events).await.is_some() {
+            if self.send_events(events).await.is_some() {
                 // Events are only added at the end meanwhile.
-                self.waiting().drain(..count);
+                self.pending().drain(..count);
                 continue;
             }
-            sleep(RETRY).await;
-            let mut waiting = self.waiting();
-            let before = waiting.len();
-            waiting.retain(|w| w.since.elapsed() < DROP_AFTER);
-            let dropped = before - waiting.len();
+            sleep(RETRY_PAUSE).await;
+            let mut pending = self.pending();
+            let before = pending.len();
+            pending.retain(|w| w.since.elapsed() < DROP_AFTER);
+            let dropped = before - pending.len();
             if dropped > 0 {
                 log::warn!(dropped; "no leader takes the events of suspects; the oldest are dropped");
             }
@@ -252,7 +261,7 @@
     }
 
     /// Tells the leader of events. None when it does not answer.
-    async fn tell(&self, events: Vec<SuspectEvent>) -> Option<Vec<SuspectRuling>> {
+    async fn send_events(&self, events: Vec<SuspectEvent>) -> Option<Vec<SuspectRuling>> {
         let leader = self.fleet.leader()?;
         let body = request::Body::Suspects(peer::SuspectEvents { events });
         match self.client.call(leader, body, RULING_TIMEOUT).await {
--- a/crates/relay/src/front/rates.rs
+++ b/crates/relay/src/front/rates.rs
@@ -20,41 +20,41 @@
 use tokio::time::{Instant, sleep};
 
 use super::refusal::Refusal;
-use crate::{Settings, Team, fleet::Fleet};
+use crate::{Settings, Team, fleet_client::FleetClient};
 
 const BORROW_TIMEOUT: Duration = Duration::from_millis(300);
 /// A call without a program waits this long for a token rather than being refused.
-const PATIENCE: Duration = Duration::from_millis(60);
+const TOKEN_WAIT: Duration = Duration::from_millis(60);
 /// A call of a program under way waits for a token for this part of its time.
-const PROGRAM_PATIENCE: f64 = 0.5;
+const PROGRAM_WAIT_FRACTION: f64 = 0.5;
 /// For how long a call waits for a leader that knows what is left of the rate: an election and a
 /// beat, as long as the caller has the time.
-const LEADER_PATIENCE: Duration = Duration::from_millis(1_500);
-const RETRY: Duration = Duration::from_millis(60);
+const LEADER_WAIT: Duration = Duration::from_millis(1_500);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// A program without calls for this long is not under way any more.
 const PROGRAM_IDLE: Duration = Duration::from_millis(1_500);
 /// A program that was admitted is known for this long after its last call.
-const PROGRAM_KNOWN: Duration = Duration::from_secs(20);
+const PROGRAM_TTL: Duration = Duration::from_secs(20);
 /// A program that came here first is in the beats for this long, so that lost ones do not matter.
-const REPORTED_FOR: Duration = Duration::from_secs(1);
+const REPORT_TIME: Duration = Duration::from_secs(1);
 const MAX_PROGRAMS: usize = 4_096;
 /// When a call that was refused for want of a leader may come back.
-const COME_BACK: Duration = Duration::from_millis(300);
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Demand below which a team is forgotten, in calls a second.
-const FORGET_BELOW: f64 = 0.01;
+const MIN_DEMAND_PER_SECOND: f64 = 0.01;
 
 struct TeamState {
     name: Name,
     bucket: Bucket,
     demand: Demand,
     /// Whether the leader decides which programs begin.
-    is_crowded: bool,
-    /// Admitted programs, sorted by name.
-    programs: Vec<Admitted>,
+    is_near_limit: bool,
+    /// AdmittedProgram programs, sorted by name.
+    programs: Vec<AdmittedProgram>,
 }
 
 /// A program that was admitted here.
-struct Admitted {
+struct AdmittedProgram {
     program: Name,
     first: Duration,
     last: Duration,
@@ -76,7 +76,7 @@
             name: name.clone(),
             bucket: Bucket::new(Share::default(), now),
             demand: Demand::default(),
-            is_crowded: false,
+            is_near_limit: false,
             programs: Vec::new(),
         }
     }
@@ -90,7 +90,7 @@
                     self.programs.retain(|p| now < p.last + PROGRAM_IDLE);
                     return;
                 }
-                let admitted = Admitted { program: program.clone(), first: now, last: now };
+                let admitted = AdmittedProgram { program: program.clone(), first: now, last: now };
                 self.programs.insert(at, admitted);
             }
         }
@@ -100,13 +100,13 @@
         self.programs.binary_search_by(|p| p.program.cmp(program)).is_ok()
     }
 
-    fn under_way(&self, now: Duration) -> u32 {
+    fn active_programs(&self, now: Duration) -> u32 {
         self.programs.iter().filter(|p| now < p.last + PROGRAM_IDLE).count() as u32
     }
 
     /// Digests of the programs that came here first a short while ago.
-    fn begun(&self, now: Duration) -> Vec<u64> {
-        let recent = self.programs.iter().filter(|p| now < p.first + REPORTED_FOR);
+    fn recent_programs(&self, now: Duration) -> Vec<u64> {
+        let recent = self.programs.iter().filter(|p| now < p.first + REPORT_TIME);
         recent.map(|p| digest(&p.program)).collect()
     }
 }
@@ -114,7 +114,7 @@
 /// The front's shares.
 pub(crate) struct Rates {
     settings: Arc<Settings>,
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetClient>,
     client: PeerClient,
     clock: Arc<dyn Clock>,
     // Sorted by team.
@@ -124,7 +124,7 @@
 impl Rates {
     pub(crate) fn new(
         settings: Arc<Settings>,
-        fleet: Arc<Fleet>,
+        fleet: Arc<FleetClient>,
         client: PeerClient,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
@@ -141,8 +141,9 @@
         if team.limit.is_none() {
             return Ok(Token::Free);
         }
-        let begun = program.filter(|program| self.begins_crowded(&team.name, program));
-        if let Some(program) = begun {
+        let new_program =
+            program.filter(|program| self.needs_leader_admission(&team.name, program));
+        if let Some(program) = new_program {
             self.begin(&team.name, program, deadline).await?;
         }
         if self.take(&team.name, program).is_ok() {
@@ -150,8 +151,8 @@
         }
         let left = deadline.saturating_duration_since(Instant::now());
         let patience = match program {
-            Some(_) => left.mul_f64(PROGRAM_PATIENCE),
-            None => PATIENCE,
+            Some(_) => left.mul_f64(PROGRAM_WAIT_FRACTION),
+            None => TOKEN_WAIT,
         };
         self.borrow(&team.name, program, patience, deadline).await?;
         Ok(Token::Borrowed(team.name.clone()))
@@ -173,21 +174,23 @@
             Token::Borrowed(name) => {
                 let rates = self.clone();
                 // A token that does not arrive is lost to the team for as long as it takes to refill.
-                tokio::spawn(async move { rates.ask_once(&name, None, Ask::Return).await });
+                tokio::spawn(async move {
+                    rates.ask_leader_once(&name, None, BorrowKind::Return).await
+                });
             }
         }
     }
 
     /// Whether the call begins a program while its team is near its rate.
-    fn begins_crowded(&self, team: &Name, program: &Name) -> bool {
+    fn needs_leader_admission(&self, team: &Name, program: &Name) -> bool {
         let teams = self.teams.lock().expect("no panic while locked");
         let Ok(at) = teams.binary_search_by(|t| t.name.cmp(team)) else { return false };
-        teams[at].is_crowded && !teams[at].knows(program)
+        teams[at].is_near_limit && !teams[at].knows(program)
     }
 
     /// Asks the leader whether a program may begin.
     async fn begin(&self, team: &Name, program: &Name, deadline: Instant) -> Result<(), Refusal> {
-        match self.ask(team, Some(program), Ask::Begin, deadline).await {
+        match self.ask_leader(team, Some(program), BorrowKind::Begin, deadline).await {
             Some(peer::Borrowed { granted: true, .. }) => Ok(()),
             Some(peer::Borrowed { retry_after_ms, .. }) => {
                 let message = "the programs under way use up the team's rate";
@@ -226,7 +229,7 @@
     ) -> Result<(), Refusal> {
         let until = Instant::now() + patience;
         loop {
-            match self.ask(team, program, Ask::Token, deadline).await {
+            match self.ask_leader(team, program, BorrowKind::Token, deadline).await {
                 Some(peer::Borrowed { granted: true, .. }) => return Ok(()),
                 Some(peer::Borrowed { retry_after_ms, .. }) => {
                     let after = Duration::from_millis(retry_after_ms.max(1));
@@ -241,40 +244,40 @@
     }
 
     /// Asks the leader, whichever it is, until one answers. None when none does.
-    async fn ask(
+    async fn ask_leader(
         &self,
         team: &Name,
         program: Option<&Name>,
-        what: Ask,
+        what: BorrowKind,
         deadline: Instant,
     ) -> Option<peer::Borrowed> {
-        let until = deadline.min(Instant::now() + LEADER_PATIENCE);
+        let until = deadline.min(Instant::now() + LEADER_WAIT);
         loop {
-            if let Some(borrowed) = self.ask_once(team, program, what).await {
+            if let Some(borrowed) = self.ask_leader_once(team, program, what).await {
                 return Some(borrowed);
             }
-            if Instant::now() + RETRY > until {
+            if Instant::now() + RETRY_PAUSE > until {
                 return None;
             }
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
     /// Asks the leader once. None when it does not answer.
-    async fn ask_once(
+    async fn ask_leader_once(
         &self,
         team: &Name,
         program: Option<&Name>,
-        what: Ask,
+        what: BorrowKind,
     ) -> Option<peer::Borrowed> {
         metrics::counter!("poplarspan_relay_borrows_total").increment(1);
         let leader = self.fleet.leader()?;
         let borrow = peer::Borrow {
             instance: self.settings.instance.to_string(),
             team: team.to_string(),
-            begins: what == Ask::Begin,
+            begins: what == BorrowKind::Begin,
             program: program.map_or(0, digest),
-            returns: what == Ask::Return,
+            returns: what == BorrowKind::Return,
         };
         match self.client.call(leader, request::Body::Borrow(borrow), BORROW_TIMEOUT).await {
             Ok(response::Body::Borrowed(borrowed)) => Some(borrowed),
@@ -282,7 +285,7 @@
         }
     }
 
-    /// What teams ask of this front, and the shares in force.
+    /// What teams ask_leader of this front, and the shares in force.
     pub(crate) fn demand(&self) -> Vec<peer::TeamDemand> {
         let now = self.clock.now();
         let mut teams = self.teams.lock().expect("no panic while locked");
@@ -295,11 +298,11 @@
                 per_second: per_second as f32,
                 share_per_second: share.per_second as f32,
                 share_burst: share.burst as f32,
-                programs: team.under_way(now),
-                begun: team.begun(now),
+                programs: team.active_programs(now),
+                begun: team.recent_programs(now),
             });
-            team.programs.retain(|p| now < p.last + PROGRAM_KNOWN);
-            per_second >= FORGET_BELOW || share.per_second > 0.0 || share.burst > 0.0
+            team.programs.retain(|p| now < p.last + PROGRAM_TTL);
+            per_second >= MIN_DEMAND_PER_SECOND || share.per_second > 0.0 || share.burst > 0.0
         });
         demand
     }
@@ -310,7 +313,7 @@
         let mut teams = self.teams.lock().expect("no panic while locked");
         for share in shares {
             if let Ok(at) = teams.binary_search_by(|t| (*t.name).cmp(&share.team)) {
-                teams[at].is_crowded = share.crowded;
+                teams[at].is_near_limit = share.crowded;
                 let share = Share {
                     per_second: f64::from(share.per_second),
                     burst: f64::from(share.burst),
@@ -323,7 +326,7 @@
 
 /// What a front asks the leader for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ask {
+enum BorrowKind {
     /// One token.
     Token,
     /// To take one token back.
@@ -338,11 +341,11 @@
     u64::from_le_bytes(*digest.as_bytes().first_chunk().expect("32 bytes")) | 1
 }
 
-fn over_rate(message: &'static str, come_back: Duration) -> Refusal {
+fn over_rate(message: &'static str, retry_after: Duration) -> Refusal {
     let refusal = Refusal::new(StatusCode::TOO_MANY_REQUESTS, "over_rate", message);
-    Refusal { come_back: Some(come_back), ..refusal }
+    Refusal { retry_after: Some(retry_after), ..refusal }
 }
 
 fn rate_unknown() -> Refusal {
-    Refusal::not_now("rate_unknown", "nobody can tell what is left of the rate", COME_BACK)
+    Refusal::retry_later("rate_unknown", "nobody can tell what is left of the rate", RETRY_AFTER)
 }
--- a/crates/relay/src/front/refusal.rs
+++ b/crates/relay/src/front/refusal.rs
@@ -15,7 +15,7 @@
     pub(crate) code: &'static str,
     pub(crate) message: Cow<'static, str>,
     /// When the caller may come back.
-    pub(crate) come_back: Option<Duration>,
+    pub(crate) retry_after: Option<Duration>,
 }
 
 impl Refusal {
@@ -24,21 +24,21 @@
         code: &'static str,
         message: impl Into<Cow<'static, str>>,
     ) -> Self {
-        Self { status, code, message: message.into(), come_back: None }
+        Self { status, code, message: message.into(), retry_after: None }
     }
 
     /// The call has not run and never will; it may be sent again after a while.
-    pub(crate) fn not_now(
+    pub(crate) fn retry_later(
         code: &'static str,
         message: impl Into<Cow<'static, str>>,
-        come_back: Duration,
+        retry_after: Duration,
     ) -> Self {
-        let come_back = Some(come_back);
-        Self { come_back, ..Self::new(StatusCode::SERVICE_UNAVAILABLE, code, message) }
+        let retry_after = Some(retry_after);
+        Self { retry_after, ..Self::new(StatusCode::SERVICE_UNAVAILABLE, code, message) }
     }
 
     /// Whether it says that the call has not run.
-    pub(crate) fn promises_not_run(&self) -> bool {
+    pub(crate) fn guarantees_not_run(&self) -> bool {
         matches!(
             self.status,
             StatusCode::SERVICE_UNAVAILABLE
