--- a/crates/relay/src/front/schedule.rs
+++ b/crates/relay/src/front/schedule.rs
@@ -23,30 +23,30 @@
     time::{MissedTickBehavior, interval},
 };
 
-use super::endpoints::{Chosen, Endpoints, Outcome};
-use crate::{Load, PromptPart, fleet::Fleet};
+use super::endpoints::{ChosenEndpoint, Endpoints, Outcome};
+use crate::{Load, PromptPart, fleet_client::FleetClient};
 
 const TICK: Duration = Duration::from_millis(100);
 /// Calls that may wait at one front.
 const MAX_WAITING: usize = 2_048;
 /// Weight of a new measurement in the average time that a call holds its place.
-const HELD_GAIN: f64 = 0.05;
+const HOLD_TIME_GAIN: f64 = 0.05;
 /// Time that a call is assumed to hold its place until one has been measured, in seconds.
-const HELD_S: f64 = 0.2;
+const INITIAL_HOLD_TIME_S: f64 = 0.2;
 /// Come back when no endpoint of a service is open.
-const COME_BACK: Duration = Duration::from_millis(400);
+const RETRY_AFTER: Duration = Duration::from_millis(400);
 /// A call waits this long for an endpoint to open before it is refused.
-const OUTAGE_PATIENCE: Duration = Duration::from_millis(500);
+const OUTAGE_WAIT: Duration = Duration::from_millis(500);
 
 /// What the scheduler needs to know of a call.
 #[derive(Clone, Debug)]
-pub(crate) struct Want {
+pub(crate) struct PlacementRequest {
     pub(crate) service: Name,
     /// Empty on open routes.
     pub(crate) team: Name,
     pub(crate) program: Option<Name>,
     /// Line of turns that the call continues.
-    pub(crate) line: Option<Name>,
+    pub(crate) conversation: Option<Name>,
     /// Parts of the prompt, in order.
     pub(crate) parts: Arc<[PromptPart]>,
     /// Blocks of the whole prompt.
@@ -60,25 +60,25 @@
 
 /// Why a call gets no place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoPlace {
+pub(crate) enum PlacementError {
     /// There is no endpoint that may take it.
-    NoneOpen { come_back: Duration },
+    NoEndpoint { retry_after: Duration },
     /// It cannot be served in time.
-    TooLate { come_back: Duration },
+    TooLate { retry_after: Duration },
 }
 
-struct Waiting {
-    want: Arc<Want>,
+struct WaitingCall {
+    want: Arc<PlacementRequest>,
     tried: Vec<Name>,
     since: Duration,
-    tx: oneshot::Sender<Result<Chosen, NoPlace>>,
+    tx: oneshot::Sender<Result<ChosenEndpoint, PlacementError>>,
 }
 
 struct ServiceQueue {
     service: Name,
-    queue: FairQueue<Waiting>,
+    queue: FairQueue<WaitingCall>,
     /// Average time that a call holds its place, in seconds.
-    held_s: f64,
+    hold_time_s: f64,
     /// Calls of this front that hold a place.
     in_flight: usize,
 }
@@ -91,7 +91,7 @@
 
 /// Queues and endpoints of a front.
 pub(crate) struct Schedule {
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetClient>,
     clock: Arc<dyn Clock>,
     state: Mutex<State>,
     this: Weak<Self>,
@@ -99,8 +99,8 @@
 
 /// A place at an endpoint. Dropping it gives the place back.
 pub(crate) struct Slot {
-    pub(crate) endpoint: Chosen,
-    want: Arc<Want>,
+    pub(crate) endpoint: ChosenEndpoint,
+    want: Arc<PlacementRequest>,
     schedule: Arc<Schedule>,
     since: Duration,
     outcome: Outcome,
@@ -116,12 +116,12 @@
     pub(crate) fn report(&self, load: Load) {
         let schedule = &self.schedule;
         let now = schedule.clock.now();
-        schedule.locked().endpoints.report(&self.endpoint.name, load, now);
+        schedule.lock().endpoints.report(&self.endpoint.name, load, now);
     }
 
     /// Takes note that the endpoint has said that it is about to stop.
     pub(crate) fn note_leaving(&self) {
-        self.schedule.locked().endpoints.note_leaving(&self.endpoint.name);
+        self.schedule.lock().endpoints.note_leaving(&self.endpoint.name);
     }
 }
 
@@ -132,9 +132,9 @@
 }
 
 /// Whether the queue may hand out a call, as decided before.
-struct Room;
+struct AlwaysRoom;
 
-impl InFlight for Room {
+impl InFlight for AlwaysRoom {
     fn has_room(&self, _now: Duration) -> bool {
         true
     }
@@ -147,7 +147,7 @@
 impl Schedule {
     pub(crate) fn new(
         zone: Name,
-        fleet: Arc<Fleet>,
+        fleet: Arc<FleetClient>,
         pool: Arc<Pool>,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
@@ -155,7 +155,7 @@
         Arc::new_cyclic(|this| Self { fleet, clock, state: Mutex::new(state), this: this.clone() })
     }
 
-    fn locked(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("no panic while locked")
     }
 
@@ -172,26 +172,26 @@
             let now = self.clock.now();
             let view = self.fleet.view();
             let decided = {
-                let mut state = self.locked();
+                let mut state = self.lock();
                 state.endpoints.observe(&view, now);
                 state.endpoints.tick(now);
-                state.give_up(now);
+                state.refuse_expired(now);
                 state.serve_all(&self.fleet, now)
             };
-            self.tell(decided);
+            self.notify_placed(decided);
         }
     }
 
     /// Waits for a place at an endpoint that is not in `tried`.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
-        want: &Arc<Want>,
+        want: &Arc<PlacementRequest>,
         tried: &[Name],
-    ) -> Result<Slot, NoPlace> {
+    ) -> Result<Slot, PlacementError> {
         let now = self.clock.now();
         let (id, rx) = {
             let view = self.fleet.view();
-            let mut state = self.locked();
+            let mut state = self.lock();
             state.endpoints.observe(&view, now);
             let at = state.queue(&want.service);
             if state.queues[at].queue.is_empty() {
@@ -205,24 +205,24 @@
                     Err(NoRoute::Full) => {}
                     Err(NoRoute::NoneOpen) if tried.is_empty() => {}
                     Err(NoRoute::NoneOpen) => {
-                        return Err(NoPlace::NoneOpen { come_back: COME_BACK });
+                        return Err(PlacementError::NoEndpoint { retry_after: RETRY_AFTER });
                     }
                 }
             }
             state.push(at, want, tried, now)?
         };
-        let mut guard = LeaveOnDrop { schedule: self, service: &want.service, id: Some(id) };
+        let mut guard = DequeueOnDrop { schedule: self, service: &want.service, id: Some(id) };
         let result = rx.await;
         guard.id = None;
         match result {
             Ok(Ok(endpoint)) => Ok(self.slot(endpoint, want)),
             Ok(Err(e)) => Err(e),
             // The queue was dropped, which only happens at the end of the process.
-            Err(_) => Err(NoPlace::NoneOpen { come_back: COME_BACK }),
+            Err(_) => Err(PlacementError::NoEndpoint { retry_after: RETRY_AFTER }),
         }
     }
 
-    fn slot(self: &Arc<Self>, endpoint: Chosen, want: &Arc<Want>) -> Slot {
+    fn slot(self: &Arc<Self>, endpoint: ChosenEndpoint, want: &Arc<PlacementRequest>) -> Slot {
         let (want, schedule) = (want.clone(), self.clone());
         Slot { endpoint, want, since: self.clock.now(), schedule, outcome: Outcome::Abandoned }
     }
@@ -231,24 +231,24 @@
         let now = self.clock.now();
         let held = now.saturating_sub(slot.since);
         let decided = {
-            let mut state = self.locked();
+            let mut state = self.lock();
             state.endpoints.end(&slot.endpoint.name, slot.outcome, held, now);
             let at = state.queue(&slot.want.service);
             let queue = &mut state.queues[at];
             queue.in_flight = queue.in_flight.saturating_sub(1);
             if slot.outcome == Outcome::Answered {
-                queue.held_s += HELD_GAIN * (held.as_secs_f64() - queue.held_s);
+                queue.hold_time_s += HOLD_TIME_GAIN * (held.as_secs_f64() - queue.hold_time_s);
             }
             state.serve(at, &self.fleet, now)
         };
-        self.tell(decided);
+        self.notify_placed(decided);
     }
 
     /// Tells waiting calls of their places. Not under the lock, since a place that nobody takes is
     /// given back, which takes the lock.
-    fn tell(&self, decided: Vec<(Waiting, Chosen)>) {
+    fn notify_placed(&self, decided: Vec<(WaitingCall, ChosenEndpoint)>) {
         for (waiting, endpoint) in decided {
-            let Waiting { want, tx, .. } = waiting;
+            let WaitingCall { want, tx, .. } = waiting;
             if let Err(Ok(endpoint)) = tx.send(Ok(endpoint))
                 && let Some(this) = self.this.upgrade()
             {
@@ -258,16 +258,16 @@
     }
 
     /// Whether an endpoint that was chosen may still be sent a call.
-    pub(crate) fn may_receive(&self, chosen: &Chosen) -> bool {
+    pub(crate) fn may_receive(&self, chosen: &ChosenEndpoint) -> bool {
         let view = self.fleet.view();
-        let mut state = self.locked();
+        let mut state = self.lock();
         state.endpoints.observe(&view, self.clock.now());
         state.endpoints.may_receive(chosen)
     }
 
     /// Calls that wait, for metrics.
     pub(crate) fn waiting(&self) -> usize {
-        self.locked().queues.iter().map(|q| q.queue.len()).sum()
+        self.lock().queues.iter().map(|q| q.queue.len()).sum()
     }
 }
 
@@ -279,7 +279,12 @@
             let queue = FairQueue::new(cfg, Box::new(LasDeadline::default()));
             self.queues.insert(
                 at,
-                ServiceQueue { service: service.clone(), queue, held_s: HELD_S, in_flight: 0 },
+                ServiceQueue {
+                    service: service.clone(),
+                    queue,
+                    hold_time_s: INITIAL_HOLD_TIME_S,
+                    in_flight: 0,
+                },
             );
             at
         })
@@ -289,15 +294,16 @@
     fn push(
         &mut self,
         at: usize,
-        want: &Arc<Want>,
+        want: &Arc<PlacementRequest>,
         tried: &[Name],
         now: Duration,
-    ) -> Result<(QueueId, oneshot::Receiver<Result<Chosen, NoPlace>>), NoPlace> {
+    ) -> Result<(QueueId, oneshot::Receiver<Result<ChosenEndpoint, PlacementError>>), PlacementError>
+    {
         let queue = &mut self.queues[at];
         let wait = queue.expected_wait();
-        let needed = Duration::from_secs_f64(queue.held_s / 2.0);
+        let needed = Duration::from_secs_f64(queue.hold_time_s / 2.0);
         if now + wait + needed > want.deadline {
-            return Err(NoPlace::TooLate { come_back: wait.max(COME_BACK) });
+            return Err(PlacementError::TooLate { retry_after: wait.max(RETRY_AFTER) });
         }
         let (tx, rx) = oneshot::channel();
         let call = Call {
@@ -306,16 +312,21 @@
             program: want.program.clone(),
             cost: want.cost,
             deadline: want.deadline,
-            payload: Waiting { want: want.clone(), tried: tried.to_vec(), since: now, tx },
+            payload: WaitingCall { want: want.clone(), tried: tried.to_vec(), since: now, tx },
         };
         match queue.queue.push(call, now) {
             Ok(id) => Ok((id, rx)),
-            Err(_) => Err(NoPlace::TooLate { come_back: wait.max(COME_BACK) }),
+            Err(_) => Err(PlacementError::TooLate { retry_after: wait.max(RETRY_AFTER) }),
         }
     }
 
     /// Gives free places to waiting calls.
-    fn serve(&mut self, at: usize, fleet: &Fleet, now: Duration) -> Vec<(Waiting, Chosen)> {
+    fn serve(
+        &mut self,
+        at: usize,
+        fleet: &FleetClient,
+        now: Duration,
+    ) -> Vec<(WaitingCall, ChosenEndpoint)> {
         let Self { endpoints, queues } = self;
         let ServiceQueue { queue, in_flight, .. } = &mut queues[at];
         let mut decided = Vec::new();
@@ -325,7 +336,7 @@
         let view = fleet.view();
         let publication = view.publication.as_deref();
         let mut passed = Vec::new();
-        while let Some(entry) = queue.pop(&mut Room, now) {
+        while let Some(entry) = queue.pop(&mut AlwaysRoom, now) {
             let waiting = &entry.call.payload;
             if waiting.tx.is_closed() {
                 continue;
@@ -346,32 +357,36 @@
             }
         }
         for entry in passed {
-            queue.put_back(entry, &mut Room, now);
+            queue.put_back(entry, &mut AlwaysRoom, now);
         }
         decided
     }
 
-    fn serve_all(&mut self, fleet: &Fleet, now: Duration) -> Vec<(Waiting, Chosen)> {
+    fn serve_all(
+        &mut self,
+        fleet: &FleetClient,
+        now: Duration,
+    ) -> Vec<(WaitingCall, ChosenEndpoint)> {
         (0..self.queues.len()).flat_map(|at| self.serve(at, fleet, now)).collect()
     }
 
     /// Refuses the calls that cannot be served in time any more.
-    fn give_up(&mut self, now: Duration) {
+    fn refuse_expired(&mut self, now: Duration) {
         for queue in &mut self.queues {
             let is_open = self.endpoints.capacity(&queue.service) > 0;
-            let needed = Duration::from_secs_f64(queue.held_s / 4.0);
+            let needed = Duration::from_secs_f64(queue.hold_time_s / 4.0);
             let expired = queue.queue.expire(now);
             let hopeless = queue.queue.remove_where(|call| {
                 let w = &call.payload;
                 let is_late = now + needed > w.want.deadline;
-                is_late || (!is_open && now > w.since + OUTAGE_PATIENCE)
+                is_late || (!is_open && now > w.since + OUTAGE_WAIT)
             });
             for entry in expired.into_iter().chain(hopeless) {
-                let come_back = COME_BACK;
+                let retry_after = RETRY_AFTER;
                 let why = if is_open {
-                    NoPlace::TooLate { come_back }
+                    PlacementError::TooLate { retry_after }
                 } else {
-                    NoPlace::NoneOpen { come_back }
+                    PlacementError::NoEndpoint { retry_after }
                 };
                 // Fails when the caller has gone.
                 let _ = entry.call.payload.tx.send(Err(why));
@@ -385,22 +400,22 @@
     /// often as they do.
     fn expected_wait(&self) -> Duration {
         let ahead = (self.queue.len() + 1) as f64;
-        let per_second = self.in_flight.max(1) as f64 / self.held_s;
+        let per_second = self.in_flight.max(1) as f64 / self.hold_time_s;
         Duration::from_secs_f64((ahead / per_second).min(3600.0))
     }
 }
 
 /// Leaves the queue when the caller goes away.
-struct LeaveOnDrop<'a> {
+struct DequeueOnDrop<'a> {
     schedule: &'a Schedule,
     service: &'a Name,
     id: Option<QueueId>,
 }
 
-impl Drop for LeaveOnDrop<'_> {
+impl Drop for DequeueOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            let mut state = self.schedule.locked();
+            let mut state = self.schedule.lock();
             let at = state.queue(self.service);
             state.queues[at].queue.remove(id);
         }
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -11,12 +11,12 @@
 
 use super::{
     Front,
-    attempt::{Attempts, Begun},
-    body::{AnswerBody, Cut, pieces},
+    attempt::{Attempts, StartedResponse},
+    body::{AnswerBody, TruncatedBody, streamed},
     endpoints::Outcome,
     events::EventReader,
-    handler::Ending,
-    memory::Held,
+    handler::CallRecord,
+    memory::MemoryReservation,
     programs::{KeptTurn, OpenTurn},
 };
 
@@ -24,7 +24,7 @@
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// What is kept of a turn.
-pub(crate) struct Keeping {
+pub(crate) struct TurnRecording {
     /// Inputs and outputs of the turns before.
     pub(crate) history: Bytes,
     pub(crate) input: Bytes,
@@ -33,41 +33,41 @@
 }
 
 /// A stream on its way from an endpoint to a caller. Dropping it cancels the call at the endpoint.
-pub(crate) struct Relaying {
+pub(crate) struct StreamRelay {
     pub(crate) attempts: Attempts,
-    pub(crate) begun: Option<Begun>,
+    pub(crate) begun: Option<StartedResponse>,
     pub(crate) reader: EventReader,
     pub(crate) last_event: Option<Name>,
     pub(crate) events: u64,
     pub(crate) tokens_per_event: u64,
     pub(crate) turn: Option<OpenTurn>,
-    pub(crate) keeping: Option<Keeping>,
-    pub(crate) ending: Ending,
+    pub(crate) recording: Option<TurnRecording>,
+    pub(crate) ending: CallRecord,
     pub(crate) is_done: bool,
     /// Memory of what has arrived of the next event, and of the output that is kept.
-    pub(crate) held: Held,
+    pub(crate) reservation: MemoryReservation,
 }
 
 /// What came next from the endpoint.
-enum Next {
+enum ReadOutcome {
     Bytes(Bytes),
     End,
     Broken(String),
     Late,
 }
 
-impl Relaying {
+impl StreamRelay {
     /// The body of the answer.
     pub(crate) fn into_body(self) -> AnswerBody {
-        // Boxed, since the state of a step is large and most of the time is spent between steps.
-        pieces(stream::unfold(Box::new(self), |mut relaying| async move {
-            let piece = relaying.step().await?;
+        // Boxed, since the state of a next_piece is large and most of the time is spent between steps.
+        streamed(stream::unfold(Box::new(self), |mut relaying| async move {
+            let piece = relaying.next_piece().await?;
             Some((piece, relaying))
         }))
     }
 
     /// The next piece for the caller: all events that have arrived whole.
-    async fn step(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next_piece(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         if self.is_done {
             return None;
         }
@@ -77,45 +77,47 @@
                 return Some(Ok(piece));
             }
             match self.read().await {
-                Next::Bytes(bytes) => {
-                    let kept = self.keeping.as_ref().map_or(0, |k| k.output.len());
+                ReadOutcome::Bytes(bytes) => {
+                    let kept = self.recording.as_ref().map_or(0, |k| k.output.len());
                     let bytes_held = kept + self.reader.pending() + bytes.len();
-                    if let Err(e) = self.held.resize(bytes_held) {
-                        if let Err(cut) = self.go_on_elsewhere(&e.to_string()).await {
+                    if let Err(e) = self.reservation.resize(bytes_held) {
+                        if let Err(cut) = self.resume_elsewhere(&e.to_string()).await {
                             return Some(Err(cut));
                         }
                         continue;
                     }
                     self.reader.push(&bytes);
                 }
-                Next::End => return self.end().await,
-                Next::Broken(cause) => {
-                    if let Err(cut) = self.go_on_elsewhere(&cause).await {
+                ReadOutcome::End => return self.end().await,
+                ReadOutcome::Broken(cause) => {
+                    if let Err(cut) = self.resume_elsewhere(&cause).await {
                         return Some(Err(cut));
                     }
                 }
-                Next::Late => {
+                ReadOutcome::Late => {
                     self.is_done = true;
                     self.ending.finish("late");
-                    return Some(Err(Cut("its time is over")));
+                    return Some(Err(TruncatedBody("its time is over")));
                 }
             }
         }
     }
 
-    async fn read(&mut self) -> Next {
+    async fn read(&mut self) -> ReadOutcome {
         let deadline = self.attempts.call.deadline;
-        let Some(begun) = &mut self.begun else { return Next::Broken("no answer".to_owned()) };
+        let Some(begun) = &mut self.begun else {
+            return ReadOutcome::Broken("no answer".to_owned());
+        };
         loop {
             return match timeout_at(deadline, begun.body.frame()).await {
-                Err(_) => Next::Late,
-                Ok(None) => Next::End,
-                Ok(Some(Err(e))) => Next::Broken(e.to_string()),
+                Err(_) => ReadOutcome::Late,
+                Ok(None) => ReadOutcome::End,
+                Ok(Some(Err(e))) => ReadOutcome::Broken(e.to_string()),
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(_) if self.reader.pending() > MAX_EVENT_BYTES => {
-                        Next::Broken("an event is too large".to_owned())
+                        ReadOutcome::Broken("an event is too large".to_owned())
                     }
-                    Ok(bytes) => Next::Bytes(bytes),
+                    Ok(bytes) => ReadOutcome::Bytes(bytes),
                     Err(_) => continue,
                 },
             };
@@ -155,17 +157,17 @@
                 turn.used += self.tokens_per_event;
             }
         }
-        if let Some(keeping) = &mut self.keeping {
-            event.write_data(&mut keeping.output);
+        if let Some(recording) = &mut self.recording {
+            event.write_data(&mut recording.output);
         }
     }
 
     /// The endpoint has ended its answer. A kept turn is made durable before the caller sees the end.
-    async fn end(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn end(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         if self.reader.pending() > 0 && self.begun.as_ref().is_some_and(|b| !has_end(&b.parts)) {
             // The connection was closed in the middle of an event.
-            return match self.go_on_elsewhere("the stream ends within an event").await {
-                Ok(()) => Box::pin(self.step()).await,
+            return match self.resume_elsewhere("the stream ends within an event").await {
+                Ok(()) => Box::pin(self.next_piece()).await,
                 Err(cut) => Some(Err(cut)),
             };
         }
@@ -176,18 +178,18 @@
         }
         self.attempts.answered();
         let rest = self.reader.take_rest();
-        if let (Some(keeping), Some(turn)) = (self.keeping.take(), &mut self.turn) {
+        if let (Some(recording), Some(turn)) = (self.recording.take(), &mut self.turn) {
             let call = &self.attempts.call;
             let kept = KeptTurn {
-                previous: keeping.previous,
-                history: keeping.history,
-                input: keeping.input,
-                output: keeping.output.freeze(),
+                previous: recording.previous,
+                history: recording.history,
+                input: recording.input,
+                output: recording.output.freeze(),
                 retain: call.route.retain.unwrap_or_default(),
             };
             if let Err(refusal) = turn.keep(kept, call.deadline).await {
                 self.ending.finish(refusal.code);
-                return Some(Err(Cut("the turn could not be kept")));
+                return Some(Err(TruncatedBody("the turn could not be kept")));
             }
         }
         self.ending.finish("whole");
@@ -195,7 +197,7 @@
     }
 
     /// Lets another endpoint go on after the last whole event, where the route allows it.
-    async fn go_on_elsewhere(&mut self, cause: &str) -> Result<(), Cut> {
+    async fn resume_elsewhere(&mut self, cause: &str) -> Result<(), TruncatedBody> {
         let id = self.attempts.call.head.id.clone();
         let events = self.events;
         log::warn!(id = &*id, cause, events; "stream broke off");
@@ -209,7 +211,7 @@
         if !self.attempts.may_retry() {
             self.is_done = true;
             self.ending.finish("broken");
-            return Err(Cut("the endpoint broke off"));
+            return Err(TruncatedBody("the endpoint broke off"));
         }
         let last_event = self.last_event.clone();
         match self.attempts.next(last_event.as_ref()).await {
@@ -222,7 +224,7 @@
             Ok(_) | Err(_) => {
                 self.is_done = true;
                 self.ending.finish("not_resumed");
-                Err(Cut("no other endpoint goes on"))
+                Err(TruncatedBody("no other endpoint goes on"))
             }
         }
     }
--- a/crates/relay/src/groups.rs
+++ b/crates/relay/src/groups.rs
@@ -8,7 +8,7 @@
 
 use poplarspan_agreement::ReplicaId;
 
-use crate::replica::plan::{TARGET_VOTERS, machine};
+use crate::replica::membership::{TARGET_VOTERS, machine};
 
 /// Stores for each group. Each group costs its members heartbeats, and each commit costs each voter
 /// a message, so there are fewer groups than stores.
@@ -33,13 +33,13 @@
 
 /// First voters of a group. `ring` are the stores with which the fleet starts, ordered so that
 /// neighbours are in different zones; groups begin at different places of it.
-pub fn group_founders(ring: &[ReplicaId], group: u32) -> Vec<ReplicaId> {
+pub fn initial_voters(ring: &[ReplicaId], group: u32) -> Vec<ReplicaId> {
     let first = STORES_PER_GROUP * group as usize;
     let voters = TARGET_VOTERS.min(ring.len());
     ring.iter().cycle().skip(first % ring.len().max(1)).take(voters).copied().collect()
 }
 
 /// The machine whose replica should lead a group, as long as it votes there.
-pub fn group_home(ring: &[ReplicaId], group: u32) -> Option<Ipv4Addr> {
-    group_founders(ring, group).first().map(|id| machine(*id))
+pub fn preferred_leader(ring: &[ReplicaId], group: u32) -> Option<Ipv4Addr> {
+    initial_voters(ring, group).first().map(|id| machine(*id))
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,7 +1,7 @@
 //! A relay fleet: instances that forward calls of agent programs to endpoints, control replicas that
 //! keep what operators publish, and stores that keep programs and their turns.
 //!
-//! The protocols of callers, endpoints and operators are behind [`Dialect`]; this crate knows calls,
+//! The protocols of callers, endpoints and operators are behind [`Protocol`]; this crate knows calls,
 //! teams, programs, endpoints and zones only.
 //!
 //! # Owners and failures
@@ -21,13 +21,13 @@
 //! An answer of this crate's own with the status 429 or 503 means that the call has not run and
 //! never will; 502 and 504 mean that it is not known.
 
-mod board;
 mod call;
 mod control;
-mod dialect;
-mod fleet;
+mod control_state;
+mod fleet_client;
 mod front;
 mod groups;
+mod protocol;
 mod publication;
 mod readiness;
 mod replica;
@@ -36,24 +36,24 @@
 mod store;
 mod turns;
 
-pub use board::{Board, Condemned};
 pub use call::{
-    AnswerHead, CallHead, Forward, ListPage, ListedEndpoint, Load, Order, ProgramHead, PromptPart,
-    Secret,
+    CallHead, Forward, ListPage, ListedEndpoint, Load, OperatorRequest, ProgramHead, PromptPart,
+    ResponseHead, Secret,
 };
-pub use dialect::{Dialect, Malformed};
+pub use control_state::{BlockedRequest, ControlState};
 pub use front::events::{Event, EventReader};
-pub use groups::{group_count, group_founders, group_home, group_of};
+pub use groups::{group_count, group_of, initial_voters, preferred_leader};
 pub use poplarspan_policy::rate::Limit;
+pub use protocol::{DecodeError, Protocol};
 pub use publication::{
-    CallerLimits, Engine, Findings, Objects, Publication, Route, RouteKind, Service, Team,
+    CallerLimits, Engine, Objects, Publication, Route, RouteKind, Service, Team, ValidationErrors,
 };
 pub use replica::{
-    number as replica_number,
-    plan::{Members, Step},
+    membership::{Members, MembershipChange},
+    replica_id,
 };
-pub use run::{Relay, Running};
-pub use settings::{Bounds, Duty, Settings};
+pub use run::{Relay, RunningInstance};
+pub use settings::{Bounds, InstanceRole, Settings};
 pub use turns::Turns;
 
 /// Time of day in milliseconds. It only decides when what is kept expires, with a margin for clocks
--- a/crates/relay/src/publication.rs
+++ b/crates/relay/src/publication.rs
@@ -126,7 +126,7 @@
 /// Faults of a set of objects, each with the place in the document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.join("\n"))]
-pub struct Findings(pub Vec<String>);
+pub struct ValidationErrors(pub Vec<String>);
 
 /// Digest of a key.
 type KeyDigest = [u8; 32];
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// Returns all findings together.
-    pub fn new(objects: Objects) -> Result<Self, Findings> {
+    pub fn new(objects: Objects) -> Result<Self, ValidationErrors> {
         let Objects { version, mut routes, mut services, teams, limits } = objects;
         let needs_keys = teams.is_some();
         let mut teams = teams.unwrap_or_default();
@@ -176,7 +176,7 @@
             findings.push(format!("teams {one} and {other}: share a key"));
         }
         if !findings.is_empty() {
-            return Err(Findings(findings));
+            return Err(ValidationErrors(findings));
         }
         keys.dedup();
         // Only digests are kept.
--- a/crates/relay/src/readiness.rs
+++ b/crates/relay/src/readiness.rs
@@ -11,7 +11,7 @@
 use poplarspan_node::Readiness;
 use tokio::{net::TcpListener, sync::Semaphore};
 
-use crate::Dialect;
+use crate::Protocol;
 
 const MAX_CONNECTIONS: usize = 64;
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
@@ -19,13 +19,13 @@
 /// Serves the question.
 pub(crate) struct ReadinessServer {
     readiness: Arc<dyn Readiness>,
-    dialect: Arc<dyn Dialect>,
+    protocol: Arc<dyn Protocol>,
     slots: Arc<Semaphore>,
 }
 
 impl ReadinessServer {
-    pub(crate) fn new(readiness: Arc<dyn Readiness>, dialect: Arc<dyn Dialect>) -> Arc<Self> {
-        Arc::new(Self { readiness, dialect, slots: Arc::new(Semaphore::new(MAX_CONNECTIONS)) })
+    pub(crate) fn new(readiness: Arc<dyn Readiness>, protocol: Arc<dyn Protocol>) -> Arc<Self> {
+        Arc::new(Self { readiness, protocol, slots: Arc::new(Semaphore::new(MAX_CONNECTIONS)) })
     }
 
     /// Accepts connections until the task is ended.
@@ -51,7 +51,7 @@
     }
 
     fn answer(&self, req: &Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        let (status, text) = if !self.dialect.is_readiness(req.uri().path()) {
+        let (status, text) = if !self.protocol.is_readiness_path(req.uri().path()) {
             (StatusCode::NOT_FOUND, "not found")
         } else {
             match self.readiness.not_ready() {
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -8,7 +8,7 @@
 //! Owner of the state: the folder, and the replicated logs in it. The requests to join that a
 //! leader has seen are lost with it and repeated by those who made them.
 
-pub(crate) mod plan;
+pub(crate) mod membership;
 
 use std::{
     fs,
@@ -33,21 +33,21 @@
 use poplarspan_proto::peer::{self, FailureCode, request, response};
 use tokio::time::{Instant, sleep};
 
-use plan::{Members, Step, TARGET_VOTERS, machine};
+use membership::{Members, MembershipChange, TARGET_VOTERS, machine};
 
 /// A request to join counts for this long; it is repeated more often.
-const JOIN_COUNTS: Duration = Duration::from_secs(5);
+const JOIN_REQUEST_TTL: Duration = Duration::from_secs(5);
 const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between two requests to join a group that is complete.
-const SPARE_INTERVAL: Duration = Duration::from_secs(2);
+const SPARE_JOIN_INTERVAL: Duration = Duration::from_secs(2);
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
 /// A replica that has heard of no leader for this long asks whether it is still a member.
-const LEADERLESS: Duration = Duration::from_millis(1_000);
-const PLAN_INTERVAL: Duration = Duration::from_millis(150);
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(1_000);
+const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(150);
 /// A learner that lags behind is not tried again for this long.
-const LAG_PAUSE: Duration = Duration::from_millis(300);
+const LAGGING_PAUSE: Duration = Duration::from_millis(300);
 /// Pause before a start that a full disk holds up goes on.
-const ROOM_PAUSE: Duration = Duration::from_millis(200);
+const DISK_FULL_PAUSE: Duration = Duration::from_millis(200);
 /// Zeros written ahead of the log; the disks of control replicas are small.
 const PREALLOCATE_BYTES: usize = 256 * 1024;
 const SEGMENT_BYTES: u64 = 8 << 20;
@@ -55,7 +55,7 @@
 /// Timing of the replicated log. The heartbeat costs each replica a message to each other one, and
 /// the election timeout is what a lost leader costs; both are short against the bounds for
 /// acknowledging an order.
-fn timing(clock: Arc<dyn Clock>) -> NodeConfig {
+fn node_config(clock: Arc<dyn Clock>) -> NodeConfig {
     NodeConfig {
         clock,
         tick: Duration::from_millis(20),
@@ -68,11 +68,11 @@
 }
 
 /// A data folder, made ready for a replica.
-pub(crate) struct Folder {
+pub(crate) struct ReplicaFolder {
     dir: DataDir,
 }
 
-impl Folder {
+impl ReplicaFolder {
     /// Opens the folder. One that holds no identity has never voted; it is cleared, and gets the
     /// number of a founder, or a new one. Blocks.
     pub(crate) fn open(path: &Path, ip: Ipv4Addr, is_founder: bool) -> Result<Self> {
@@ -80,22 +80,22 @@
             Err(IdentityError::Missing(_)) => {
                 let nonce = if is_founder { 0 } else { rand::random_range(1..=u32::MAX) };
                 clear(path).with_context(|| format!("cannot clear {}", path.display()))?;
-                DataDir::init(path, number(ip, nonce))
+                DataDir::init(path, replica_id(ip, nonce))
             }
             opened => opened,
         };
         Ok(Self { dir: dir.context("cannot open the data folder")? })
     }
 
-    /// As [`Folder::open`], but waits while the disk takes no more bytes.
-    pub(crate) async fn open_with_room(
+    /// As [`ReplicaFolder::open`], but waits while the disk takes no more bytes.
+    pub(crate) async fn open_when_space(
         path: &Path,
         ip: Ipv4Addr,
         is_founder: bool,
     ) -> Result<Self> {
         loop {
             match Self::open(path, ip, is_founder) {
-                Err(e) if is_refusal(&e) => wait_for_room(&e).await,
+                Err(e) if is_disk_full_error(&e) => wait_for_disk_space(&e).await,
                 opened => return opened,
             }
         }
@@ -130,18 +130,18 @@
         groups.map(Some).with_context(|| format!("{} holds no number", path.display()))
     }
 
-    /// As [`Folder::log`], but waits while the disk takes no more bytes.
-    async fn log_with_room(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
+    /// As [`ReplicaFolder::open_log`], but waits while the disk takes no more bytes.
+    async fn open_log_when_space(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
         loop {
-            match self.log(founders).await {
-                Err(e) if is_refusal(&e) => wait_for_room(&e).await,
+            match self.open_log(founders).await {
+                Err(e) if is_disk_full_error(&e) => wait_for_disk_space(&e).await,
                 opened => return opened,
             }
         }
     }
 
     /// Opens the log; a new one gets the first voters of each group.
-    async fn log(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
+    async fn open_log(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
         let folder = self.dir.log_folder();
         let options =
             StoreOptions { segment_bytes: SEGMENT_BYTES, preallocate_bytes: PREALLOCATE_BYTES };
@@ -171,18 +171,18 @@
 }
 
 /// Whether a disk took no more bytes.
-fn is_refusal(e: &anyhow::Error) -> bool {
+fn is_disk_full_error(e: &anyhow::Error) -> bool {
     e.chain().any(|cause| {
         cause.downcast_ref().is_some_and(is_disk_full)
             || cause.downcast_ref().is_some_and(StoreError::is_refusal)
     })
 }
 
-async fn wait_for_room(e: &anyhow::Error) {
+async fn wait_for_disk_space(e: &anyhow::Error) {
     let error = format!("{e:#}");
     log::error!(error = error.as_str(); "the disk takes no more bytes; the start waits");
     metrics::gauge!("poplarspan_store_disk_refuses").set(1.0);
-    sleep(ROOM_PAUSE).await;
+    sleep(DISK_FULL_PAUSE).await;
 }
 
 /// Exists once the log has been created as a whole.
@@ -217,12 +217,12 @@
 }
 
 /// Number of the founder on a machine.
-pub(crate) fn founder(ip: Ipv4Addr) -> ReplicaId {
-    number(ip, 0)
+pub(crate) fn founder_id(ip: Ipv4Addr) -> ReplicaId {
+    replica_id(ip, 0)
 }
 
 /// Number of a replica on a machine; `nonce` is 0 for founders, and random for all others.
-pub fn number(ip: Ipv4Addr, nonce: u32) -> ReplicaId {
+pub fn replica_id(ip: Ipv4Addr, nonce: u32) -> ReplicaId {
     ReplicaId(u64::from(u32::from(ip)) << 32 | u64::from(nonce))
 }
 
@@ -235,24 +235,24 @@
     handle: GroupHandle,
     /// With the time of the last request.
     joining: Mutex<Vec<(ReplicaId, Instant)>>,
-    wishes: Mutex<Wishes>,
+    goals: Mutex<MembershipGoals>,
     /// Keeps the folder locked.
     _dir: Arc<DataDir>,
 }
 
 /// How the members of a group should change.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Wishes {
+pub(crate) struct MembershipGoals {
     /// Replicas that are to be removed.
-    pub(crate) leaving: Vec<ReplicaId>,
+    pub(crate) retiring: Vec<ReplicaId>,
     /// Machine whose replica should lead.
-    pub(crate) home: Option<Ipv4Addr>,
+    pub(crate) preferred_leader: Option<Ipv4Addr>,
 }
 
 impl Replica {
     /// Starts the replicas of all groups of a folder. All members listen on `peer_port`.
     pub(crate) async fn start(
-        folder: Folder,
+        folder: ReplicaFolder,
         groups: Vec<GroupStart>,
         peer_port: u16,
         client: PeerClient,
@@ -260,7 +260,7 @@
     ) -> Result<Vec<Arc<Self>>> {
         let (founders, states): (Vec<_>, Vec<_>) =
             groups.into_iter().map(|g| (g.founders, g.state)).unzip();
-        let store = folder.log_with_room(&founders).await?;
+        let store = folder.open_log_when_space(&founders).await?;
         metrics::gauge!("poplarspan_store_disk_refuses").set(0.0);
         let id = folder.replica();
         let find: FindReplica =
@@ -268,7 +268,7 @@
         let transport = AgreementTransport::new(id, folder.dir.folder(), None, client, find);
         let mut builder = Node::builder(id, Box::new(store), transport)
             .peers(folder.dir.peers()?)
-            .config(timing(clock));
+            .config(node_config(clock));
         for (id, state) in group_ids().zip(states) {
             builder = builder.group(id, state);
         }
@@ -283,7 +283,7 @@
                 node: node.clone(),
                 handle,
                 joining: Mutex::default(),
-                wishes: Mutex::default(),
+                goals: Mutex::default(),
                 _dir: dir.clone(),
             }))
         };
@@ -327,8 +327,8 @@
     }
 
     /// Says how the members of the group should change.
-    pub(crate) fn set_wishes(&self, wishes: Wishes) {
-        *self.wishes.lock().expect("no panic while locked") = wishes;
+    pub(crate) fn set_goals(&self, goals: MembershipGoals) {
+        *self.goals.lock().expect("no panic while locked") = goals;
     }
 
     /// Transfers leadership of all groups of the folder, and stops.
@@ -359,33 +359,33 @@
         {
             let now = Instant::now();
             let mut joining = self.joining.lock().expect("no panic while locked");
-            joining.retain(|(other, at)| *other != id && now < *at + JOIN_COUNTS);
+            joining.retain(|(other, at)| *other != id && now < *at + JOIN_REQUEST_TTL);
             joining.push((id, now));
         }
         let Some(members) = self.members(&[], Duration::ZERO).await else {
             return Err(self.not_leader());
         };
-        let complete = members.staying() >= TARGET_VOTERS;
+        let complete = members.remaining_voters() >= TARGET_VOTERS;
         Ok(peer::Joined { voter: members.voters.contains(&id), complete })
     }
 
     /// While this replica leads: adds, promotes and removes members.
-    pub(crate) async fn run_plan(self: Arc<Self>) -> Result<()> {
+    pub(crate) async fn run_membership(self: Arc<Self>) -> Result<()> {
         let mut lagging: Vec<(ReplicaId, Instant)> = Vec::new();
-        let mut led_since = None;
+        let mut leader_since = None;
         loop {
-            sleep(PLAN_INTERVAL).await;
+            sleep(MEMBERSHIP_INTERVAL).await;
             if self.leads().is_none() {
-                led_since = None;
+                leader_since = None;
                 continue;
             }
             let now = Instant::now();
             lagging.retain(|(_, until)| now < *until);
-            let led_for = now - *led_since.get_or_insert(now);
-            let Some(members) = self.members(&lagging, led_for).await else { continue };
+            let time_as_leader = now - *leader_since.get_or_insert(now);
+            let Some(members) = self.members(&lagging, time_as_leader).await else { continue };
             let Some(step) = members.next_step() else { continue };
             let (group, name) = (self.group.0, format!("{step:?}"));
-            match self.take(step).await {
+            match self.apply(step).await {
                 Ok(()) => log::info!(group, step = name.as_str(); "change of members"),
                 Err(e) => {
                     let error = e.to_string();
@@ -393,13 +393,15 @@
                         group, step = name.as_str(), error = error.as_str();
                         "change of members refused"
                     );
-                    if let (Step::Promote(id), ProposeError::Refused(Refusal::NotCaughtUp)) =
-                        (step, &e)
+                    if let (
+                        MembershipChange::Promote(id),
+                        ProposeError::Refused(Refusal::NotCaughtUp),
+                    ) = (step, &e)
                     {
-                        lagging.push((id, now + LAG_PAUSE));
+                        lagging.push((id, now + LAGGING_PAUSE));
                     }
                     // The home of the group is asked again after a while only.
-                    led_since = Some(now);
+                    leader_since = Some(now);
                 }
             }
         }
@@ -408,32 +410,32 @@
     async fn members(
         &self,
         lagging: &[(ReplicaId, Instant)],
-        led_for: Duration,
+        time_as_leader: Duration,
     ) -> Option<Members> {
         let core = self.handle.status().await?.core;
         let now = Instant::now();
-        let wishes = self.wishes.lock().expect("no panic while locked").clone();
+        let goals = self.goals.lock().expect("no panic while locked").clone();
         let joining = self.joining.lock().expect("no panic while locked");
-        let joining = joining.iter().filter(|(_, at)| now < *at + JOIN_COUNTS);
+        let joining = joining.iter().filter(|(_, at)| now < *at + JOIN_REQUEST_TTL);
         Some(Members {
-            me: self.id,
+            self_id: self.id,
             voters: core.membership.voters,
             learners: core.membership.learners,
             silence: core.silence,
             joining: joining.map(|(id, _)| *id).collect(),
-            leaving: wishes.leaving,
+            retiring: goals.retiring,
             lagging: lagging.iter().map(|(id, _)| *id).collect(),
-            home: wishes.home,
-            led_for,
+            preferred_leader: goals.preferred_leader,
+            time_as_leader,
         })
     }
 
-    async fn take(&self, step: Step) -> Result<(), ProposeError> {
+    async fn apply(&self, step: MembershipChange) -> Result<(), ProposeError> {
         match step {
-            Step::AddLearner(id) => self.handle.add_learner(id).await,
-            Step::Promote(id) => self.handle.promote(id).await,
-            Step::Remove(id) => self.handle.remove_voter(id).await,
-            Step::HandOver(id) => self.handle.transfer_leadership(id).await,
+            MembershipChange::AddLearner(id) => self.handle.add_learner(id).await,
+            MembershipChange::Promote(id) => self.handle.promote(id).await,
+            MembershipChange::Remove(id) => self.handle.remove_voter(id).await,
+            MembershipChange::HandOver(id) => self.handle.transfer_leadership(id).await,
         }
     }
 
@@ -444,8 +446,8 @@
         client: PeerClient,
         peers: impl Fn() -> Vec<SocketAddr>,
     ) -> Result<()> {
-        let mut heard_at = Instant::now();
-        let mut turn = 0usize;
+        let mut last_leader_at = Instant::now();
+        let mut next_peer = 0usize;
         let mut hint = None;
         let mut pause = JOIN_INTERVAL;
         loop {
@@ -453,22 +455,24 @@
             pause = JOIN_INTERVAL;
             let is_led = self.handle.watch().borrow().leader.is_some();
             if is_led {
-                heard_at = Instant::now();
+                last_leader_at = Instant::now();
             }
-            if heard_at.elapsed() < LEADERLESS && self.voters().await.contains(&self.id) {
+            if last_leader_at.elapsed() < LEADERLESS_TIMEOUT
+                && self.voters().await.contains(&self.id)
+            {
                 continue;
             }
             let me = SocketAddr::from((machine(self.id), self.peer_port));
             let peers: Vec<_> = peers().into_iter().filter(|a| *a != me).collect();
-            turn = turn.wrapping_add(1);
-            let next = || peers.get(turn % peers.len().max(1)).copied();
+            next_peer = next_peer.wrapping_add(1);
+            let next = || peers.get(next_peer % peers.len().max(1)).copied();
             let Some(address) = hint.take().or_else(next) else { continue };
             let join = peer::Join { replica: self.id.0, group: self.group.0 };
             match client.call(address, request::Body::Join(join), JOIN_TIMEOUT).await {
                 Ok(response::Body::Joined(joined)) => {
                     hint = Some(address);
                     if joined.complete {
-                        pause = SPARE_INTERVAL;
+                        pause = SPARE_JOIN_INTERVAL;
                     }
                 }
                 Err(poplarspan_node::CallError::Failed(f)) => {
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -18,22 +18,22 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    Board, Dialect, Duty, Settings, Turns,
-    control::{Control, ListReader, OrderServer},
-    fleet::{Fleet, Report},
+    ControlState, InstanceRole, Protocol, Settings, Turns,
+    control::{Control, EndpointListReader, OperatorServer},
+    fleet_client::{FleetClient, HeartbeatReport},
     front::{
         Front, listener::Listener, memory::BodyMemory, programs::Programs, quarantine::Quarantine,
         rates::Rates, schedule::Schedule,
     },
     groups,
-    replica::{self, Folder, GroupStart, Replica, Wishes},
+    replica::{self, GroupStart, MembershipGoals, Replica, ReplicaFolder},
     store::Store,
 };
 
 /// Time after SIGTERM in which the platform stops sending new connections.
-const OUT_OF_ROTATION: Duration = Duration::from_millis(2_600);
+const DEREGISTRATION_TIME: Duration = Duration::from_millis(2_600);
 /// What is left of the grace period when the process ends in any case.
-const LAST_MOMENT: Duration = Duration::from_millis(300);
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
 /// What an instance is made of.
@@ -41,15 +41,15 @@
     /// Settings of the instance.
     pub settings: Settings,
     /// Protocols of the platform.
-    pub dialect: Arc<dyn Dialect>,
+    pub protocol: Arc<dyn Protocol>,
     /// Certificates of the peer port.
     pub tls: TlsFiles,
 }
 
 /// A running instance.
-pub struct Running {
+pub struct RunningInstance {
     settings: Arc<Settings>,
-    fleet: Option<Arc<Fleet>>,
+    fleet: Option<Arc<FleetClient>>,
     listener: Option<Arc<Listener>>,
     replica: Option<Arc<Replica>>,
     store: Option<Arc<Store>>,
@@ -58,9 +58,9 @@
     endpoint: quinn::Endpoint,
 }
 
-struct Parts {
+struct Startup {
     settings: Arc<Settings>,
-    dialect: Arc<dyn Dialect>,
+    protocol: Arc<dyn Protocol>,
     clock: Arc<dyn Clock>,
     client: PeerClient,
     endpoint: quinn::Endpoint,
@@ -74,8 +74,8 @@
     /// # Errors
     ///
     /// Fails when an address cannot be listened on, or the data folder cannot be used.
-    pub async fn start(self) -> Result<Running> {
-        let Self { settings, dialect, tls } = self;
+    pub async fn start(self) -> Result<RunningInstance> {
+        let Self { settings, protocol, tls } = self;
         let settings = Arc::new(settings);
         let credentials = Credentials::load(&tls)?;
         let address = settings.peer_address();
@@ -83,9 +83,9 @@
             .with_context(|| format!("cannot listen on peer address {address}"))?;
         let client = PeerClient::with_endpoint(endpoint.clone(), &credentials)?;
         let stop = CancellationToken::new();
-        let parts = Parts {
+        let parts = Startup {
             settings: settings.clone(),
-            dialect,
+            protocol,
             clock: Arc::new(BootClock::new()),
             client,
             endpoint,
@@ -93,29 +93,29 @@
             stop,
         };
         let metrics = probes::recorder();
-        let running = match settings.duty {
-            Duty::Control => parts.start_control().await?,
-            Duty::Store => parts.start_store().await?,
-            Duty::Front => parts.start_front().await?,
+        let running = match settings.role {
+            InstanceRole::Control => parts.start_control().await?,
+            InstanceRole::Store => parts.start_store().await?,
+            InstanceRole::Front => parts.start_front().await?,
         };
         let mut running = running;
         running.serve_metrics(metrics).await?;
         log::info!(
             instance = &*settings.instance, zone = &*settings.zone,
-            duty = settings.duty.as_str(), founding = settings.is_founding; "instance started"
+            duty = settings.role.as_str(), founding = settings.is_bootstrap; "instance started"
         );
         Ok(running)
     }
 }
 
-impl Parts {
+impl Startup {
     fn serve_peers(&mut self, service: Arc<dyn PeerService>, sink: Option<Arc<dyn AgreementSink>>) {
         let server = Arc::new(PeerServer::new(self.endpoint.clone(), service, sink));
         self.supervisor.start("peer port", move || server.clone().run());
     }
 
-    fn running(self) -> Running {
-        Running {
+    fn running(self) -> RunningInstance {
+        RunningInstance {
             settings: self.settings,
             fleet: None,
             listener: None,
@@ -127,66 +127,67 @@
         }
     }
 
-    async fn folder(&self, is_founder: bool) -> Result<Folder> {
+    async fn folder(&self, is_founder: bool) -> Result<ReplicaFolder> {
         let path = self.settings.data_dir.as_ref().context("this duty needs a data folder")?;
-        Folder::open_with_room(path, self.settings.ip, is_founder).await
+        ReplicaFolder::open_when_space(path, self.settings.ip, is_founder).await
     }
 
     fn peer_port(&self) -> u16 {
         self.settings.peer_address().port()
     }
 
-    async fn start_control(mut self) -> Result<Running> {
+    async fn start_control(mut self) -> Result<RunningInstance> {
         let settings = self.settings.clone();
-        let is_founder = settings.is_founding && settings.seeds.contains(&settings.ip);
+        let is_founder = settings.is_bootstrap && settings.seeds.contains(&settings.ip);
         let folder = self.folder(is_founder).await?;
         let founders: Vec<ReplicaId> =
-            settings.seeds.iter().map(|ip| replica::founder(*ip)).collect();
+            settings.seeds.iter().map(|ip| replica::founder_id(*ip)).collect();
         let founders = if is_founder { founders } else { Vec::new() };
-        let group = GroupStart { founders, state: Box::<Board>::default() };
+        let group = GroupStart { founders, state: Box::<ControlState>::default() };
         let (client, clock) = (self.client.clone(), self.clock.clone());
         let replicas = Replica::start(folder, vec![group], self.peer_port(), client, clock).await?;
         let replica = replicas.into_iter().next().context("the control group")?;
         let control = Control::new(
             settings.clone(),
             replica.clone(),
-            self.dialect.clone(),
+            self.protocol.clone(),
             self.clock.clone(),
         );
         self.serve_peers(control.clone(), Some(replica.sink()));
-        let planner = replica.clone();
-        self.supervisor.start("members", move || planner.clone().run_plan());
+        let membership = replica.clone();
+        self.supervisor.start("members", move || membership.clone().run_membership());
         let (joiner, client) = (replica.clone(), self.client.clone());
         self.supervisor.start("joining", move || {
             let (joiner, settings) = (joiner.clone(), settings.clone());
-            joiner.run_join(client.clone(), move || settings.control_peers())
+            joiner.run_join(client.clone(), move || settings.control_peer_addresses())
         });
         let forming = control.clone();
-        self.supervisor.start("forming the stores", move || forming.clone().run_forming());
+        self.supervisor.start("forming the stores", move || forming.clone().run_group_formation());
         let reading = control.clone();
-        self.supervisor.start("list of endpoints", move || ListReader::new(reading.clone()).run());
-        if let Some(address) = self.settings.orders {
+        self.supervisor
+            .start("list of endpoints", move || EndpointListReader::new(reading.clone()).run());
+        if let Some(address) = self.settings.operator_address {
             let socket = listen(address).await?;
-            let orders = OrderServer::new(control);
+            let orders = OperatorServer::new(control);
             let watching = orders.clone();
             self.supervisor.start("suspensions", move || watching.clone().run_watch());
             self.supervisor.start("orders", move || orders.clone().run(socket.clone()));
         }
-        Ok(Running { replica: Some(replica), ..self.running() })
+        Ok(RunningInstance { replica: Some(replica), ..self.running() })
     }
 
-    fn fleet(&self, duty: peer::Duty) -> Arc<Fleet> {
-        let (settings, dialect) = (self.settings.clone(), self.dialect.clone());
-        Fleet::new(settings, dialect, self.client.clone(), self.clock.clone(), duty)
+    fn fleet(&self, duty: peer::Duty) -> Arc<FleetClient> {
+        let (settings, protocol) = (self.settings.clone(), self.protocol.clone());
+        FleetClient::new(settings, protocol, self.client.clone(), self.clock.clone(), duty)
     }
 
-    async fn start_store(mut self) -> Result<Running> {
+    async fn start_store(mut self) -> Result<RunningInstance> {
         let folder = self.folder(false).await?;
         let id = folder.replica();
         let fleet = self.fleet(peer::Duty::Store);
         let store = Store::new();
         self.serve_peers(store.clone(), Some(Arc::new(StoreSink(store.clone()))));
-        let report: Arc<dyn Report> = Arc::new(StoreReport { store: store.clone(), id });
+        let report: Arc<dyn HeartbeatReport> = Arc::new(StoreReport { store: store.clone(), id });
         let beats = fleet.clone();
         self.supervisor.start("beats", move || beats.clone().run(report.clone()));
         let joined = store.clone();
@@ -205,20 +206,20 @@
                 stop.cancel();
             }
         });
-        Ok(Running { fleet: Some(fleet), store: Some(store), ..self.running() })
+        Ok(RunningInstance { fleet: Some(fleet), store: Some(store), ..self.running() })
     }
 
-    async fn start_front(mut self) -> Result<Running> {
+    async fn start_front(mut self) -> Result<RunningInstance> {
         let settings = self.settings.clone();
         let fleet = self.fleet(peer::Duty::Front);
         let (client, clock) = (self.client.clone(), self.clock.clone());
         let (programs, settler) = Programs::new(fleet.clone(), client.clone(), clock.clone());
-        let pool = Front::pool(&*self.dialect);
+        let pool = Front::pool(&*self.protocol);
         let schedule =
             Schedule::new(settings.zone.clone(), fleet.clone(), pool.clone(), clock.clone());
         let quarantine = Quarantine::new(fleet.clone(), client.clone(), pool.clone());
         let front = Arc::new(Front {
-            dialect: self.dialect.clone(),
+            protocol: self.protocol.clone(),
             fleet: fleet.clone(),
             clock: clock.clone(),
             schedule: schedule.clone(),
@@ -228,8 +229,8 @@
             quarantine: quarantine.clone(),
             memory: BodyMemory::default(),
         });
-        self.serve_peers(Arc::new(NoDuties), None);
-        let (beats, report) = (fleet.clone(), front.clone() as Arc<dyn Report>);
+        self.serve_peers(Arc::new(NoPeerCalls), None);
+        let (beats, report) = (fleet.clone(), front.clone() as Arc<dyn HeartbeatReport>);
         self.supervisor.start("beats", move || beats.clone().run(report.clone()));
         self.supervisor.start("schedule", move || schedule.clone().run());
         self.supervisor.start("quarantine", move || quarantine.clone().run());
@@ -238,23 +239,24 @@
         // Its queue lives as long as the task, so a failure ends the instance's settling.
         tokio::spawn(settler.run());
         let listener = Listener::new(front.clone());
-        let calls = listen(settings.calls.context("a front needs an address for calls")?).await?;
+        let calls =
+            listen(settings.call_address.context("a front needs an address for calls")?).await?;
         let accepting = listener.clone();
         self.supervisor.start("calls", move || accepting.clone().run(calls.clone()));
-        if let Some(address) = settings.readiness {
+        if let Some(address) = settings.readiness_address {
             let socket = listen(address).await?;
-            let server = crate::readiness::ReadinessServer::new(front, self.dialect.clone());
+            let server = crate::readiness::ReadinessServer::new(front, self.protocol.clone());
             self.supervisor.start("readiness", move || server.clone().run(socket.clone()));
         }
-        Ok(Running { fleet: Some(fleet), listener: Some(listener), ..self.running() })
+        Ok(RunningInstance { fleet: Some(fleet), listener: Some(listener), ..self.running() })
     }
 }
 
-impl Running {
+impl RunningInstance {
     async fn serve_metrics(&mut self, metrics: probes::Metrics) -> Result<()> {
         let address = SocketAddr::from((self.settings.ip, self.settings.metrics_port));
         let socket = listen(address).await?;
-        let readiness: Arc<dyn Readiness> = Arc::new(Alive);
+        let readiness: Arc<dyn Readiness> = Arc::new(AlwaysReady);
         self.supervisor.start("metrics", move || {
             probes::serve(socket.clone(), readiness.clone(), metrics.clone())
         });
@@ -275,7 +277,7 @@
     /// Takes the seeds of changed settings. All other changes take effect at the next start.
     pub fn reload(&self, settings: &Settings) {
         if let Some(fleet) = &self.fleet {
-            fleet.set_seeds(settings.control_peers());
+            fleet.set_seeds(settings.control_peer_addresses());
         }
         let seeds = settings.seeds.len();
         log::info!(seeds; "settings reloaded");
@@ -285,14 +287,14 @@
     /// Returns the number of connections that were still open.
     pub async fn shutdown(self) -> usize {
         log::info!(instance = &*self.settings.instance; "instance shutting down");
-        let end = Instant::now() + self.settings.bounds.grace.saturating_sub(LAST_MOMENT);
+        let end = Instant::now() + self.settings.bounds.shutdown_grace.saturating_sub(EXIT_MARGIN);
         if let Some(fleet) = &self.fleet {
             fleet.set_draining(end);
-            fleet.hurry();
+            fleet.send_heartbeat_now();
         }
         let mut open = 0;
         if let Some(listener) = &self.listener {
-            sleep(OUT_OF_ROTATION).await;
+            sleep(DEREGISTRATION_TIME).await;
             listener.close_idle();
             while listener.open() > 0 && Instant::now() < end {
                 sleep(DRAIN_POLL).await;
@@ -320,14 +322,14 @@
 /// Runs the replicas of a store, once it is known how the stores form groups.
 struct StoreMember {
     settings: Arc<Settings>,
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetClient>,
     client: PeerClient,
     clock: Arc<dyn Clock>,
     store: Arc<Store>,
 }
 
 impl StoreMember {
-    async fn run(self, folder: Folder, stop: CancellationToken) -> Result<()> {
+    async fn run(self, folder: ReplicaFolder, stop: CancellationToken) -> Result<()> {
         let groups = self.groups(&folder).await?;
         let port = self.settings.peer_address().port();
         let (client, clock) = (self.client.clone(), self.clock.clone());
@@ -335,8 +337,8 @@
         self.store.set_replicas(replicas.clone());
         let mut supervisor = Supervisor::new(stop);
         for replica in &replicas {
-            let planner = replica.clone();
-            supervisor.start("members", move || planner.clone().run_plan());
+            let membership = replica.clone();
+            supervisor.start("members", move || membership.clone().run_membership());
             let (joiner, fleet) = (replica.clone(), self.fleet.clone());
             let client = self.client.clone();
             supervisor.start("joining", move || {
@@ -345,14 +347,14 @@
             });
         }
         let (led, fleet) = (replicas.clone(), self.fleet.clone());
-        supervisor.start("wishes", move || follow_wishes(led.clone(), fleet.clone()));
+        supervisor.start("wishes", move || follow_goals(led.clone(), fleet.clone()));
         let error = replicas.first().context("the store has no groups")?.failed().await;
         // The log also ends when the instance shuts down.
         if self.fleet.is_draining() { Ok(()) } else { Err(error) }
     }
 
     /// What the groups start from. A new folder waits for the decision on their first voters.
-    async fn groups(&self, folder: &Folder) -> Result<Vec<GroupStart>> {
+    async fn groups(&self, folder: &ReplicaFolder) -> Result<Vec<GroupStart>> {
         let start = |founders| GroupStart { founders, state: Box::<Turns>::default() };
         if let Some(groups) = folder.groups()? {
             return Ok((0..groups).map(|_| start(Vec::new())).collect());
@@ -363,7 +365,7 @@
             if !view.group_leaders.is_empty() {
                 let groups = 0..view.group_leaders.len() as u32;
                 return Ok(groups
-                    .map(|g| start(groups::group_founders(&view.store_ring, g)))
+                    .map(|g| start(groups::initial_voters(&view.store_ring, g)))
                     .collect());
             }
             changes.changed().await?;
@@ -372,15 +374,15 @@
 }
 
 /// Tells the replicas of a store which of the stores are to be emptied, and which should lead.
-async fn follow_wishes(replicas: Vec<Arc<Replica>>, fleet: Arc<Fleet>) -> Result<()> {
+async fn follow_goals(replicas: Vec<Arc<Replica>>, fleet: Arc<FleetClient>) -> Result<()> {
     let mut changes = fleet.subscribe();
     loop {
         changes.changed().await?;
         let view = fleet.view();
-        let leaving: Vec<_> = view.retiring.iter().map(|id| ReplicaId(*id)).collect();
+        let retiring: Vec<_> = view.retiring.iter().map(|id| ReplicaId(*id)).collect();
         for replica in &replicas {
-            let home = groups::group_home(&view.store_ring, replica.group());
-            replica.set_wishes(Wishes { leaving: leaving.clone(), home });
+            let preferred_leader = groups::preferred_leader(&view.store_ring, replica.group());
+            replica.set_goals(MembershipGoals { retiring: retiring.clone(), preferred_leader });
         }
     }
 }
@@ -391,12 +393,12 @@
     id: ReplicaId,
 }
 
-impl Report for StoreReport {
+impl HeartbeatReport for StoreReport {
     fn fill<'a>(&'a self, beat: &'a mut peer::Beat) -> BoxFuture<'a, ()> {
         Box::pin(async move { beat.store = Some(self.store.state(self.id.0).await) })
     }
 
-    fn take_shares(&self, _shares: &[peer::TeamShare]) {}
+    fn apply_shares(&self, _shares: &[peer::TeamShare]) {}
 }
 
 /// Hands messages of the replicated logs to the store's replicas, once there are any.
@@ -412,9 +414,9 @@
 }
 
 /// A peer service without duties.
-struct NoDuties;
+struct NoPeerCalls;
 
-impl PeerService for NoDuties {
+impl PeerService for NoPeerCalls {
     fn call(&self, _role: Role, _body: request::Body) -> BoxFuture<'_, response::Body> {
         let message = "a front carries out no calls";
         let failure = poplarspan_node::peer::failure(FailureCode::Invalid, message);
@@ -423,9 +425,9 @@
 }
 
 /// The metrics port of an instance answers as long as the process runs.
-struct Alive;
+struct AlwaysReady;
 
-impl Readiness for Alive {
+impl Readiness for AlwaysReady {
     fn not_ready(&self) -> Option<&'static str> {
         None
     }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -15,7 +15,7 @@
 
 /// What an instance does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
+pub enum InstanceRole {
     /// Replicates the publication, and leads the others when it is elected.
     Control,
     /// Keeps programs and their turns.
@@ -24,7 +24,7 @@
     Front,
 }
 
-impl Duty {
+impl InstanceRole {
     /// Name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -47,23 +47,23 @@
     /// Address of the machine.
     pub ip: Ipv4Addr,
     /// What the instance does.
-    pub duty: Duty,
+    pub role: InstanceRole,
     /// Where callers connect; only for fronts.
-    pub calls: Option<SocketAddr>,
+    pub call_address: Option<SocketAddr>,
     /// Where readiness is asked for; only for fronts.
-    pub readiness: Option<SocketAddr>,
+    pub readiness_address: Option<SocketAddr>,
     /// Where operators connect; only for control replicas.
-    pub orders: Option<SocketAddr>,
+    pub operator_address: Option<SocketAddr>,
     /// First of the ports between instances, the same on all machines.
     pub peer_ports: u16,
     /// Machines of control replicas, as far as they are known at the start.
     pub seeds: Vec<Ipv4Addr>,
     /// Whether the fleet starts for the first time in its life.
-    pub is_founding: bool,
+    pub is_bootstrap: bool,
     /// Folder for durable state.
     pub data_dir: Option<PathBuf>,
     /// Where the platform's list of endpoints is read.
-    pub list: SocketAddr,
+    pub endpoint_list_address: SocketAddr,
     /// Machines with a disk that may be lost at once.
     pub tolerated_losses: usize,
     /// Times that the platform sets.
@@ -76,29 +76,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Time after which a withdrawn key must not work anywhere.
-    pub revoke: Duration,
+    pub key_revocation: Duration,
     /// Time between SIGTERM and SIGKILL.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
 }
 
 impl Settings {
     /// Address of this instance's peer port.
     pub fn peer_address(&self) -> SocketAddr {
-        self.peer_of(self.ip, self.duty)
+        self.peer_address_of(self.ip, self.role)
     }
 
     /// Address of the peer port of the instance with a duty on a machine.
-    pub fn peer_of(&self, ip: Ipv4Addr, duty: Duty) -> SocketAddr {
-        let offset = match duty {
-            Duty::Control => 0,
-            Duty::Store => STORE_PORT,
-            Duty::Front => FRONT_PORT,
+    pub fn peer_address_of(&self, ip: Ipv4Addr, role: InstanceRole) -> SocketAddr {
+        let offset = match role {
+            InstanceRole::Control => 0,
+            InstanceRole::Store => STORE_PORT,
+            InstanceRole::Front => FRONT_PORT,
         };
         SocketAddr::from((ip, self.peer_ports + offset))
     }
 
     /// Peer addresses of the control replicas that are known at the start.
-    pub fn control_peers(&self) -> Vec<SocketAddr> {
-        self.seeds.iter().map(|ip| self.peer_of(*ip, Duty::Control)).collect()
+    pub fn control_peer_addresses(&self) -> Vec<SocketAddr> {
+        self.seeds.iter().map(|ip| self.peer_address_of(*ip, InstanceRole::Control)).collect()
     }
 }
--- a/crates/relay/src/store/mod.rs
+++ b/crates/relay/src/store/mod.rs
@@ -22,7 +22,7 @@
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Calls that a store works on at a time; more are refused at once.
-const MAX_OPEN_CALLS: usize = 192;
+const MAX_CONCURRENT_CALLS: usize = 192;
 
 /// A store.
 pub(crate) struct Store {
@@ -33,7 +33,7 @@
 
 impl Store {
     pub(crate) fn new() -> Arc<Self> {
-        let calls = Semaphore::new(MAX_OPEN_CALLS);
+        let calls = Semaphore::new(MAX_CONCURRENT_CALLS);
         Arc::new(Self { replicas: Mutex::default(), calls })
     }
 
--- a/crates/relay/src/turns.rs
+++ b/crates/relay/src/turns.rs
@@ -12,14 +12,14 @@
 
 /// Time after the last turn of a program for which its account is kept, in milliseconds. A program
 /// that is still known to its caller comes back sooner.
-const KEEP_ACCOUNT_MS: u64 = 10 * 60 * 1000;
+const ACCOUNT_TTL_MS: u64 = 10 * 60 * 1000;
 /// Time for which a turn is kept beyond what was asked for, in milliseconds; covers the difference
 /// between the clocks of successive leaders.
 const RETAIN_MARGIN_MS: u64 = 10_000;
 /// Time between two searches for what has expired, in milliseconds.
-const SWEEP_MS: u64 = 5_000;
+const SWEEP_INTERVAL_MS: u64 = 5_000;
 /// Turns before one turn; a longer line cannot be continued.
-const MAX_DEPTH: usize = 4096;
+const MAX_CHAIN_TURNS: usize = 4096;
 
 /// Team and name of a program or turn.
 type Key = (Name, Name);
@@ -28,18 +28,18 @@
 struct Account {
     used: u64,
     /// Reservations that are not settled, with their tokens, sorted by name.
-    open: Vec<(Name, u64)>,
+    reservations: Vec<(Name, u64)>,
     touched_ms: u64,
 }
 
 impl Account {
     fn committed(&self) -> u64 {
-        self.used + self.open.iter().map(|(_, amount)| amount).sum::<u64>()
+        self.used + self.reservations.iter().map(|(_, amount)| amount).sum::<u64>()
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Kept {
+struct KeptTurn {
     previous: Option<Name>,
     input: Bytes,
     output: Bytes,
@@ -54,7 +54,7 @@
     // Sorted by key.
     accounts: Vec<(Key, Account)>,
     // Sorted by key.
-    turns: Vec<(Key, Kept)>,
+    turns: Vec<(Key, KeptTurn)>,
 }
 
 impl Turns {
@@ -76,7 +76,7 @@
         find(&self.accounts, team, program).map_or(0, |at| self.accounts[at].1.committed())
     }
 
-    /// Kept turns.
+    /// KeptTurn turns.
     pub fn len(&self) -> usize {
         self.turns.len()
     }
@@ -87,14 +87,14 @@
     }
 
     /// A turn and those before it, newest first.
-    fn chain(&self, team: &str, turn: &str) -> Option<Vec<&Kept>> {
+    fn chain(&self, team: &str, turn: &str) -> Option<Vec<&KeptTurn>> {
         let mut chain = Vec::new();
         let mut next = Some(turn);
         while let Some(turn) = next {
             let kept = &self.turns[find(&self.turns, team, turn).ok()?].1;
             chain.push(kept);
             next = kept.previous.as_deref();
-            if chain.len() > MAX_DEPTH {
+            if chain.len() > MAX_CHAIN_TURNS {
                 return None;
             }
         }
@@ -108,11 +108,11 @@
         account.touched_ms = now_ms;
         let name = Name::from(name);
         let remaining = budget.saturating_sub(account.committed());
-        match account.open.binary_search_by(|(n, _)| n.cmp(&name)) {
-            Ok(at) => pb::Reserved { amount: account.open[at].1, remaining },
+        match account.reservations.binary_search_by(|(n, _)| n.cmp(&name)) {
+            Ok(at) => pb::Reserved { amount: account.reservations[at].1, remaining },
             Err(at) if least > 0 && least <= remaining => {
                 let amount = most.max(least).min(remaining);
-                account.open.insert(at, (name, amount));
+                account.reservations.insert(at, (name, amount));
                 pb::Reserved { amount, remaining: remaining - amount }
             }
             Err(_) => pb::Reserved { amount: 0, remaining },
@@ -125,8 +125,8 @@
             let account = &mut self.accounts[at].1;
             account.touched_ms = self.now_ms;
             // A reservation that is not open was settled before.
-            if let Ok(at) = account.open.binary_search_by(|(n, _)| (**n).cmp(&*name)) {
-                account.open.remove(at);
+            if let Ok(at) = account.reservations.binary_search_by(|(n, _)| (**n).cmp(&*name)) {
+                account.reservations.remove(at);
                 account.used += used;
             }
         }
@@ -149,7 +149,7 @@
             next = kept.previous.as_deref().map(str::to_owned);
         }
         let previous = previous.map(Name::from);
-        let kept = Kept { previous, input, output, expires_ms };
+        let kept = KeptTurn { previous, input, output, expires_ms };
         match find(&self.turns, &team, &turn) {
             Ok(at) => self.turns[at].1 = kept,
             Err(at) => self.turns.insert(at, ((team, turn), kept)),
@@ -157,13 +157,13 @@
     }
 
     fn sweep(&mut self) {
-        if self.now_ms < self.swept_ms + SWEEP_MS {
+        if self.now_ms < self.swept_ms + SWEEP_INTERVAL_MS {
             return;
         }
         let now_ms = self.now_ms;
         self.swept_ms = now_ms;
         self.turns.retain(|(_, kept)| now_ms < kept.expires_ms + RETAIN_MARGIN_MS);
-        self.accounts.retain(|(_, account)| now_ms < account.touched_ms + KEEP_ACCOUNT_MS);
+        self.accounts.retain(|(_, account)| now_ms < account.touched_ms + ACCOUNT_TTL_MS);
     }
 
     fn execute(&mut self, command: pb::TurnCommand) -> pb::TurnResult {
@@ -211,13 +211,13 @@
             program: program.to_string(),
             used: account.used,
             open: account
-                .open
+                .reservations
                 .iter()
                 .map(|(name, amount)| pb::Reservation { name: name.to_string(), amount: *amount })
                 .collect(),
             touched_ms: account.touched_ms,
         };
-        let turn = |((team, turn), kept): &(Key, Kept)| pb::Turn {
+        let turn = |((team, turn), kept): &(Key, KeptTurn)| pb::Turn {
             team: team.to_string(),
             turn: turn.to_string(),
             previous: kept.previous.as_deref().map(str::to_owned),
@@ -237,14 +237,14 @@
     fn restore(&mut self, snapshot: &[u8]) -> anyhow::Result<()> {
         let snapshot = pb::TurnSnapshot::decode(Bytes::copy_from_slice(snapshot))?;
         let account = |a: pb::Account| {
-            let open = a.open.into_iter().map(|r| (r.name.into(), r.amount)).collect();
-            let account = Account { used: a.used, open, touched_ms: a.touched_ms };
+            let reservations = a.open.into_iter().map(|r| (r.name.into(), r.amount)).collect();
+            let account = Account { used: a.used, reservations, touched_ms: a.touched_ms };
             ((a.team.into(), a.program.into()), account)
         };
         let turn = |t: pb::Turn| {
             let previous = t.previous.map(Name::from);
             let kept =
-                Kept { previous, input: t.input, output: t.output, expires_ms: t.expires_ms };
+                KeptTurn { previous, input: t.input, output: t.output, expires_ms: t.expires_ms };
             ((t.team.into(), t.turn.into()), kept)
         };
         *self = Self {
--- a/crates/relay/tests/member_changes.rs
+++ b/crates/relay/tests/member_changes.rs
@@ -3,27 +3,27 @@
 use std::{net::Ipv4Addr, time::Duration};
 
 use poplarspan_agreement::ReplicaId;
-use poplarspan_relay::{Members, Step, replica_number};
+use poplarspan_relay::{Members, MembershipChange, replica_id};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 const NOW: Duration = Duration::ZERO;
 const LONG: Duration = Duration::from_secs(9);
 
 fn id(machine: u8, nonce: u32) -> ReplicaId {
-    replica_number(Ipv4Addr::new(10, 0, 0, machine), nonce)
+    replica_id(Ipv4Addr::new(10, 0, 0, machine), nonce)
 }
 
 fn members(voters: &[ReplicaId]) -> Members {
     Members {
-        me: voters[0],
+        self_id: voters[0],
         voters: voters.to_vec(),
         learners: Vec::new(),
         silence: Vec::new(),
         joining: Vec::new(),
-        leaving: Vec::new(),
+        retiring: Vec::new(),
         lagging: Vec::new(),
-        home: None,
-        led_for: LONG,
+        preferred_leader: None,
+        time_as_leader: LONG,
     }
 }
 
@@ -35,15 +35,15 @@
     m.silence = vec![(c, LONG)];
     assert_eq!(m.next_step(), None, "a group of three is made no smaller");
     m.joining = vec![new];
-    assert_eq!(m.next_step(), Some(Step::AddLearner(new)));
+    assert_eq!(m.next_step(), Some(MembershipChange::AddLearner(new)));
     m.learners = vec![new];
     m.lagging = vec![new];
     assert_eq!(m.next_step(), None, "it has not caught up");
     m.lagging.clear();
-    assert_eq!(m.next_step(), Some(Step::Promote(new)));
+    assert_eq!(m.next_step(), Some(MembershipChange::Promote(new)));
     m.learners.clear();
     m.voters.push(new);
-    assert_eq!(m.next_step(), Some(Step::Remove(c)));
+    assert_eq!(m.next_step(), Some(MembershipChange::Remove(c)));
 }
 
 /// A machine that was replaced at another address is removed once its successor votes.
@@ -52,7 +52,7 @@
     let (a, b, c, d) = (id(1, 0), id(2, 0), id(3, 0), id(4, 9));
     let mut m = members(&[a, b, c, d]);
     m.silence = vec![(c, LONG)];
-    assert_eq!(m.next_step(), Some(Step::Remove(c)));
+    assert_eq!(m.next_step(), Some(MembershipChange::Remove(c)));
 }
 
 /// A store that is to be emptied goes only while enough others are left, and hands over first.
@@ -60,13 +60,13 @@
 fn emptied_store() {
     let (a, b, c, d) = (id(1, 0), id(2, 0), id(3, 0), id(4, 0));
     let mut m = members(&[a, b, c]);
-    m.leaving = vec![b];
+    m.retiring = vec![b];
     assert_eq!(m.next_step(), None);
     let mut m = members(&[a, b, c, d]);
-    m.leaving = vec![b];
-    assert_eq!(m.next_step(), Some(Step::Remove(b)));
-    m.leaving = vec![a];
-    assert!(matches!(m.next_step(), Some(Step::HandOver(to)) if to != a));
+    m.retiring = vec![b];
+    assert_eq!(m.next_step(), Some(MembershipChange::Remove(b)));
+    m.retiring = vec![a];
+    assert!(matches!(m.next_step(), Some(MembershipChange::HandOver(to)) if to != a));
 }
 
 /// A group has as many voters as bear the loss of two, and no more.
@@ -77,7 +77,7 @@
     m.joining = vec![id(6, 1)];
     assert_eq!(m.next_step(), None);
     m.voters.pop();
-    assert_eq!(m.next_step(), Some(Step::AddLearner(id(6, 1))));
+    assert_eq!(m.next_step(), Some(MembershipChange::AddLearner(id(6, 1))));
 }
 
 /// A store is not emptied while, without it, those that answer would be no majority. Found by
@@ -87,8 +87,8 @@
     let voters: Vec<_> = (0..7).map(|n| id(n, 0)).collect();
     let mut m = members(&voters);
     m.silence = [1, 3, 5].map(|at| (voters[at], LONG)).to_vec();
-    m.leaving = vec![voters[6]];
-    assert_ne!(m.next_step(), Some(Step::Remove(voters[6])));
+    m.retiring = vec![voters[6]];
+    assert_ne!(m.next_step(), Some(MembershipChange::Remove(voters[6])));
 }
 
 /// A store is emptied after another one has taken its place, so that the group bears as many losses
@@ -97,14 +97,14 @@
 fn emptied_after_successor() {
     let voters: Vec<_> = (1..=5).map(|n| id(n, 0)).collect();
     let mut m = members(&voters);
-    m.leaving = vec![voters[4]];
+    m.retiring = vec![voters[4]];
     m.joining = vec![id(6, 1)];
-    assert_eq!(m.next_step(), Some(Step::AddLearner(id(6, 1))));
+    assert_eq!(m.next_step(), Some(MembershipChange::AddLearner(id(6, 1))));
     m.learners = vec![id(6, 1)];
-    assert_eq!(m.next_step(), Some(Step::Promote(id(6, 1))));
+    assert_eq!(m.next_step(), Some(MembershipChange::Promote(id(6, 1))));
     m.learners.clear();
     m.voters.push(id(6, 1));
-    assert_eq!(m.next_step(), Some(Step::Remove(voters[4])));
+    assert_eq!(m.next_step(), Some(MembershipChange::Remove(voters[4])));
 }
 
 /// The lead goes back to the home of the group, but not soon after an election, and not to a machine
@@ -113,15 +113,15 @@
 fn back_home() {
     let voters: Vec<_> = (1..=5).map(|n| id(n, 0)).collect();
     let mut m = members(&voters);
-    m.home = Some(Ipv4Addr::new(10, 0, 0, 2));
-    assert_eq!(m.next_step(), Some(Step::HandOver(voters[1])));
-    m.led_for = Duration::from_millis(500);
+    m.preferred_leader = Some(Ipv4Addr::new(10, 0, 0, 2));
+    assert_eq!(m.next_step(), Some(MembershipChange::HandOver(voters[1])));
+    m.time_as_leader = Duration::from_millis(500);
     assert_eq!(m.next_step(), None);
-    m.led_for = LONG;
+    m.time_as_leader = LONG;
     m.silence = vec![(voters[1], Duration::from_secs(1))];
     assert_eq!(m.next_step(), None);
     m.silence.clear();
-    m.me = voters[1];
+    m.self_id = voters[1];
     assert_eq!(m.next_step(), None);
 }
 
@@ -148,10 +148,10 @@
             at > 0 && silent[at]
         };
         m.silence = voters.iter().map(|v| (*v, if is_silent(v) { LONG } else { NOW })).collect();
-        m.leaving = voters.iter().enumerate().filter(|(at, _)| leaving[*at]).map(|(_, v)| *v).collect();
+        m.retiring = voters.iter().enumerate().filter(|(at, _)| leaving[*at]).map(|(_, v)| *v).collect();
         m.joining = (0..joins).map(|n| id(20 + n, 1)).collect();
-        if let Some(Step::Remove(gone)) = m.next_step() {
-            prop_assert_ne!(gone, m.me);
+        if let Some(MembershipChange::Remove(gone)) = m.next_step() {
+            prop_assert_ne!(gone, m.self_id);
             let left: Vec<_> = voters.iter().filter(|v| **v != gone).collect();
             let answering = left.iter().filter(|v| !is_silent(v)).count();
             prop_assert!(answering * 2 > left.len(), "{answering} of {} answer", left.len());
--- a/crates/relay/tests/publication_order.rs
+++ b/crates/relay/tests/publication_order.rs
@@ -1,15 +1,15 @@
-//! The board: publications, zones and the stores' group.
+//! The state: publications, zones and the stores' group.
 
 use bytes::Bytes;
 use poplarspan_agreement::StateMachine;
 use poplarspan_proto::relay::{self as pb, board_command::Body};
-use poplarspan_relay::Board;
+use poplarspan_relay::ControlState;
 use proptest::{prelude::*, test_runner::RngSeed};
 use prost::Message;
 
-fn apply(board: &mut Board, body: Body) -> u64 {
+fn apply(state: &mut ControlState, body: Body) -> u64 {
     let command = pb::BoardCommand { body: Some(body) }.encode_to_vec();
-    pb::BoardResult::decode(board.apply(1, &command)).expect("a result").version
+    pb::BoardResult::decode(state.apply(1, &command)).expect("a result").version
 }
 
 fn publish(version: u64, body: &'static str) -> Body {
@@ -19,22 +19,22 @@
 /// A version that is not higher is acknowledged and changes nothing, whatever its content.
 #[test]
 fn highest_wins() {
-    let mut board = Board::default();
-    assert_eq!(apply(&mut board, publish(5, "five")), 5);
-    assert_eq!(apply(&mut board, publish(5, "other")), 5);
-    assert_eq!(apply(&mut board, publish(3, "three")), 5);
-    assert_eq!(&board.body()[..], b"five");
-    assert_eq!(apply(&mut board, publish(9, "nine")), 9);
-    assert_eq!(&board.body()[..], b"nine");
+    let mut state = ControlState::default();
+    assert_eq!(apply(&mut state, publish(5, "five")), 5);
+    assert_eq!(apply(&mut state, publish(5, "other")), 5);
+    assert_eq!(apply(&mut state, publish(3, "three")), 5);
+    assert_eq!(&state.body()[..], b"five");
+    assert_eq!(apply(&mut state, publish(9, "nine")), 9);
+    assert_eq!(&state.body()[..], b"nine");
 }
 
 /// The first voters of the stores are decided once.
 #[test]
 fn founders_stay() {
-    let mut board = Board::default();
-    apply(&mut board, Body::Form(pb::FormStore { ring: vec![3, 1, 2], groups: 2 }));
-    apply(&mut board, Body::Form(pb::FormStore { ring: vec![4], groups: 1 }));
-    assert_eq!((board.store_ring(), board.store_groups()), (&[3, 1, 2][..], 2));
+    let mut state = ControlState::default();
+    apply(&mut state, Body::Form(pb::FormStore { ring: vec![3, 1, 2], groups: 2 }));
+    apply(&mut state, Body::Form(pb::FormStore { ring: vec![4], groups: 1 }));
+    assert_eq!((state.store_ring(), state.store_groups()), (&[3, 1, 2][..], 2));
 }
 
 proptest! {
@@ -47,7 +47,7 @@
     /// The version never goes back, and a snapshot restores the whole state.
     #[test]
     fn never_back(commands in proptest::collection::vec((0u64..20, 0u8..4, 0u8..3), 1..60)) {
-        let mut board = Board::default();
+        let mut state = ControlState::default();
         let mut highest = 0;
         for (version, kind, zone) in commands {
             let zone = format!("z{zone}");
@@ -55,31 +55,31 @@
                 0 | 1 => {
                     highest = highest.max(version);
                     let body = Bytes::from(version.to_string());
-                    apply(&mut board, Body::Publish(pb::Publish { version, body }));
+                    apply(&mut state, Body::Publish(pb::Publish { version, body }));
                 }
                 2 => {
                     let out = version % 2 == 0;
-                    apply(&mut board, Body::Zone(pb::SetZone { zone: zone.clone(), out }));
-                    prop_assert_eq!(board.zones_out().iter().any(|z| **z == *zone), out);
+                    apply(&mut state, Body::Zone(pb::SetZone { zone: zone.clone(), out }));
+                    prop_assert_eq!(state.zones_out().iter().any(|z| **z == *zone), out);
                 }
-                _ => { apply(&mut board, Body::Retire(pb::Retire { instance: zone })); }
+                _ => { apply(&mut state, Body::Retire(pb::Retire { instance: zone })); }
             }
-            prop_assert_eq!(board.version(), highest);
-            let mut copy = Board::default();
-            copy.restore(&board.snapshot()).expect("its own snapshot");
-            prop_assert_eq!(&copy, &board);
+            prop_assert_eq!(state.version(), highest);
+            let mut copy = ControlState::default();
+            copy.restore(&state.snapshot()).expect("its own snapshot");
+            prop_assert_eq!(&copy, &state);
         }
     }
 
     /// Bytes that are no command change nothing.
     #[test]
     fn arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let mut board = Board::default();
-        apply(&mut board, publish(5, "five"));
-        let before = board.clone();
+        let mut state = ControlState::default();
+        apply(&mut state, publish(5, "five"));
+        let before = state.clone();
         if pb::BoardCommand::decode(&bytes[..]).is_err() {
-            board.apply(2, &bytes);
-            prop_assert_eq!(board, before);
+            state.apply(2, &bytes);
+            prop_assert_eq!(state, before);
         }
     }
 }
--- a/crates/relay/tests/store_groups.rs
+++ b/crates/relay/tests/store_groups.rs
@@ -3,10 +3,10 @@
 use std::net::Ipv4Addr;
 
 use poplarspan_agreement::ReplicaId;
-use poplarspan_relay::{group_count, group_founders, group_home, group_of, replica_number};
+use poplarspan_relay::{group_count, group_of, initial_voters, preferred_leader, replica_id};
 
 fn ring(stores: u8) -> Vec<ReplicaId> {
-    (1..=stores).map(|n| replica_number(Ipv4Addr::new(10, 0, 0, n), u32::from(n))).collect()
+    (1..=stores).map(|n| replica_id(Ipv4Addr::new(10, 0, 0, n), u32::from(n))).collect()
 }
 
 /// The leaders of a fleet with many stores are on different machines.
@@ -14,8 +14,9 @@
 fn homes_differ() {
     for stores in 1..=32 {
         let ring = ring(stores);
-        let mut homes: Vec<_> =
-            (0..group_count(ring.len())).map(|g| group_home(&ring, g).expect("a home")).collect();
+        let mut homes: Vec<_> = (0..group_count(ring.len()))
+            .map(|g| preferred_leader(&ring, g).expect("a home"))
+            .collect();
         let count = homes.len();
         homes.sort_unstable();
         homes.dedup();
@@ -30,7 +31,7 @@
     for stores in 1..=32u8 {
         let ring = ring(stores);
         for group in 0..group_count(ring.len()) {
-            let mut voters = group_founders(&ring, group);
+            let mut voters = initial_voters(&ring, group);
             assert_eq!(voters.len(), ring.len().min(5));
             voters.sort_unstable();
             voters.dedup();
@@ -46,7 +47,7 @@
     let stores = ring(11);
     let zone = |id: &ReplicaId| (stores.iter().position(|r| r == id).expect("a store")) % 4;
     for group in 0..group_count(stores.len()) {
-        let voters = group_founders(&stores, group);
+        let voters = initial_voters(&stores, group);
         for lost in 0..4 {
             let left = voters.iter().filter(|v| zone(v) != lost).count();
             assert!(left * 2 > voters.len(), "group {group} without zone {lost}");
