--- a/crates/relay/src/call.rs
+++ b/crates/relay/src/call.rs
@@ -1,11 +1,11 @@
-//! What requests and answers say, independent of the names that a protocol gives it.
+//! Contents of requests and responses, independent of the header names of a protocol.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use poplarspan_policy::Name;
 
-/// Secret that a caller presents. Never logged, and never sent to an endpoint.
+/// API key of a caller. It is never logged and never sent to an endpoint.
 #[derive(Clone)]
 pub struct Secret(pub Bytes);
 
@@ -18,40 +18,41 @@
 /// Head of a caller's request.
 #[derive(Clone, Debug)]
 pub struct CallHead {
-    /// Names this attempt of the caller; sent to the endpoint, which repeats it.
+    /// Identifies this attempt of the caller. It is sent to the endpoint, which returns it.
     pub id: Name,
-    /// Host that the caller addressed, without a port.
+    /// Host of the request, without the port.
     pub host: Name,
-    /// Key of a team.
+    /// API key, which identifies the team.
     pub key: Option<Secret>,
-    /// For how long the caller waits.
+    /// How long the caller waits for a response.
     pub time_left: Option<Duration>,
     /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_output_tokens: u32,
     /// The program that the call belongs to.
     pub program: Option<ProgramHead>,
-    /// Object that the call is about; calls about the same one are served faster together.
+    /// Key of the object that the call is about. Calls with the same key are faster at the same
+    /// endpoint.
     pub affinity: Option<Name>,
-    /// Event after which a stream goes on.
+    /// Id of the event after which a stream is resumed.
     pub last_event: Option<Name>,
 }
 
-/// What a call says of its program.
+/// The parts of a call's head that concern its program.
 #[derive(Clone, Debug)]
 pub struct ProgramHead {
-    /// Names the program.
+    /// Identifies the program.
     pub id: Name,
-    /// Names the line of turns within the program: the main one, or a sub-agent's.
+    /// Identifies the conversation within the program: the main one, or that of a sub-agent.
     pub conversation: Option<Name>,
-    /// Time until the whole program should have ended.
+    /// Time until the deadline of the whole program.
     pub time_left: Option<Duration>,
-    /// Tokens that all turns of the program may generate.
+    /// Maximum number of tokens that all turns of the program may generate.
     pub token_budget: Option<u64>,
-    /// Kept turn that this one continues.
+    /// The kept turn that this one continues.
     pub previous_turn: Option<Name>,
 }
 
@@ -64,103 +65,103 @@
     pub tokens: u32,
 }
 
-/// What a request to an endpoint says beyond the caller's request.
+/// What is added to the caller's request before it is sent to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Forward {
-    /// Endpoint that alone may run it.
+    /// The only endpoint that may run the request.
     pub endpoint: Name,
-    /// Team of the caller's key.
+    /// Team that the caller's key belongs to.
     pub team: Option<Name>,
-    /// Time after which the endpoint may stop.
+    /// Time after which the endpoint may abandon the request.
     pub time_left: Duration,
-    /// Order among the requests that wait at a model engine, 0 first; none for plain services.
+    /// Priority among the requests that wait at a model engine, 0 first; `None` for plain services.
     pub urgency: Option<u8>,
-    /// Event after which the stream goes on, when this is not its first run.
+    /// Id of the event after which the stream is resumed, if this is not its first run.
     pub last_event: Option<Name>,
 }
 
-/// Head of an endpoint's answer.
+/// Head of an endpoint's response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// Whether the endpoint states that it has not run the request.
+    /// Whether the endpoint states that it did not run the request.
     pub not_run: bool,
-    /// Whether another endpoint than the expected one has answered.
+    /// Whether the response came from a different endpoint than the expected one.
     pub is_other_endpoint: bool,
-    /// Whether the answer carries the mark that only an endpoint can put on it.
+    /// Whether the response carries the seal that only an endpoint can create.
     pub is_sealed: bool,
-    /// Whether the body is encoded, which endpoints do not do.
+    /// Whether the body has a content encoding, which endpoints never use.
     pub is_encoded: bool,
-    /// Whether the endpoint says that it is about to stop.
+    /// Whether the endpoint announces that it is about to stop.
     pub is_leaving: bool,
-    /// Load when the answer was made.
+    /// Load of the endpoint when it made the response.
     pub load: Option<Load>,
 }
 
 /// Load of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// An endpoint in the platform's list.
+/// An endpoint in the platform's endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEndpoint {
-    /// Names this start of the endpoint.
+    /// Identifies this run of the endpoint; a restart gets a new name in most cases.
     pub name: Name,
-    /// Service that it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: Name,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: std::net::SocketAddr,
     /// Availability zone.
     pub zone: Name,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// Whether it is about to stop.
     pub leaving: bool,
-    /// For how long it stays cold.
+    /// How much longer the endpoint is in its cold start phase.
     pub cold_left: Duration,
-    /// Time of its start in milliseconds since 1970, if the list says it.
+    /// Start time in milliseconds since the Unix epoch, if the list has it.
     pub started_ms: Option<u64>,
 }
 
-/// A page of the platform's list.
+/// A page of the platform's endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct ListPage {
-    /// Entries that name an endpoint.
+    /// Entries that could be parsed.
     pub endpoints: Vec<ListedEndpoint>,
-    /// Entries that could not be read.
+    /// Number of entries that could not be parsed.
     pub unreadable: u32,
-    /// Token of the next page.
+    /// Token of the next page; `None` on the last one.
     pub next: Option<String>,
 }
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorRequest {
     /// Publish a set of objects.
     Publish,
     /// Return the objects in force.
     Read,
-    /// Take a zone out, or back in.
+    /// Take a zone out of service, or put it back.
     Zone {
-        /// The zone.
+        /// Name of the zone.
         zone: Name,
-        /// Whether it is to be out.
+        /// Whether the zone is to be out of service.
         out: bool,
     },
-    /// Empty an instance that stores programs.
+    /// Drain a store, so that it holds no program data.
     Retire {
-        /// The instance.
+        /// Name of the instance.
         instance: Name,
     },
-    /// Return how far the emptying of an instance is.
+    /// Return whether the draining of an instance has completed.
     RetireStatus {
-        /// The instance.
+        /// Name of the instance.
         instance: Name,
     },
 }
--- a/crates/relay/src/control/endpoint_list.rs
+++ b/crates/relay/src/control/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of endpoints, for the whole fleet.
+//! Polls the platform's endpoint list on behalf of the whole fleet.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,17 +12,17 @@
 use super::Control;
 use crate::ListedEndpoint;
 
-/// Time between two readings. With the age of the list itself and the time until the next beat it
-/// stays well below the time that a leaving endpoint goes on serving.
+/// Time between two reads. Together with the age of the list and the time to the next heartbeat, it
+/// stays well below the time that a leaving endpoint keeps serving.
 const POLL_INTERVAL: Duration = Duration::from_millis(600);
-/// Pause after a reading that failed.
+/// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_PAGE_BYTES: usize = 4 << 20;
-/// Pages of one reading; a list that has more is not taken.
+/// Maximum number of pages; a longer list is rejected.
 const MAX_PAGES: usize = 256;
 
-/// Reads the list while its replica leads.
+/// Polls the endpoint list while its replica leads.
 pub(crate) struct EndpointListReader {
     control: Arc<Control>,
     pool: Arc<Pool>,
@@ -35,7 +35,7 @@
         Self { control, pool: Pool::new(cfg), is_failing: false }
     }
 
-    /// Reads until the task is ended.
+    /// Polls until the task is cancelled.
     pub(crate) async fn run(mut self) -> Result<()> {
         loop {
             if self.control.leader_state().is_none() {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Reads all pages, sorted by name.
+    /// Reads all pages and sorts the endpoints by name.
     async fn read(&self) -> Result<Vec<ListedEndpoint>> {
         let mut endpoints: Vec<ListedEndpoint> = Vec::new();
         let mut unreadable = 0;
--- a/crates/relay/src/control/forwarding.rs
+++ b/crates/relay/src/control/forwarding.rs
@@ -1,7 +1,7 @@
-//! Hands an operator's order on to the replica that leads, and its answer back.
+//! Forwards operators' requests to the leader, and detects suspensions of the process.
 //!
-//! An operator that is led from replica to replica may end at one that has just stopped answering.
-//! So each replica carries the order itself, within the time that an operator waits for it.
+//! An operator that follows redirects may reach a replica that has just stopped responding. Each
+//! replica therefore forwards the request itself, within the operator's timeout.
 
 use std::{
     net::SocketAddr,
@@ -20,37 +20,37 @@
 use poplarspan_node::pool::{Pool, PoolConfig};
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Marks an order that was handed on. It is not handed on again.
+/// Marks a forwarded request, which is not forwarded again.
 pub(super) const FORWARDED: HeaderName = HeaderName::from_static("x-poplarspan-handed-on");
-/// Longest time for one try to hand an order on; several times what a commit takes.
+/// Timeout of one attempt to forward a request; several times the length of a commit.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Further time for each megabyte of the order.
+/// Additional time for each MiB of the request.
 const TIME_PER_MIB: Duration = Duration::from_secs(1);
 const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// A replica that did not run for longer than this was suspended.
+/// A process that did not run for longer than this was suspended.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(400);
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Time after a suspension in which what had arrived before it has been read.
+/// Time after a suspension in which all data that arrived before it has been read.
 const STALE_WINDOW: Duration = Duration::from_millis(500);
 
-/// An order as it arrived.
+/// An operator's request as it arrived.
 pub(super) struct ReceivedRequest {
     pub(super) method: Method,
     pub(super) path: String,
     pub(super) body: Bytes,
-    /// Whether another replica has handed it on.
+    /// Whether another replica has forwarded it.
     pub(super) is_forwarded: bool,
 }
 
 impl ReceivedRequest {
-    /// Further time that the size of the order takes.
+    /// Additional time for the size of the request.
     pub(super) fn transfer_time(&self) -> Duration {
         TIME_PER_MIB * u32::try_from(self.body.len() >> 20).unwrap_or(u32::MAX)
     }
 }
 
-/// Connections to the other replicas' ports for operators.
+/// Client for the operator ports of the other replicas.
 pub(super) struct Forwarder {
     pool: Arc<Pool>,
 }
@@ -60,7 +60,7 @@
         Self { pool: Pool::new(PoolConfig::new(FORWARDED)) }
     }
 
-    /// Sends an order to the replica that leads; returns the status and body of its answer.
+    /// Sends a request to the leader and returns the status and body of the response.
     pub(super) async fn send(
         &self,
         leader: SocketAddr,
@@ -74,7 +74,7 @@
         let host = HeaderValue::from_str(&leader.to_string()).context("an address is ASCII")?;
         req.headers_mut().insert(header::HOST, host);
         req.headers_mut().insert(FORWARDED, HeaderValue::from_static("1"));
-        // On a connection of its own: one that was used before may lead to a replica that is gone.
+        // Uses a new connection, because a pooled one may lead to a replica that is gone.
         let exchange = self.pool.send(leader, req, true, until).await?;
         let (response, _closed_when_read) = exchange.into_parts();
         let status = response.status();
@@ -84,15 +84,15 @@
     }
 }
 
-/// Notices that the process was suspended.
+/// Detects that the process was suspended.
 ///
-/// Orders that arrived before a suspension are read after it, when their operators have long turned
-/// to other replicas. Carried out then, they could undo what was ordered since.
+/// Requests that arrived before a suspension are read after it, when the operators have already
+/// turned to other replicas. Executing them then could undo later requests.
 pub(super) struct SuspensionWatch {
     clock: Arc<dyn Clock>,
-    /// When the process was last seen to run, in milliseconds of the clock.
+    /// When the process was last seen running, in milliseconds of `clock`.
     last_run_ms: AtomicU64,
-    /// Until when orders may date from before a suspension, likewise.
+    /// Until when requests may have arrived before a suspension, in milliseconds of `clock`.
     stale_until_ms: AtomicU64,
 }
 
@@ -102,7 +102,7 @@
         Arc::new(Self { clock, last_run_ms, stale_until_ms: AtomicU64::new(0) })
     }
 
-    /// Watches until the task is ended.
+    /// Checks for suspensions until the task is cancelled.
     pub(super) async fn run(self: Arc<Self>) -> Result<()> {
         loop {
             self.check();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether an order that is read now may have arrived before a suspension.
+    /// Whether a request that is read now may have arrived before a suspension.
     pub(super) fn is_stale(&self) -> bool {
         self.check();
         millis(self.clock.now()) < self.stale_until_ms.load(Ordering::Relaxed)
--- a/crates/relay/src/control/leader_state.rs
+++ b/crates/relay/src/control/leader_state.rs
@@ -1,8 +1,8 @@
-//! What the leader of the control group knows in memory: live instances, the list of endpoints, the
-//! shares of each team's rate, and requests under which endpoints have ended.
+//! In-memory state of the control leader: live instances, the endpoint list, the shares of each
+//! team's rate and suspected requests.
 //!
-//! Owner: the leader of a term. A successor starts with nothing, and learns instances from their
-//! next beats, endpoints from the platform's list, and shares and suspects from what instances report.
+//! A new leader starts with empty state. It learns of instances from their heartbeats, of endpoints
+//! from the platform's list, and of shares and suspects from the reports of instances.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -17,17 +17,17 @@
 use super::suspects::Suspects;
 use crate::{ListedEndpoint, Publication};
 
-/// Time by which the clocks of two machines may drift apart during a lease.
+/// Maximum drift between the clocks of two machines during a lease.
 const DRIFT_MARGIN: Duration = Duration::from_millis(100);
-/// Time after the first store was seen in which the other founders must have been seen: all
+/// Time after the first store was seen until the set of initial stores is considered complete. All
 /// instances of a new fleet start together.
 const STORE_DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
-/// Time between two log lines about a team whose programs are held back.
+/// Minimum time between two log lines about a throttled team.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// A new leader knows all live instances after this time: each sends several beats in it.
+/// Time until a new leader has heard from all live instances, which send several heartbeats in it.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_000);
 
-/// A live instance.
+/// An instance with an unexpired lease.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) name: Name,
@@ -39,23 +39,23 @@
     lease_until: Duration,
 }
 
-/// The list of endpoints, and when it was read.
+/// The endpoint list and when it was read.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Directory {
-    /// Differs between lists, also between those of different leaders; 0 until one was read.
+    /// Identifies the list, also across leaders; 0 until a list was read.
     pub(crate) number: u64,
     pub(crate) endpoints: Vec<ListedEndpoint>,
     read_at: Duration,
 }
 
-/// Calls of a team that could not begin a program, since the last line about it in the log.
+/// A team whose programs were refused, with the number of calls since the last log line.
 struct ThrottledTeam {
     team: Name,
     calls: u32,
     logged_at: Option<Duration>,
 }
 
-/// State of a leader in one term.
+/// State of the leader in one term.
 pub(crate) struct LeaderState {
     pub(crate) term: u64,
     since: Duration,
@@ -68,7 +68,7 @@
     // Sorted by team.
     throttled: Vec<ThrottledTeam>,
     pub(crate) suspects: Suspects,
-    /// Instances that joined or were lost, for the log.
+    /// Instances that joined or were lost since the last call of `take_changes`.
     changes: VecDeque<(Name, &'static str)>,
 }
 
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Whether every live instance has had the time to send a beat to this leader.
+    /// Whether every live instance has had time to send a heartbeat to this leader.
     pub(crate) fn has_seen_all_instances(&self, now: Duration) -> bool {
         now >= self.since + DISCOVERY_TIME
     }
 
-    /// Takes note of the sender of a beat.
+    /// Records the sender of a heartbeat. Returns `None` if its address is malformed.
     pub(crate) fn note_heartbeat(&mut self, beat: &peer::Beat, now: Duration) -> Option<()> {
         let address = beat.peer_address.parse().ok()?;
         self.expire(now);
@@ -119,7 +119,7 @@
         Some(())
     }
 
-    /// Forgets instances whose lease has run out.
+    /// Removes instances whose lease has expired.
     fn expire(&mut self, now: Duration) {
         let Self { members, changes, .. } = self;
         members.retain(|m| {
@@ -131,12 +131,12 @@
         });
     }
 
-    /// Changes of the live instances since the last call.
+    /// Takes the changes of the live instances since the last call.
     pub(crate) fn take_changes(&mut self) -> impl Iterator<Item = (Name, &'static str)> + '_ {
         self.changes.drain(..)
     }
 
-    /// Live instances with a duty.
+    /// Live instances with a role.
     pub(crate) fn members(&self, duty: PbDuty) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(move |m| m.duty == duty)
     }
@@ -146,14 +146,14 @@
         Some(&self.members[at])
     }
 
-    /// Place of an instance among those that serve callers.
+    /// Rank of an instance among the fronts, and their number.
     pub(crate) fn place(&self, name: &str) -> Place {
         let fronts = || self.members(PbDuty::Front);
         let rank = fronts().take_while(|m| *m.name < *name).count();
         Place { rank: rank as u32, of: fronts().count().max(1) as u32 }
     }
 
-    /// The store that leads a group, as far as a live one says so, and the group's voters.
+    /// The live store that reports to lead a group, and the group's voters.
     fn group_leader(&self, group: u32) -> Option<(&Member, &peer::LedGroup)> {
         let led = self.members(PbDuty::Store).filter_map(|m| {
             let group = m.store.as_ref()?.leads.iter().find(|g| g.group == group)?;
@@ -162,7 +162,7 @@
         led.max_by_key(|(m, _)| m.lease_until)
     }
 
-    /// Whether a store votes in none of the groups. None while it cannot be told.
+    /// Whether a store votes in no group. `None` if the leader of a group is unknown.
     pub(crate) fn is_drained(&self, instance: &str, groups: u32) -> Option<bool> {
         let replica = self.member(instance)?.store.as_ref()?.replica;
         let mut is_empty = true;
@@ -183,7 +183,7 @@
         self.members(PbDuty::Store).map(|m| m.address.to_string()).collect()
     }
 
-    /// For each group, the place of its leader among the stores, from 1; 0 if it is not known.
+    /// For each group, the 1-based position of its leader among the stores, or 0 if it is unknown.
     pub(crate) fn group_leaders(&self, groups: u32) -> Vec<u32> {
         let place = |leader: &Member| {
             let at = self.members(PbDuty::Store).position(|m| m.name == leader.name);
@@ -192,8 +192,8 @@
         (0..groups).map(|g| self.group_leader(g).map_or(0, |(leader, _)| place(leader))).collect()
     }
 
-    /// The stores in the order in which groups take their first voters, when it is time to decide it.
-    /// Neighbours are in different zones.
+    /// The stores in the order in which groups take their initial voters, with neighbors in
+    /// different zones. `None` until the set of stores is considered complete.
     pub(crate) fn store_ring(&self, now: Duration) -> Option<Vec<u64>> {
         let stores: Vec<&Member> = self.members(PbDuty::Store).collect();
         let first = stores.iter().map(|m| m.first_seen).min()?;
@@ -209,10 +209,10 @@
         Some(ranked.into_iter().map(|(_, id)| id).collect())
     }
 
-    /// Replaces the list of endpoints. Returns whether it changed.
+    /// Replaces the endpoint list. Returns whether it changed.
     pub(crate) fn set_directory(&mut self, endpoints: Vec<ListedEndpoint>, now: Duration) -> bool {
         let same = |a: &ListedEndpoint, b: &ListedEndpoint| {
-            // A countdown that goes on is no change.
+            // The passing of time in a cold start countdown is not a change.
             let (a_until, b_until) = (self.directory.read_at + a.cold_left, now + b.cold_left);
             let is_warm = a.cold_left.is_zero() && b.cold_left.is_zero();
             let is_as_cold = !a.cold_left.is_zero()
@@ -241,7 +241,8 @@
         self.directory.number
     }
 
-    /// The list of endpoints for an instance that holds the list `held`. None if it is current.
+    /// The endpoint list for an instance that holds list number `held`, or `None` if that is
+    /// current.
     pub(crate) fn directory_for(&self, held: u64, now: Duration) -> Option<peer::Directory> {
         if self.directory.number == 0 || self.directory.number == held {
             return None;
@@ -261,7 +262,7 @@
         Some(peer::Directory { number: self.directory.number, endpoints })
     }
 
-    /// Shares out the rates of the teams that an instance reports.
+    /// Allocates the rates of the teams that an instance reports.
     pub(crate) fn allocate_shares(
         &mut self,
         instance: &Name,
@@ -293,7 +294,8 @@
         shares
     }
 
-    /// Takes one token of a team's reserve or gives one back, or lets a program of the team begin.
+    /// Takes a token from a team's reserve, returns one, or admits a new program of the team. On
+    /// failure returns the time after which to retry, if it is known.
     pub(crate) fn borrow(
         &mut self,
         borrow: &peer::Borrow,
@@ -323,7 +325,7 @@
         Ok(())
     }
 
-    /// Logs why programs of a team do not begin, once in a while.
+    /// Logs that programs of a team are refused, at a limited rate.
     fn note_throttled(&mut self, team: &Name, limit: Option<Limit>, load: TeamLoad, now: Duration) {
         let at = match self.throttled.binary_search_by(|h| h.team.cmp(team)) {
             Ok(at) => at,
--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! Duties of a control replica: it replicates the board, and while it leads, it gives leases to the
-//! other instances, reads the list of endpoints and carries out orders.
+//! A control replica: replicates the control state and, while it leads, grants leases to the other
+//! instances, polls the endpoint list and executes operators' requests.
 
 mod endpoint_list;
 mod forwarding;
@@ -35,16 +35,16 @@
 pub(crate) use endpoint_list::EndpointListReader;
 pub(crate) use operator_api::OperatorServer;
 
-/// Part of the bound for withdrawn keys that a lease lasts. The rest covers the time until an
-/// instance asks again.
+/// Fraction of the key revocation time that a lease lasts. The rest covers the time until an
+/// instance sends its next heartbeat.
 const LEASE_FRACTION: f64 = 0.6;
 
-/// Length of the leases of fronts.
+/// Duration of a lease.
 pub(crate) fn lease_length(settings: &Settings) -> Duration {
     settings.bounds.key_revocation.mul_f64(LEASE_FRACTION)
 }
 
-/// A control replica.
+/// Handles the peer calls of a control replica.
 pub(crate) struct Control {
     settings: Arc<Settings>,
     replica: Arc<Replica>,
@@ -55,7 +55,7 @@
 
 struct State {
     leader: LeaderState,
-    /// The publication in force, for its limits.
+    /// The publication in force, for its rate limits.
     publication: Option<Arc<Publication>>,
 }
 
@@ -71,7 +71,7 @@
         Arc::new(Self { settings, replica, protocol, clock, state })
     }
 
-    /// The state of the current term. None when this replica does not lead.
+    /// Locks the state of the current term. Returns `None` if this replica does not lead.
     fn leader_state(&self) -> Option<MutexGuard<'_, State>> {
         let term = self.replica.leads()?;
         let mut state = self.state.lock().expect("no panic while locked");
@@ -83,7 +83,7 @@
         Some(state)
     }
 
-    /// The publication in force, read anew when the board has another version.
+    /// The publication in force, parsed again when the version has changed.
     fn publication(
         &self,
         state: &mut State,
@@ -104,7 +104,7 @@
         state.publication.clone()
     }
 
-    /// A lease for an instance, with what changed since its last one.
+    /// Answers a heartbeat with a lease and the changes since the instance's last heartbeat.
     async fn handle_heartbeat(&self, beat: peer::Beat) -> Result<peer::BeatAnswer, peer::Failure> {
         let control_state = self.control_state().await?;
         let voters = self.replica.voters().await;
@@ -149,14 +149,15 @@
         self.settings.peer_address_of(machine(id), InstanceRole::Control).to_string()
     }
 
-    /// The board, read behind a read barrier.
+    /// Reads the control state behind a read barrier.
     async fn control_state(&self) -> Result<ControlState, peer::Failure> {
         let control_state = self.replica.query(ControlState::clone).await;
         control_state.ok_or_else(|| self.replica.not_leader())
     }
 
     async fn borrow(&self, borrow: peer::Borrow) -> Result<peer::Borrowed, peer::Failure> {
-        // Tokens are given out by a leader whose lease holds, so that two leaders never do.
+        // The read barrier ensures that only a leader with a valid lease lends tokens, so two
+        // leaders never do.
         let control_state = self.control_state().await?;
         let now = self.clock.now();
         let mut state = self.leader_state().ok_or_else(|| self.replica.not_leader())?;
@@ -176,7 +177,7 @@
         Timestamps { monotonic: self.clock.now(), epoch_ms: now_ms() }
     }
 
-    /// Rules on events of requests under which endpoints end.
+    /// Handles events about requests that endpoints terminate under.
     async fn handle_suspect_events(
         &self,
         events: peer::SuspectEvents,
@@ -199,13 +200,13 @@
         Ok(peer::SuspectRulings { rulings })
     }
 
-    /// Commits a command of the board.
+    /// Commits a command and returns the version of the publication in force.
     async fn commit(&self, body: board_command::Body) -> Result<u64, ProposeError> {
         let result = self.replica.propose(control_state::encode_command(body)).await?;
         Ok(pb::BoardResult::decode(result).map_or(0, |r| r.version))
     }
 
-    /// Decides how the stores form groups, once they are known.
+    /// Forms the store groups once the stores are known.
     pub(crate) async fn run_group_formation(self: Arc<Self>) -> anyhow::Result<()> {
         const INTERVAL: Duration = Duration::from_millis(200);
         loop {
@@ -229,7 +230,7 @@
     }
 }
 
-/// Reads and checks a set of objects.
+/// Parses and validates a publication.
 pub(crate) fn read_publication(
     protocol: &dyn Protocol,
     version: u64,
--- a/crates/relay/src/control/operator_api.rs
+++ b/crates/relay/src/control/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: publishes, takes zones out, empties stores.
+//! HTTP server for operators: publishes objects, takes zones out of service and drains stores.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,23 +26,23 @@
 };
 use crate::{ControlState, OperatorRequest, Publication, replica::membership::MIN_VOTERS};
 
-/// Largest publication, in bytes.
+/// Maximum size of a publication, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Time in which the body of an order must arrive.
+/// Time in which the body of a request must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time in which an order is committed, or its outcome is left open.
+/// Time in which a command must commit; afterwards its outcome is unknown.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_CONNECTIONS: usize = 256;
 
-/// Time in which an order is handed on; operators turn to another replica after a second.
+/// Total time for forwarding a request. Operators turn to another replica after a second.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(850);
-/// Pause before a further try, in which another replica may be elected.
+/// Pause before the next attempt, in which another replica may be elected.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 type Answer = Response<Full<Bytes>>;
 
-/// This replica does not lead, or leads no more.
+/// This replica is not the leader.
 struct NotLeading;
 
 /// Serves operators.
@@ -60,12 +60,12 @@
         Arc::new(Self { control, forwarder: Forwarder::new(), watch, slots })
     }
 
-    /// Watches for suspensions until the task is ended.
+    /// Detects suspensions until the task is cancelled.
     pub(crate) async fn run_watch(self: Arc<Self>) -> Result<()> {
         self.watch.clone().run().await
     }
 
-    /// Accepts connections until the task is ended.
+    /// Accepts connections until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>, socket: Arc<TcpListener>) -> Result<()> {
         loop {
             let permit = self.slots.clone().acquire_owned().await?;
@@ -118,7 +118,7 @@
         Ok(ReceivedRequest { method: parts.method, path, body, is_forwarded })
     }
 
-    /// Carries an order out, here or at the replica that leads.
+    /// Executes a request locally or forwards it to the leader.
     async fn execute(&self, order: &OperatorRequest, received: &ReceivedRequest) -> Answer {
         if self.watch.is_stale() {
             let message = "the order may date from before a suspension";
@@ -145,7 +145,7 @@
         self.refuse(StatusCode::SERVICE_UNAVAILABLE, "no replica that leads can be reached")
     }
 
-    /// The answer of the replica that leads, unless it has none to this order.
+    /// Returns the leader's response, or `None` if it could not handle the request.
     async fn forward(&self, received: &ReceivedRequest, until: Instant) -> Option<Answer> {
         let port = self.control.settings.operator_address?.port();
         let leader = SocketAddr::new(self.control.replica.leader()?.ip(), port);
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Carries an order out while this replica leads.
+    /// Executes a request if this replica leads.
     async fn execute_as_leader(
         &self,
         order: &OperatorRequest,
@@ -233,7 +233,7 @@
                 .members(PbDuty::Store)
                 .filter(|m| m.name != *instance && !control_state.retiring().contains(&m.name))
                 .count();
-            // As many as bear what may be lost at once, and still are a majority.
+            // The remaining stores must keep a majority when `tolerated_losses` of them fail.
             let needed = 2 * self.control.settings.tolerated_losses + 1;
             if stays < needed.max(MIN_VOTERS) {
                 return Ok(self.refuse(StatusCode::CONFLICT, "too few stores would be left"));
@@ -248,7 +248,7 @@
             return Ok(self.refuse(StatusCode::NOT_FOUND, "this store is not being emptied"));
         }
         let state = self.control.leader_state().ok_or(NotLeading)?;
-        // While a leader is not known, nobody can say that the store holds nothing.
+        // While the leader of a group is unknown, the store is not known to be drained.
         let is_done =
             state.leader.is_drained(instance, control_state.store_groups()).unwrap_or(false);
         Ok(json_response(StatusCode::OK, self.control.protocol.retire_status_body(is_done)))
--- a/crates/relay/src/control/suspects.rs
+++ b/crates/relay/src/control/suspects.rs
@@ -1,4 +1,4 @@
-//! The leader's part in the quarantine of requests under which endpoints end.
+//! The leader's part of the quarantine of requests that endpoints terminate under.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,12 +17,12 @@
     control_state::{BlockedRequest, read_fingerprint, write_fingerprint},
 };
 
-/// Time beyond that of the run in which an instance finds out how a trial has ended.
+/// Time beyond the run in which a front determines the result of a trial.
 const TRIAL_RESULT_TIMEOUT: Duration = Duration::from_secs(4);
-/// A condemned request is on the board within this time, or goes on trial again.
+/// A blocked request is in the replicated state within this time, or goes on trial again.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A time since the leader's start, and the same as milliseconds since the epoch.
+/// The same moment on the monotonic clock and in milliseconds since the Unix epoch.
 #[derive(Clone, Copy)]
 pub(crate) struct Timestamps {
     pub(crate) monotonic: Duration,
@@ -32,15 +32,15 @@
 /// Suspects of one term, and the list of them that instances hold.
 pub(crate) struct Suspects {
     quarantine: Quarantine,
-    /// As in [`peer::Quarantine`].
+    /// List number, as in [`peer::Quarantine`].
     number: u64,
-    /// Until when requests are refused whose blocked_request may not be on the board yet.
+    /// Until when requests are refused whose block may not have been committed yet.
     pending_block_until: Option<Duration>,
-    /// As last seen on the board.
+    /// Blocked requests as last seen in the control state.
     blocked: Arc<Vec<BlockedRequest>>,
-    /// Those on the board that are refused, sorted.
+    /// Requests whose block is in force, sorted.
     refused: Vec<Fingerprint>,
-    /// When one of them goes on trial, in milliseconds since the epoch.
+    /// When the next block expires, in milliseconds since the Unix epoch.
     next_unblock_ms: u64,
 }
 
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Follows what is condemned: it is refused, and then goes on trial.
+    /// Follows the blocked requests of the control state: they are refused until the block expires,
+    /// and then go on trial.
     fn sync_blocked(&mut self, control_state: &ControlState, now: Timestamps) {
         if self.pending_block_until.take_if(|until| now.monotonic >= *until).is_some() {
             self.number += 1;
@@ -80,7 +81,8 @@
         self.number += 1;
     }
 
-    /// Follows what is condemned, and takes over the suspects of a former leader.
+    /// Follows the blocked requests, and adopts the suspects of a previous leader from an
+    /// instance's heartbeat.
     pub(crate) fn observe(
         &mut self,
         control_state: &ControlState,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Refuses a request, which is on its way to the board.
+    /// Refuses a request and returns the command that records the block.
     fn block(&mut self, request: Fingerprint, now: Timestamps) -> board_command::Body {
         let until = now.monotonic + COMMIT_TIMEOUT;
         if self.quarantine.condemn(request, until, now.monotonic) {
@@ -112,7 +114,7 @@
         board_command::Body::Condemn(pb::Condemn { request, at_ms: now.epoch_ms, times: 0 })
     }
 
-    /// The list for an instance that holds the list `held`. None if it is current.
+    /// The list for an instance that holds list number `held`, or `None` if that is current.
     pub(crate) fn list_for(&self, held: u64, now: Timestamps) -> Option<peer::Quarantine> {
         if held == self.number {
             return None;
@@ -132,7 +134,7 @@
         self.refused.binary_search(&request).is_ok()
     }
 
-    /// Rules on an event. The command, if there is one, is to be committed before the answer.
+    /// Handles an event. The returned command, if any, must be committed before the answer is sent.
     pub(crate) fn handle_event(
         &mut self,
         event: &peer::SuspectEvent,
@@ -148,7 +150,8 @@
         match event.kind() {
             SuspectEventKind::EndpointEnded => {
                 let is_on_trial = self.quarantine.is_on_trial(request, &endpoint);
-                // An event that is told again asks for a command that may have failed.
+                // For a repeated event the command is returned again, because it may not have been
+                // committed.
                 if self.quarantine.is_condemned(request, now.monotonic)
                     || (is_on_trial && !is_blocked)
                 {
--- a/crates/relay/src/control_state.rs
+++ b/crates/relay/src/control_state.rs
@@ -1,8 +1,8 @@
-//! What the control group replicates: the publication, zones that are out, the stores' groups, and
-//! condemned requests.
+//! State machine of the control group: the publication, zones taken out of service, the layout of
+//! the store groups, and blocked requests.
 //!
-//! Owner: the replicated log of the control replicas. Of two publications the one with the higher
-//! version takes effect, whatever the order in which they arrive; one that is not higher changes
+//! The state lives in the replicated log of the control replicas. The publication with the highest
+//! version is in force, whatever the order of arrival; a version that is not higher changes
 //! nothing.
 
 use std::sync::Arc;
@@ -14,27 +14,29 @@
 use poplarspan_proto::relay::{self as pb, board_command::Body};
 use prost::Message;
 
-/// For how long a request is refused, in milliseconds: the first time, the second, and from then on.
-/// It may have been condemned for an end that had another cause, or what it ends may be mended.
+/// How long a request is blocked the first, the second and every further time, in milliseconds. A
+/// block expires because the request may not have caused the endpoints to terminate, or the defect
+/// may have been fixed.
 const BLOCK_DURATIONS_MS: [u64; 3] = [60 * 1000, 600 * 1000, BLOCK_HISTORY_MS];
-/// For how long it is remembered that a request was condemned, in milliseconds.
+/// How long the record of a blocked request is kept, in milliseconds.
 const BLOCK_HISTORY_MS: u64 = 7 * 24 * 3600 * 1000;
-/// BlockedRequest requests that are kept; beyond, the one that was condemned longest ago runs again.
+/// Maximum number of blocked requests. When it is exceeded, the one that was blocked the longest
+/// ago is dropped and may run again.
 const MAX_BLOCKED_REQUESTS: usize = 4_096;
 
-/// A request under which endpoints have ended. It is refused for a while, and then runs on trial.
+/// A request that endpoints terminated under. It is refused for a while and then runs on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockedRequest {
-    /// The request.
+    /// Digest of the request.
     pub request: Fingerprint,
-    /// When it was condemned last, in milliseconds since the epoch.
+    /// When it was last blocked, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// How often it was condemned.
+    /// How often it was blocked.
     pub times: u32,
 }
 
 impl BlockedRequest {
-    /// When it may run on trial, in milliseconds since the epoch.
+    /// When it may run on trial, in milliseconds since the Unix epoch.
     pub fn blocked_until_ms(&self) -> u64 {
         let earlier = usize::try_from(self.times.saturating_sub(1)).unwrap_or(usize::MAX);
         self.at_ms.saturating_add(BLOCK_DURATIONS_MS[earlier.min(BLOCK_DURATIONS_MS.len() - 1)])
@@ -56,42 +58,44 @@
 }
 
 impl ControlState {
-    /// Version in force; 0 before the first publication.
+    /// Version of the publication in force; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Publication in force, as the operator sent it.
+    /// Body of the publication in force, as the operator sent it.
     pub fn body(&self) -> &Bytes {
         &self.body
     }
 
-    /// Zones that operators took out, sorted.
+    /// Zones that operators took out of service, sorted.
     pub fn zones_out(&self) -> &[Name] {
         &self.zones_out
     }
 
-    /// The stores in the order in which groups take their first voters; empty until it is decided.
+    /// The stores in the order in which groups take their initial voters. Empty until the groups
+    /// are formed.
     pub fn store_ring(&self) -> &[u64] {
         &self.stores.ring
     }
 
-    /// Groups into which programs are divided; 0 until it is decided.
+    /// Number of groups that programs are divided into; 0 until the groups are formed.
     pub fn store_groups(&self) -> u32 {
         self.stores.groups
     }
 
-    /// Instances that are to be emptied, sorted.
+    /// Instances to be drained, sorted.
     pub fn retiring(&self) -> &[Name] {
         &self.retiring
     }
 
-    /// Requests that were condemned, sorted by request.
+    /// Blocked requests, sorted by request. Includes those whose block has expired but whose record
+    /// is still kept.
     pub fn blocked(&self) -> &Arc<Vec<BlockedRequest>> {
         &self.blocked
     }
 
-    /// What is known of a request that was condemned.
+    /// Record of a request that was blocked.
     pub fn blocked_request(&self, request: Fingerprint) -> Option<BlockedRequest> {
         let at = self.blocked.binary_search_by_key(&request, |c| c.request).ok()?;
         Some(self.blocked[at])
@@ -101,7 +105,7 @@
         let blocked = Arc::make_mut(&mut self.blocked);
         blocked.retain(|c| c.at_ms.saturating_add(BLOCK_HISTORY_MS) > at_ms);
         match blocked.binary_search_by_key(&request, |c| c.request) {
-            // One that is refused already is told again.
+            // A repeated report while the block is in force does not extend it.
             Ok(at) if at_ms < blocked[at].blocked_until_ms() => {}
             Ok(at) => {
                 blocked[at].at_ms = at_ms;
@@ -147,7 +151,7 @@
     }
 }
 
-/// Makes a sorted list contain a name, or not.
+/// Inserts `name` into a sorted list, or removes it.
 fn set_membership(list: &mut Vec<Name>, name: Name, present: bool) {
     match (list.binary_search(&name), present) {
         (Err(at), true) => list.insert(at, name),
@@ -158,17 +162,16 @@
     }
 }
 
-/// Reads the digest of a request. None if its length is wrong.
+/// Decodes the digest of a request. Returns `None` if the length is wrong.
 pub(crate) fn read_fingerprint(bytes: &[u8]) -> Option<Fingerprint> {
     bytes.try_into().ok().map(Fingerprint)
 }
 
-/// Writes the digest of a request.
+/// Encodes the digest of a request.
 pub(crate) fn write_fingerprint(request: Fingerprint) -> Bytes {
     Bytes::copy_from_slice(&request.0)
 }
 
-/// Encodes a command.
 pub(crate) fn encode_command(body: Body) -> Bytes {
     pb::BoardCommand { body: Some(body) }.encode_to_vec().into()
 }
--- a/crates/relay/src/fleet_client.rs
+++ b/crates/relay/src/fleet_client.rs
@@ -1,8 +1,9 @@
-//! Keeps an instance's lease, and what it knows of the fleet.
+//! Client of the control group: keeps an instance's lease and its view of the fleet.
 //!
-//! Owner: each instance for itself. The lease is counted from when the instance asked for it, on a
-//! clock that includes suspension. When the leader of the control group is lost, the instance goes
-//! on under its lease until a successor answers; publications never go back while it runs.
+//! Each instance has its own client. The lease runs from the time of the request, on a clock that
+//! includes time spent suspended. When the control leader is lost, the instance continues under its
+//! lease until a successor answers. The version of the publication never decreases while the
+//! process runs.
 
 use std::{
     net::SocketAddr,
@@ -31,21 +32,22 @@
     control_state::{read_fingerprint, write_fingerprint},
 };
 
-/// Time between two beats. A change reaches an instance after this long at most, plus the way.
+/// Time between two heartbeats. An instance learns of a change within this time plus the network
+/// delay.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause before the next candidate is asked.
+/// Pause before the next candidates are asked.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Instances that are asked at a time while no leader is search.
+/// Instances that are asked in parallel while no leader is known.
 const PARALLEL_CANDIDATES: usize = 3;
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(300);
-/// An instance that did not answer as the leader is not asked again for this long, even if others
-/// still take it for the leader.
+/// An instance that did not answer as the leader is skipped for this long, even if others still
+/// name it as the leader.
 const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// What an instance knows of the fleet.
+/// An instance's view of the fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct View {
-    /// None until the first one has arrived.
+    /// `None` until the first publication has arrived.
     pub(crate) publication: Option<Arc<Publication>>,
     pub(crate) directory: Arc<Directory>,
     /// Sorted.
@@ -53,28 +55,29 @@
     pub(crate) place: Place,
     /// Peer addresses of the stores.
     pub(crate) stores: Vec<SocketAddr>,
-    /// The stores in the order in which groups take their first voters.
+    /// The stores in the order in which groups take their initial voters.
     pub(crate) store_ring: Vec<ReplicaId>,
-    /// Leader of each group of stores, if it is search. Empty until there are groups.
+    /// Known leader of each store group. Empty until the groups are formed.
     pub(crate) group_leaders: Vec<Option<SocketAddr>>,
-    /// Replicas of stores that are to be emptied.
+    /// Replicas of stores that are being drained.
     pub(crate) retiring: Vec<u64>,
     pub(crate) quarantine_list: Arc<QuarantineList>,
 }
 
-/// Requests that do not run freely.
+/// Requests that are quarantined because endpoints terminated while running them.
 #[derive(Debug, Default)]
 pub(crate) struct QuarantineList {
-    /// As in [`peer::Quarantine`].
+    /// List number, as in [`peer::Quarantine`].
     number: u64,
-    /// Run on trial only; sorted.
+    /// Requests that only run on trial; sorted.
     pub(crate) suspects: Vec<Fingerprint>,
-    /// Are refused; sorted.
+    /// Requests that are refused; sorted.
     pub(crate) refused: Vec<Fingerprint>,
 }
 
 impl QuarantineList {
-    /// All of them. To a new leader they are suspects, as far as its board does not refuse them.
+    /// All quarantined requests. A new leader treats them as suspects unless its replicated state
+    /// already blocks them.
     fn all(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.suspects.iter().chain(&self.refused).copied()
     }
@@ -91,20 +94,21 @@
 pub(crate) struct Directory {
     pub(crate) number: u64,
     pub(crate) endpoints: Vec<ListedEndpoint>,
-    /// When it arrived, by the instance's clock; times in the entries count from then.
+    /// When the list arrived, by the instance's clock. Durations in the entries count from this
+    /// time.
     pub(crate) at: Duration,
 }
 
-/// What an instance adds to its beats, and takes from the answers.
+/// Data that an instance adds to its heartbeats and takes from the answers.
 pub(crate) trait HeartbeatReport: Send + Sync {
-    /// Completes a beat.
+    /// Adds the instance's data to a heartbeat.
     fn fill<'a>(&'a self, beat: &'a mut peer::Beat) -> BoxFuture<'a, ()>;
 
-    /// Takes note of the shares in an answer.
+    /// Applies the rate shares in an answer.
     fn apply_shares(&self, shares: &[peer::TeamShare]);
 }
 
-/// An instance's tie to the control group.
+/// An instance's client of the control group.
 pub(crate) struct FleetClient {
     settings: Arc<Settings>,
     protocol: Arc<dyn Protocol>,
@@ -114,25 +118,25 @@
     duty: peer::Duty,
     view: ArcSwap<View>,
     changed: watch::Sender<u64>,
-    /// End of the lease, in microseconds of the clock.
+    /// End of the lease, in microseconds of `clock`.
     lease_until_us: AtomicU64,
-    /// When the process ends, once it is shutting down.
+    /// When the process ends; set once it is shutting down.
     ends_at: Mutex<Option<Instant>>,
     search: Mutex<LeaderSearch>,
-    /// Wakes the beats, for changes that the leader should hear of at once.
+    /// Triggers a heartbeat for changes that the leader should learn of immediately.
     wake_heartbeat: Notify,
 }
 
-/// Where the leader may be found.
+/// State of the search for the control leader.
 #[derive(Default)]
 struct LeaderSearch {
     leader: Option<SocketAddr>,
-    /// Who answered the last beat as the leader.
+    /// The instance that answered the last heartbeat as the leader.
     answered: Option<SocketAddr>,
     control_replicas: Vec<SocketAddr>,
     seeds: Vec<SocketAddr>,
     next_candidate: usize,
-    /// An instance that has just failed to answer, and until when it is not asked.
+    /// An instance that has just failed to answer, and when it may be asked again.
     unresponsive: Option<(SocketAddr, Instant)>,
 }
 
@@ -179,23 +183,23 @@
         })
     }
 
-    /// What is search now.
+    /// Returns the current view.
     pub(crate) fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Tells of each change of the view.
+    /// Returns a receiver that is notified of each change of the view.
     pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Time left on the lease; none if it has run out.
+    /// Time left on the lease, or `None` if it has expired.
     pub(crate) fn lease_left(&self) -> Option<Duration> {
         let until = Duration::from_micros(self.lease_until_us.load(Ordering::Acquire));
         until.checked_sub(self.clock.now()).filter(|left| !left.is_zero())
     }
 
-    /// Says that the instance is shutting down and ends at `ends_at`.
+    /// Marks the instance as shutting down; the process ends at `ends_at`.
     pub(crate) fn set_draining(&self, ends_at: Instant) {
         *self.ends_at.lock().expect("no panic while locked") = Some(ends_at);
     }
@@ -209,35 +213,35 @@
         self.ends_at().is_some()
     }
 
-    /// Sends the next beat at once.
+    /// Sends the next heartbeat immediately.
     pub(crate) fn send_heartbeat_now(&self) {
         self.wake_heartbeat.notify_one();
     }
 
-    /// Whether a beat goes to others than the leader that answered the last one.
+    /// Whether a heartbeat goes to any instance other than the leader that answered the last one.
     fn asks_other_instances(&self, candidates: &[SocketAddr]) -> bool {
         let search = self.search.lock().expect("no panic while locked");
         search.answered.is_none_or(|answered| candidates != [answered])
     }
 
-    /// Takes the seeds of changed settings.
+    /// Replaces the seeds after the settings were reloaded.
     pub(crate) fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         self.search.lock().expect("no panic while locked").seeds = seeds;
     }
 
-    /// Peer address of the leader of the control group, if it is search.
+    /// Peer address of the control leader, if it is known.
     pub(crate) fn leader(&self) -> Option<SocketAddr> {
         self.search.lock().expect("no panic while locked").leader
     }
 
-    /// Sends beats until the task is ended.
+    /// Sends heartbeats until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>, report: Arc<dyn HeartbeatReport>) -> Result<()> {
         loop {
             let started = Instant::now();
             let is_answered = self.send_heartbeat(&*report).await;
             let pause = if is_answered { HEARTBEAT_INTERVAL } else { RETRY_PAUSE };
             let rest = pause.saturating_sub(started.elapsed()).max(RETRY_PAUSE);
-            // RunningInstance out means that it is time for the next beat.
+            // A timeout only means that the next heartbeat is due.
             let _ = timeout(rest, self.wake_heartbeat.notified()).await;
             if !is_answered {
                 sleep(RETRY_PAUSE).await;
@@ -245,7 +249,7 @@
         }
     }
 
-    /// Sends one beat. Returns whether it was answered by the leader.
+    /// Sends one heartbeat. Returns whether the leader answered it.
     async fn send_heartbeat(&self, report: &dyn HeartbeatReport) -> bool {
         let candidates = self.candidates();
         let view = self.view();
@@ -283,7 +287,7 @@
         false
     }
 
-    /// Takes the answer to a beat. Returns whether it came from the leader.
+    /// Handles the answer to a heartbeat. Returns whether it came from the leader.
     fn handle_answer(
         &self,
         address: SocketAddr,
@@ -309,8 +313,8 @@
         }
     }
 
-    /// Whom to ask: the leader, or several that may know it, so that one that does not answer costs
-    /// no time.
+    /// The addresses to ask: the leader if it is known, otherwise several candidates in parallel,
+    /// so that an unresponsive one causes no delay.
     fn candidates(&self) -> Vec<SocketAddr> {
         let mut search = self.search.lock().expect("no panic while locked");
         if let Some(leader) = search.leader {
--- a/crates/relay/src/protocol.rs
+++ b/crates/relay/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The border to a platform's protocols.
+//! Interface to the platform's protocols.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, Method, Uri, request, response};
@@ -8,58 +8,61 @@
     CallHead, Forward, ListPage, Objects, OperatorRequest, ResponseHead, ValidationErrors,
 };
 
-/// A request that cannot be read.
+/// A request or list page that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct DecodeError(pub String);
 
-/// Translates between a platform's protocols and the types of this crate. It decides nothing.
+/// Translates between the platform's protocols and the types of this crate. Implementations hold no
+/// policy.
 pub trait Protocol: Send + Sync {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Fails when something that every request must say is missing or cannot be read.
+    /// Fails when a required header is missing or malformed.
     fn parse_call(&self, parts: &request::Parts) -> Result<CallHead, DecodeError>;
 
-    /// Headers of the request to an endpoint: the caller's, with what `forward` says.
+    /// Returns the headers of the request to an endpoint: those of the caller, adjusted by
+    /// `forward`.
     fn forward_headers(&self, caller: &HeaderMap, forward: &Forward) -> HeaderMap;
 
-    /// Reads the head of an endpoint's answer.
+    /// Parses the head of an endpoint's response.
     fn parse_response(&self, parts: &response::Parts) -> ResponseHead;
 
-    /// Header that ties an answer to its request.
+    /// Header whose value an endpoint copies from the request to the response.
     fn request_id_header(&self) -> HeaderName;
 
-    /// Headers that tell a caller when to come back.
+    /// Header that tells a caller when to retry.
     fn retry_after_header(&self, after: Duration) -> (HeaderName, http::HeaderValue);
 
-    /// Whether a path asks for readiness.
+    /// Whether `path` is the readiness probe.
     fn is_readiness_path(&self, path: &str) -> bool;
 
-    /// Reads a set of objects.
+    /// Parses a set of objects.
     ///
     /// # Errors
     ///
-    /// Returns all findings of the document; a set that can be read may still be invalid as a whole.
+    /// Returns all errors of the document. A set that parses may still fail
+    /// [`Publication::new`](crate::Publication::new).
     fn parse_objects(&self, body: &[u8]) -> Result<Objects, ValidationErrors>;
 
-    /// Reads the method and path of an operator's request. None when there is no such order.
+    /// Parses the method and path of an operator's request. Returns `None` for an unknown request.
     fn parse_operator_request(&self, method: &Method, path: &str) -> Option<OperatorRequest>;
 
-    /// Body that tells how far the emptying of an instance is.
+    /// Response body that reports whether an instance is drained.
     fn retire_status_body(&self, done: bool) -> Bytes;
 
-    /// Body of an answer that refuses an order.
+    /// Response body for a refused request.
     fn error_body(&self, message: &str) -> Bytes;
 
-    /// Request for a page of the list of endpoints.
+    /// URI of a page of the endpoint list.
     fn list_page_uri(&self, page: Option<&str>) -> Uri;
 
-    /// Reads a page of the list of endpoints. Entries that cannot be read are only counted.
+    /// Parses a page of the endpoint list. Malformed entries are counted and skipped.
     ///
     /// # Errors
     ///
-    /// Fails when the page as a whole cannot be read.
+    /// Fails when the page as a whole cannot be parsed.
     fn parse_list_page(&self, body: &[u8]) -> Result<ListPage, DecodeError>;
 }
--- a/crates/relay/src/publication.rs
+++ b/crates/relay/src/publication.rs
@@ -1,4 +1,4 @@
-//! The objects that operators publish: routes, services, teams and limits, checked as one set.
+//! The objects that operators publish: routes, services, teams and limits, validated as one set.
 
 use std::time::Duration;
 
@@ -9,106 +9,106 @@
 /// A set of objects, as an operator sent it.
 #[derive(Clone, Debug, Default)]
 pub struct Objects {
-    /// Number of the set; the highest one takes effect.
+    /// Version of the set; the highest one is in force.
     pub version: u64,
     /// Routes in any order.
     pub routes: Vec<Route>,
     /// Services in any order.
     pub services: Vec<Service>,
-    /// Teams in any order; none when calls need no key.
+    /// Teams in any order; `None` if calls need no key.
     pub teams: Option<Vec<Team>>,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
 }
 
-/// How calls on a route may be treated.
+/// How often the calls on a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
-    /// Runs at most once for each attempt of the caller.
+    /// Runs at most once per attempt of the caller.
     Once,
     /// Answered with a stream of events.
     Stream {
-        /// Whether another endpoint may go on with the stream.
+        /// Whether another endpoint may resume the stream.
         resumable: bool,
     },
 }
 
-/// Sends matching calls to services.
+/// Maps matching calls to services.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub name: Name,
-    /// Host that it matches.
+    /// Host that the route matches.
     pub host: Name,
-    /// Path prefix that it matches; begins and ends with a slash.
+    /// Path prefix that the route matches; begins and ends with a slash.
     pub prefix: Name,
-    /// How its calls may be treated.
+    /// How often the calls may run.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time until the caller gets a response.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Time within which a response has its full value to the caller.
     pub target: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services with weights, which do not sum up to zero.
+    /// Services and their weights. At least one weight is not zero.
     pub split: Vec<(Name, u32)>,
-    /// Endpoints that a call may be sent to.
+    /// Maximum number of endpoints that one call may run at.
     pub max_endpoints: u32,
-    /// For how long its turns are kept; none if callers send the whole prompt each time.
+    /// How long turns are kept; `None` if callers send the whole prompt each time.
     pub retain: Option<Duration>,
     /// Whether calls need no key.
     pub open: bool,
 }
 
-/// A group of endpoints.
+/// A group of interchangeable endpoints.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: Name,
-    /// For how long an endpoint is cold after its start.
+    /// How long an endpoint counts as cold after its start.
     pub cold: Duration,
-    /// Calls a second that a cold endpoint bears.
+    /// Calls per second that a cold endpoint can serve.
     pub cold_per_second: f64,
-    /// Set for model engines.
+    /// Engine properties; `None` for plain services.
     pub engine: Option<Engine>,
 }
 
-/// Properties of model engines.
+/// Properties of a model engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Tokens that fit into memory.
+    /// Capacity of the KV cache in tokens.
     pub cache_tokens: u64,
-    /// Tokens that an event of a stream stands for.
+    /// Tokens that one event of a stream stands for.
     pub tokens_per_event: u32,
 }
 
 /// A team and its keys.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Name.
+    /// Name of the team.
     pub name: Name,
-    /// Keys.
+    /// API keys of the team. Empty in a [`Publication`], which only keeps digests.
     pub keys: Vec<Secret>,
-    /// Goes before the priority of the route.
+    /// Overrides the priority of the route.
     pub priority: Option<u8>,
-    /// Calls over all instances; none for no limit.
+    /// Rate limit over all instances; `None` for no limit.
     pub limit: Option<Limit>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: usize,
-    /// Time in which a head must arrive.
+    /// Time in which a request head must arrive.
     pub head_timeout: Duration,
-    /// Time for which a connection may be idle.
+    /// How long a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -123,20 +123,20 @@
     }
 }
 
-/// Faults of a set of objects, each with the place in the document.
+/// Errors in a set of objects, each with its place in the document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.join("\n"))]
 pub struct ValidationErrors(pub Vec<String>);
 
-/// Digest of a key.
+/// BLAKE3 digest of an API key.
 type KeyDigest = [u8; 32];
 
-/// A checked set of objects with its indices.
+/// A validated set of objects with its indexes.
 #[derive(Debug)]
 pub struct Publication {
-    /// Number of the set.
+    /// Version of the set.
     pub version: u64,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
     // Sorted by host, then longest prefix first.
     routes: Vec<Route>,
@@ -144,17 +144,17 @@
     services: Vec<Service>,
     // Sorted by name.
     teams: Vec<Team>,
-    // Sorted; the number is the team's place in `teams`.
+    // Sorted by digest; the second field is an index into `teams`.
     keys: Vec<(KeyDigest, usize)>,
     needs_keys: bool,
 }
 
 impl Publication {
-    /// Checks a set and builds the indices.
+    /// Validates a set of objects and builds the indexes.
     ///
     /// # Errors
     ///
-    /// Returns all findings together.
+    /// Returns all errors of the set.
     pub fn new(objects: Objects) -> Result<Self, ValidationErrors> {
         let Objects { version, mut routes, mut services, teams, limits } = objects;
         let needs_keys = teams.is_some();
@@ -179,28 +179,29 @@
             return Err(ValidationErrors(findings));
         }
         keys.dedup();
-        // Only digests are kept.
+        // Only the digests of the keys are kept.
         for team in &mut teams {
             team.keys.clear();
         }
         Ok(Self { version, limits, routes, services, teams, keys, needs_keys })
     }
 
-    /// The route of a call: the longest prefix of the host that begins the path.
+    /// Finds the route of a call: the one with the host of the call and the longest matching
+    /// prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let from = self.routes.partition_point(|r| *r.host < *host);
         let of_host = self.routes[from..].iter().take_while(|r| *r.host == *host);
         of_host.into_iter().find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// The team that holds a key.
+    /// Finds the team that a key belongs to.
     pub fn team_of(&self, key: &Secret) -> Option<&Team> {
         let digest = *blake3::hash(&key.0).as_bytes();
         let at = self.keys.binary_search_by(|(d, _)| d.cmp(&digest)).ok()?;
         Some(&self.teams[self.keys[at].1])
     }
 
-    /// Whether calls need a key, apart from those on open routes.
+    /// Whether calls need a key. Calls on open routes never do.
     pub fn needs_keys(&self) -> bool {
         self.needs_keys
     }
@@ -210,13 +211,13 @@
         &self.teams
     }
 
-    /// The team of a name.
+    /// Finds a team by name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         let at = self.teams.binary_search_by(|t| (*t.name).cmp(name)).ok()?;
         Some(&self.teams[at])
     }
 
-    /// The service of a name.
+    /// Finds a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let at = self.services.binary_search_by(|s| (*s.name).cmp(name)).ok()?;
         Some(&self.services[at])
@@ -229,7 +230,7 @@
 }
 
 impl Route {
-    /// The service of a call. Calls with the same `hash` go to the same service.
+    /// Picks the service of a call by weight. Calls with the same `hash` go to the same service.
     pub fn service(&self, hash: u64) -> &Name {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
         let mut at = hash % total.max(1);
--- a/crates/relay/src/readiness.rs
+++ b/crates/relay/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's question whether a front is ready.
+//! HTTP server for the platform's readiness probe of a front.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
 const MAX_CONNECTIONS: usize = 64;
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Serves the question.
+/// Serves the readiness probe.
 pub(crate) struct ReadinessServer {
     readiness: Arc<dyn Readiness>,
     protocol: Arc<dyn Protocol>,
@@ -28,7 +28,7 @@
         Arc::new(Self { readiness, protocol, slots: Arc::new(Semaphore::new(MAX_CONNECTIONS)) })
     }
 
-    /// Accepts connections until the task is ended.
+    /// Accepts connections until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>, socket: Arc<TcpListener>) -> Result<()> {
         loop {
             let permit = self.slots.clone().acquire_owned().await?;
--- a/crates/relay/src/replica/membership.rs
+++ b/crates/relay/src/replica/membership.rs
@@ -1,70 +1,70 @@
-//! Which change of a group's members comes next.
+//! Chooses the next membership change of a group.
 //!
-//! One change at a time, and never one after which the voters that answer are no majority. A replica
-//! that lost its disk comes back under a new number on the same machine; its former number is
-//! removed as soon as the new one votes. A voter that has been silent for long is removed while
-//! enough others answer, so that the loss of a further one is borne; it joins again by itself.
+//! Changes are made one at a time, and none leaves the responsive voters without a majority. A
+//! replica that lost its disk returns with a new id on the same machine, and its old id is removed
+//! once the new one votes. A voter that has been silent for long is removed while enough others
+//! respond, so that the group can tolerate a further loss. It rejoins when it is back.
 
 use std::{net::Ipv4Addr, time::Duration};
 
 use poplarspan_agreement::ReplicaId;
 
-/// A voter that has been silent for this long may be removed. Long enough for an election and a
-/// restart, short enough that a machine that was replaced is gone before the next one may be lost.
+/// A voter that has been silent for this long may be removed. This is longer than an election or a
+/// restart, and short enough that a replaced machine is removed before the next one may be lost.
 const SILENT_VOTER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// A former number of a machine that is back under a new one is removed after this silence.
+/// The old id of a machine that has a new one is removed after this much silence.
 const REPLACED_VOTER_TIMEOUT: Duration = Duration::from_millis(500);
-/// A leader keeps the lead at least this long before it goes back to the group's home; several
-/// times what an election takes.
+/// Minimum time that a leader keeps its role before leadership returns to the preferred machine;
+/// several times the length of an election.
 const LEADER_RETURN_DELAY: Duration = Duration::from_secs(5);
-/// Voters of a group, as long as so many are there: two of them may be lost at once.
+/// Number of voters that a group aims for, so that it tolerates the loss of two.
 pub(crate) const TARGET_VOTERS: usize = 5;
-/// A group is never made smaller than this, so that it bears a loss.
+/// Minimum number of voters that removals leave, so that a group tolerates the loss of one.
 pub(crate) const MIN_VOTERS: usize = 3;
 
 /// What the leader of a group knows of its members.
 #[derive(Clone, Debug)]
 pub struct Members {
-    /// This replica, which leads.
+    /// This replica, which is the leader.
     pub self_id: ReplicaId,
     /// Replicas that vote.
     pub voters: Vec<ReplicaId>,
     /// Replicas that receive the log but do not vote.
     pub learners: Vec<ReplicaId>,
-    /// Time since each other member answered.
+    /// Time since each other member last responded.
     pub silence: Vec<(ReplicaId, Duration)>,
-    /// Replicas that asked to be voters a short while ago.
+    /// Replicas that recently asked to become voters.
     pub joining: Vec<ReplicaId>,
-    /// Replicas that are to be emptied.
+    /// Replicas that are being drained.
     pub retiring: Vec<ReplicaId>,
-    /// Learners whose last promotion was refused because they lag behind.
+    /// Learners whose last promotion failed because their log lagged behind.
     pub lagging: Vec<ReplicaId>,
-    /// Machine whose replica should lead, if it is a voter.
+    /// Machine whose replica should lead while it is a voter.
     pub preferred_leader: Option<Ipv4Addr>,
-    /// For how long this replica has led.
+    /// How long this replica has been the leader.
     pub time_as_leader: Duration,
 }
 
-/// A change of the members.
+/// A membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Adds a replica that does not vote yet.
+    /// Add a replica as a learner.
     AddLearner(ReplicaId),
-    /// Lets a learner vote.
+    /// Make a learner a voter.
     Promote(ReplicaId),
-    /// Removes a replica.
+    /// Remove a replica.
     Remove(ReplicaId),
-    /// Makes another voter the leader, so that this one can be removed.
+    /// Transfer leadership to another voter.
     HandOver(ReplicaId),
 }
 
-/// The machine that a replica's number belongs to.
+/// Returns the machine of a replica, which is the upper half of its id.
 pub(crate) fn machine(id: ReplicaId) -> Ipv4Addr {
     Ipv4Addr::from((id.0 >> 32) as u32)
 }
 
 impl Members {
-    /// The next change, if one is due.
+    /// Returns the next change, if one is due.
     pub fn next_step(&self) -> Option<MembershipChange> {
         self.promotion()
             .or_else(|| self.removal())
@@ -86,7 +86,7 @@
         self.voters.iter().filter(|id| self.is_responsive(**id)).count()
     }
 
-    /// Voters that answer and are not to be emptied.
+    /// Number of voters that respond and are not being drained.
     pub(crate) fn remaining_voters(&self) -> usize {
         let stays = |id: &&ReplicaId| self.is_responsive(**id) && !self.retiring.contains(id);
         self.voters.iter().filter(stays).count()
@@ -113,7 +113,7 @@
         gone.map(|id| MembershipChange::Remove(*id))
     }
 
-    /// Whether the voters that answer are a majority after one that does not is removed.
+    /// Whether the responsive voters are a majority after an unresponsive one is removed.
     fn keeps_majority(&self) -> bool {
         self.responsive_voters() * 2 > self.voters.len() - 1
     }
@@ -150,8 +150,9 @@
             .map(|id| MembershipChange::HandOver(*id))
     }
 
-    /// Leadership goes back to the group's home, so that the groups' leaders are on different
-    /// machines. Not soon after an election: a home that has just lost the lead may be unwell.
+    /// Returns leadership to the preferred machine, so that the leaders of the groups are on
+    /// different machines. Waits after an election, because a machine that has just lost leadership
+    /// may be faulty.
     fn leadership_return(&self) -> Option<MembershipChange> {
         let preferred =
             self.preferred_leader.filter(|preferred| *preferred != machine(self.self_id))?;
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -1,12 +1,12 @@
-//! Replicas of groups that form, grow and replace their members by themselves.
+//! Replicas of groups that form, grow and replace members on their own.
 //!
-//! The number of a replica names its machine and a random part, which is drawn with each new data
-//! folder: a replica whose disk was lost comes back under a new number and never votes again under
-//! the old one. Founders of the control group have the random part 0, so that all of them know the
-//! first voters. The replicas of all groups on a machine have the same number.
+//! The id of a replica contains the address of its machine and a random part that is drawn for each
+//! new data folder. A replica that lost its disk therefore returns with a new id and never votes
+//! under the old one. The founders of the control group have 0 as the random part, so that all of
+//! them know the initial voters. All replicas on a machine have the same id in every group.
 //!
-//! Owner of the state: the folder, and the replicated logs in it. The requests to join that a
-//! leader has seen are lost with it and repeated by those who made them.
+//! The durable state is the folder with the replicated logs. Join requests are only kept in the
+//! leader's memory; replicas repeat them.
 
 pub(crate) mod membership;
 
@@ -35,26 +35,26 @@
 
 use membership::{Members, MembershipChange, TARGET_VOTERS, machine};
 
-/// A request to join counts for this long; it is repeated more often.
+/// How long a join request is valid. Replicas repeat it more often than that.
 const JOIN_REQUEST_TTL: Duration = Duration::from_secs(5);
 const JOIN_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between two requests to join a group that is complete.
+/// Time between join requests to a group that has all its voters.
 const SPARE_JOIN_INTERVAL: Duration = Duration::from_secs(2);
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// A replica that has heard of no leader for this long asks whether it is still a member.
+/// A replica that has had no leader for this long asks to join, because it may have been removed.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(1_000);
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(150);
-/// A learner that lags behind is not tried again for this long.
+/// Pause before the next promotion attempt for a lagging learner.
 const LAGGING_PAUSE: Duration = Duration::from_millis(300);
-/// Pause before a start that a full disk holds up goes on.
+/// Pause before the next attempt to start while the disk is full.
 const DISK_FULL_PAUSE: Duration = Duration::from_millis(200);
-/// Zeros written ahead of the log; the disks of control replicas are small.
+/// Bytes preallocated in the log; the disks of control replicas are small.
 const PREALLOCATE_BYTES: usize = 256 * 1024;
 const SEGMENT_BYTES: u64 = 8 << 20;
 
-/// Timing of the replicated log. The heartbeat costs each replica a message to each other one, and
-/// the election timeout is what a lost leader costs; both are short against the bounds for
-/// acknowledging an order.
+/// Timing of the replicated log. Each heartbeat costs a message to every other replica, and the
+/// election timeout bounds the outage after the loss of a leader. Both are short compared with the
+/// time limits for acknowledging an operator's request.
 fn node_config(clock: Arc<dyn Clock>) -> NodeConfig {
     NodeConfig {
         clock,
@@ -67,14 +67,14 @@
     }
 }
 
-/// A data folder, made ready for a replica.
+/// A data folder that is ready for a replica.
 pub(crate) struct ReplicaFolder {
     dir: DataDir,
 }
 
 impl ReplicaFolder {
-    /// Opens the folder. One that holds no identity has never voted; it is cleared, and gets the
-    /// number of a founder, or a new one. Blocks.
+    /// Opens the folder. A folder without an identity has never voted: it is cleared and gets the
+    /// id of a founder or a new random one. Blocks.
     pub(crate) fn open(path: &Path, ip: Ipv4Addr, is_founder: bool) -> Result<Self> {
         let dir = match DataDir::open(path) {
             Err(IdentityError::Missing(_)) => {
@@ -87,7 +87,7 @@
         Ok(Self { dir: dir.context("cannot open the data folder")? })
     }
 
-    /// As [`ReplicaFolder::open`], but waits while the disk takes no more bytes.
+    /// Like [`ReplicaFolder::open`], but waits while the disk is full.
     pub(crate) async fn open_when_space(
         path: &Path,
         ip: Ipv4Addr,
@@ -105,7 +105,7 @@
         self.dir.replica()
     }
 
-    /// Whether the replica has never been part of a group.
+    /// Whether the replica has never been a member of a group.
     pub(crate) fn is_new(&self) -> bool {
         !self.ready_file().exists()
     }
@@ -118,7 +118,7 @@
         self.dir.log_folder().with_file_name(READY_FILE)
     }
 
-    /// Number of groups whose logs the folder holds. None if it is new.
+    /// Number of groups whose logs the folder holds, or `None` if it is new.
     pub(crate) fn groups(&self) -> Result<Option<u32>> {
         if self.is_new() {
             return Ok(None);
@@ -130,7 +130,7 @@
         groups.map(Some).with_context(|| format!("{} holds no number", path.display()))
     }
 
-    /// As [`ReplicaFolder::open_log`], but waits while the disk takes no more bytes.
+    /// Like [`ReplicaFolder::open_log`], but waits while the disk is full.
     async fn open_log_when_space(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
         loop {
             match self.open_log(founders).await {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Opens the log; a new one gets the first voters of each group.
+    /// Opens the log. A new one is initialized with the initial voters of each group.
     async fn open_log(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
         let folder = self.dir.log_folder();
         let options =
@@ -158,7 +158,8 @@
             if !founded.is_empty() && store.load().await?.is_empty() {
                 init_groups(&store, founded).await?;
             }
-            // Synced before the folder is ready, so that it is whole whenever the folder is.
+            // The groups file is synced before the ready file is created, so it is complete
+            // whenever the latter exists.
             let mut f = fs::File::create(self.groups_file())?;
             write!(f, "{}", founders.len())?;
             f.sync_all()?;
@@ -170,7 +171,7 @@
     }
 }
 
-/// Whether a disk took no more bytes.
+/// Whether an error was caused by a full disk.
 fn is_disk_full_error(e: &anyhow::Error) -> bool {
     e.chain().any(|cause| {
         cause.downcast_ref().is_some_and(is_disk_full)
@@ -185,24 +186,24 @@
     sleep(DISK_FULL_PAUSE).await;
 }
 
-/// Exists once the log has been created as a whole.
+/// Marker file that exists once the log has been completely created.
 const READY_FILE: &str = "ready";
-/// Holds the number of groups in the log.
+/// File with the number of groups in the log.
 const GROUPS_FILE: &str = "groups";
 
-/// What a group starts from.
+/// Initial state of a group.
 pub(crate) struct GroupStart {
-    /// First voters of a new group; empty if this replica is none of them.
+    /// Initial voters of a new group; empty if this replica is not one of them.
     pub(crate) founders: Vec<ReplicaId>,
     pub(crate) state: Box<dyn StateMachine>,
 }
 
-/// Numbers of the groups of a folder, which are their places.
+/// Ids of the groups of a folder, in order.
 fn group_ids() -> impl Iterator<Item = GroupId> {
     (0..).map(GroupId)
 }
 
-/// Removes what is in a folder, as far as it exists.
+/// Removes the contents of a folder, if it exists.
 fn clear(path: &Path) -> Result<()> {
     let Ok(items) = fs::read_dir(path) else { return Ok(()) };
     for item in items {
@@ -216,12 +217,13 @@
     Ok(())
 }
 
-/// Number of the founder on a machine.
+/// Id of the founder on a machine.
 pub(crate) fn founder_id(ip: Ipv4Addr) -> ReplicaId {
     replica_id(ip, 0)
 }
 
-/// Number of a replica on a machine; `nonce` is 0 for founders, and random for all others.
+/// Id of a replica on a machine. `nonce` is 0 for founders of the control group and random for all
+/// others.
 pub fn replica_id(ip: Ipv4Addr, nonce: u32) -> ReplicaId {
     ReplicaId(u64::from(u32::from(ip)) << 32 | u64::from(nonce))
 }
@@ -233,24 +235,24 @@
     peer_port: u16,
     node: Arc<Node>,
     handle: GroupHandle,
-    /// With the time of the last request.
+    /// Replicas that asked to join, with the time of their last request.
     joining: Mutex<Vec<(ReplicaId, Instant)>>,
     goals: Mutex<MembershipGoals>,
-    /// Keeps the folder locked.
+    /// Holds the lock on the folder.
     _dir: Arc<DataDir>,
 }
 
-/// How the members of a group should change.
+/// Desired membership of a group.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MembershipGoals {
-    /// Replicas that are to be removed.
+    /// Replicas to be removed.
     pub(crate) retiring: Vec<ReplicaId>,
     /// Machine whose replica should lead.
     pub(crate) preferred_leader: Option<Ipv4Addr>,
 }
 
 impl Replica {
-    /// Starts the replicas of all groups of a folder. All members listen on `peer_port`.
+    /// Starts the replicas of all groups in a folder. All members listen on `peer_port`.
     pub(crate) async fn start(
         folder: ReplicaFolder,
         groups: Vec<GroupStart>,
@@ -290,29 +292,29 @@
         group_ids().take(founders.len()).map(replica).collect()
     }
 
-    /// Number of the group.
     pub(crate) fn group(&self) -> u32 {
         self.group.0
     }
 
-    /// Whether this replica leads, as of the last tick, and in which term.
+    /// The term in which this replica leads, as of the last tick. `None` if it does not lead or its
+    /// lease has expired.
     pub(crate) fn leads(&self) -> Option<u64> {
         let view = *self.handle.watch().borrow();
         (view.role == Role::Leader && view.lease).then_some(view.term)
     }
 
-    /// Peer address of the leader, if another replica is known to lead.
+    /// Peer address of the leader, if it is another replica.
     pub(crate) fn leader(&self) -> Option<SocketAddr> {
         let leader = self.handle.watch().borrow().leader?;
         (leader != self.id).then(|| SocketAddr::from((machine(leader), self.peer_port)))
     }
 
-    /// Commits a command.
+    /// Commits a command and returns its result.
     pub(crate) async fn propose(&self, command: Bytes) -> Result<Bytes, ProposeError> {
         self.handle.propose(command).await
     }
 
-    /// Reads the state behind a read barrier. None when this replica does not lead.
+    /// Reads the state behind a read barrier. Returns `None` if this replica does not lead.
     pub(crate) async fn query<M: StateMachine, R: Send + 'static>(
         &self,
         f: impl FnOnce(&M) -> R + Send + 'static,
@@ -320,28 +322,28 @@
         self.handle.query(f).await.ok()
     }
 
-    /// Voters of the group, as this replica knows them.
+    /// Voters of the group as far as this replica knows.
     pub(crate) async fn voters(&self) -> Vec<ReplicaId> {
         let status = self.handle.status().await;
         status.map_or_else(Vec::new, |s| s.core.membership.voters)
     }
 
-    /// Says how the members of the group should change.
+    /// Sets the desired membership.
     pub(crate) fn set_goals(&self, goals: MembershipGoals) {
         *self.goals.lock().expect("no panic while locked") = goals;
     }
 
-    /// Transfers leadership of all groups of the folder, and stops.
+    /// Transfers leadership of all groups in the folder and stops.
     pub(crate) async fn shutdown(&self) {
         self.node.shutdown().await;
     }
 
-    /// Returns when the log has failed.
+    /// Waits until the log has failed.
     pub(crate) async fn failed(&self) -> anyhow::Error {
         self.node.failed().await.into()
     }
 
-    /// The answer to a call that only the leader can carry out.
+    /// Failure for a call that only the leader can handle.
     pub(crate) fn not_leader(&self) -> peer::Failure {
         peer::Failure {
             code: FailureCode::NotLeader.into(),
@@ -350,7 +352,7 @@
         }
     }
 
-    /// Takes note of a request to join.
+    /// Records a join request.
     pub(crate) async fn join(&self, join: peer::Join) -> Result<peer::Joined, peer::Failure> {
         if self.leads().is_none() {
             return Err(self.not_leader());
@@ -369,7 +371,7 @@
         Ok(peer::Joined { voter: members.voters.contains(&id), complete })
     }
 
-    /// While this replica leads: adds, promotes and removes members.
+    /// Adds, promotes and removes members while this replica leads.
     pub(crate) async fn run_membership(self: Arc<Self>) -> Result<()> {
         let mut lagging: Vec<(ReplicaId, Instant)> = Vec::new();
         let mut leader_since = None;
@@ -400,7 +402,7 @@
                     {
                         lagging.push((id, now + LAGGING_PAUSE));
                     }
-                    // The home of the group is asked again after a while only.
+                    // Delays the next attempt to transfer leadership to the preferred machine.
                     leader_since = Some(now);
                 }
             }
@@ -439,8 +441,8 @@
         }
     }
 
-    /// Asks to join the group while this replica is no voter or hears of no leader. `peers` returns
-    /// where to ask.
+    /// Asks to join the group while this replica is not a voter or has no leader. `peers` returns
+    /// the addresses to ask.
     pub(crate) async fn run_join(
         self: Arc<Self>,
         client: PeerClient,
@@ -483,7 +485,7 @@
         }
     }
 
-    /// Where messages of the replicated log go.
+    /// Receiver for messages of the replicated log.
     pub(crate) fn sink(&self) -> Arc<dyn AgreementSink> {
         self.node.clone()
     }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs one instance of a relay fleet.
+//! Starts and stops one instance of a relay fleet.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -30,19 +30,19 @@
     store::Store,
 };
 
-/// Time after SIGTERM in which the platform stops sending new connections.
+/// Time after SIGTERM until the platform has stopped routing new connections to the instance.
 const DEREGISTRATION_TIME: Duration = Duration::from_millis(2_600);
-/// What is left of the grace period when the process ends in any case.
+/// Part of the grace period that is reserved for the process to exit.
 const EXIT_MARGIN: Duration = Duration::from_millis(300);
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
-/// What an instance is made of.
+/// Configuration of an instance that is to be started.
 pub struct Relay {
     /// Settings of the instance.
     pub settings: Settings,
-    /// Protocols of the platform.
+    /// Translation of the platform's protocols.
     pub protocol: Arc<dyn Protocol>,
-    /// Certificates of the peer port.
+    /// TLS files of the peer port.
     pub tls: TlsFiles,
 }
 
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on, or the data folder cannot be used.
+    /// Fails when it cannot listen on an address or use the data folder.
     pub async fn start(self) -> Result<RunningInstance> {
         let Self { settings, protocol, tls } = self;
         let settings = Arc::new(settings);
@@ -236,7 +236,8 @@
         self.supervisor.start("quarantine", move || quarantine.clone().run());
         let sweeping = front.clone();
         self.supervisor.start("idle connections", move || sweeping.clone().run_sweep());
-        // Its queue lives as long as the task, so a failure ends the instance's settling.
+        // The settler owns its queue, so it is not restarted: if it ends, the instance no longer
+        // settles turns.
         tokio::spawn(settler.run());
         let listener = Listener::new(front.clone());
         let calls =
@@ -263,7 +264,7 @@
         Ok(())
     }
 
-    /// Returns when the instance cannot go on.
+    /// Waits until the instance cannot continue, and returns the cause.
     pub async fn failed(&self) -> anyhow::Error {
         match &self.replica {
             Some(replica) => replica.failed().await,
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Takes the seeds of changed settings. All other changes take effect at the next start.
+    /// Applies the seeds of reloaded settings. All other changes take effect at the next start.
     pub fn reload(&self, settings: &Settings) {
         if let Some(fleet) = &self.fleet {
             fleet.set_seeds(settings.control_peer_addresses());
@@ -283,8 +284,8 @@
         log::info!(seeds; "settings reloaded");
     }
 
-    /// Shuts down: stops being ready, serves what is under way, hands leadership over, and ends.
-    /// Returns the number of connections that were still open.
+    /// Shuts down: reports not ready, completes open calls, transfers leadership and stops. Returns
+    /// the number of connections that were still open.
     pub async fn shutdown(self) -> usize {
         log::info!(instance = &*self.settings.instance; "instance shutting down");
         let end = Instant::now() + self.settings.bounds.shutdown_grace.saturating_sub(EXIT_MARGIN);
@@ -319,7 +320,7 @@
     Ok(Arc::new(socket.with_context(|| format!("cannot listen on {address}"))?))
 }
 
-/// Runs the replicas of a store, once it is known how the stores form groups.
+/// Runs the replicas of a store once the groups are formed.
 struct StoreMember {
     settings: Arc<Settings>,
     fleet: Arc<FleetClient>,
@@ -349,11 +350,12 @@
         let (led, fleet) = (replicas.clone(), self.fleet.clone());
         supervisor.start("wishes", move || follow_goals(led.clone(), fleet.clone()));
         let error = replicas.first().context("the store has no groups")?.failed().await;
-        // The log also ends when the instance shuts down.
+        // The log also stops when the instance shuts down.
         if self.fleet.is_draining() { Ok(()) } else { Err(error) }
     }
 
-    /// What the groups start from. A new folder waits for the decision on their first voters.
+    /// Initial state of the groups. A new folder waits until the control group has chosen the
+    /// initial voters.
     async fn groups(&self, folder: &ReplicaFolder) -> Result<Vec<GroupStart>> {
         let start = |founders| GroupStart { founders, state: Box::<Turns>::default() };
         if let Some(groups) = folder.groups()? {
@@ -373,7 +375,7 @@
     }
 }
 
-/// Tells the replicas of a store which of the stores are to be emptied, and which should lead.
+/// Passes the desired membership from the fleet view to the replicas of a store.
 async fn follow_goals(replicas: Vec<Arc<Replica>>, fleet: Arc<FleetClient>) -> Result<()> {
     let mut changes = fleet.subscribe();
     loop {
@@ -387,7 +389,7 @@
     }
 }
 
-/// What a store adds to its beats.
+/// Adds a store's state to its heartbeats.
 struct StoreReport {
     store: Arc<Store>,
     id: ReplicaId,
@@ -401,19 +403,19 @@
     fn apply_shares(&self, _shares: &[peer::TeamShare]) {}
 }
 
-/// Hands messages of the replicated logs to the store's replicas, once there are any.
+/// Delivers messages of the replicated logs to the store's replicas, once they run.
 struct StoreSink(Arc<Store>);
 
 impl AgreementSink for StoreSink {
     fn deliver(&self, batch: peer::AgreementBatch) {
-        // All groups of a folder have one sink.
+        // All groups of a folder share one sink.
         if let Some(replica) = self.0.replicas().first() {
             replica.sink().deliver(batch);
         }
     }
 }
 
-/// A peer service without duties.
+/// Peer service of a front, which handles no calls.
 struct NoPeerCalls;
 
 impl PeerService for NoPeerCalls {
@@ -424,7 +426,7 @@
     }
 }
 
-/// The metrics port of an instance answers as long as the process runs.
+/// Readiness of the metrics port, which answers as long as the process runs.
 struct AlwaysReady;
 
 impl Readiness for AlwaysReady {
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -8,24 +8,24 @@
 
 use poplarspan_policy::Name;
 
-/// Offset of the peer port of an instance that stores programs from the first peer port.
+/// Offset of a store's peer port from the first peer port.
 const STORE_PORT: u16 = 1;
-/// Offset of the peer port of an instance that serves callers.
+/// Offset of a front's peer port from the first peer port.
 const FRONT_PORT: u16 = 2;
 
-/// What an instance does.
+/// Role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceRole {
-    /// Replicates the publication, and leads the others when it is elected.
+    /// Replicates the publication, and coordinates the fleet while it is the leader.
     Control,
-    /// Keeps programs and their turns.
+    /// Stores token budgets and turns of programs.
     Store,
     /// Serves callers.
     Front,
 }
 
 impl InstanceRole {
-    /// Name in logs.
+    /// Name of the role in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Control => "control",
@@ -46,48 +46,48 @@
     pub zones: Vec<Name>,
     /// Address of the machine.
     pub ip: Ipv4Addr,
-    /// What the instance does.
+    /// Role of the instance.
     pub role: InstanceRole,
-    /// Where callers connect; only for fronts.
+    /// Address for callers; only for fronts.
     pub call_address: Option<SocketAddr>,
-    /// Where readiness is asked for; only for fronts.
+    /// Address of the readiness probe; only for fronts.
     pub readiness_address: Option<SocketAddr>,
-    /// Where operators connect; only for control replicas.
+    /// Address for operators; only for control replicas.
     pub operator_address: Option<SocketAddr>,
-    /// First of the ports between instances, the same on all machines.
+    /// First port for traffic between instances; the same on all machines.
     pub peer_ports: u16,
-    /// Machines of control replicas, as far as they are known at the start.
+    /// Machines of control replicas that are known at the start.
     pub seeds: Vec<Ipv4Addr>,
-    /// Whether the fleet starts for the first time in its life.
+    /// Whether the fleet starts for the first time.
     pub is_bootstrap: bool,
-    /// Folder for durable state.
+    /// Folder for durable state; needed by control replicas and stores.
     pub data_dir: Option<PathBuf>,
-    /// Where the platform's list of endpoints is read.
+    /// Address that serves the platform's endpoint list.
     pub endpoint_list_address: SocketAddr,
-    /// Machines with a disk that may be lost at once.
+    /// Number of machines with a disk that may be lost at the same time.
     pub tolerated_losses: usize,
-    /// Times that the platform sets.
+    /// Time limits set by the platform.
     pub bounds: Bounds,
     /// Port that serves metrics.
     pub metrics_port: u16,
 }
 
-/// Times that the platform sets.
+/// Time limits set by the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Time after which a withdrawn key must not work anywhere.
+    /// Time after which a revoked key must not be accepted by any instance.
     pub key_revocation: Duration,
     /// Time between SIGTERM and SIGKILL.
     pub shutdown_grace: Duration,
 }
 
 impl Settings {
-    /// Address of this instance's peer port.
+    /// Peer address of this instance.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer_address_of(self.ip, self.role)
     }
 
-    /// Address of the peer port of the instance with a duty on a machine.
+    /// Peer address of the instance with `role` on the machine `ip`.
     pub fn peer_address_of(&self, ip: Ipv4Addr, role: InstanceRole) -> SocketAddr {
         let offset = match role {
             InstanceRole::Control => 0,
@@ -97,7 +97,7 @@
         SocketAddr::from((ip, self.peer_ports + offset))
     }
 
-    /// Peer addresses of the control replicas that are known at the start.
+    /// Peer addresses of the control replicas in `seeds`.
     pub fn control_peer_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|ip| self.peer_address_of(*ip, InstanceRole::Control)).collect()
     }
--- a/crates/relay/src/store/mod.rs
+++ b/crates/relay/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! Duties of a store: it replicates budgets and kept turns, and for the groups that it leads, it
-//! begins and ends turns for the fronts.
+//! A store: replicates token budgets and kept turns. For the groups that it leads, it begins and
+//! ends turns on behalf of the fronts.
 
 use std::{
     sync::{Arc, Mutex},
@@ -18,15 +18,15 @@
 
 use crate::{Turns, control::invalid, now_ms, replica::Replica};
 
-/// Time in which a command is committed, or its outcome is left open.
+/// Time in which a command must commit; afterwards its outcome is unknown.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls that a store works on at a time; more are refused at once.
+/// Maximum number of concurrent calls; further calls are refused immediately.
 const MAX_CONCURRENT_CALLS: usize = 192;
 
-/// A store.
+/// Handles the peer calls of a store.
 pub(crate) struct Store {
-    /// One for each group, by its number; empty until it is decided how the stores form groups.
+    /// Indexed by group number; empty until the groups are formed.
     replicas: Mutex<Vec<Arc<Replica>>>,
     calls: Semaphore,
 }
@@ -37,7 +37,7 @@
         Arc::new(Self { replicas: Mutex::default(), calls })
     }
 
-    /// Lets the store serve.
+    /// Sets the replicas, after which the store can serve calls.
     pub(crate) fn set_replicas(&self, replicas: Vec<Arc<Replica>>) {
         *self.replicas.lock().expect("no panic while locked") = replicas;
     }
@@ -106,7 +106,7 @@
         Ok(peer::TurnsEnded {})
     }
 
-    /// What the leader of the control group is told.
+    /// Returns the state that heartbeats report to the control leader.
     pub(crate) async fn state(&self, id: u64) -> peer::StoreState {
         let mut leads = Vec::new();
         for replica in self.replicas() {
@@ -145,7 +145,8 @@
             if role != Role::Instance {
                 return failure(FailureCode::Unauthorized, "only instances may ask for this");
             }
-            // Calls beyond what can be worked on in time would only make all of them late.
+            // Refuses calls above the limit instead of queueing them, which would delay all of them
+            // beyond their deadlines.
             let Ok(_permit) = self.calls.try_acquire() else {
                 metrics::counter!("poplarspan_relay_store_overloads_total").increment(1);
                 return failure(FailureCode::Unavailable, "the store has too many open calls");
--- a/crates/relay/src/turns.rs
+++ b/crates/relay/src/turns.rs
@@ -1,8 +1,9 @@
-//! What the stores replicate: what programs have used of their budgets, and kept turns.
+//! State machine of a store group: used and reserved tokens of programs, and kept turns.
 //!
-//! Owner: the replicated log of the stores. Fronts reserve tokens of a program's budget before they
-//! hand any out, and settle what they did hand out. A reservation that is never settled, because its
-//! front died, stays: nobody knows what was handed out of it. All commands may be repeated.
+//! The state lives in the replicated log of the group. A front reserves tokens of a program's
+//! budget before it passes any on to the caller, and later settles the number it did pass on. If
+//! the front dies first, the reservation stays, because nobody knows how many of its tokens were
+//! used. All commands are idempotent.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use poplarspan_agreement::StateMachine;
@@ -10,15 +11,15 @@
 use poplarspan_proto::relay as pb;
 use prost::Message;
 
-/// Time after the last turn of a program for which its account is kept, in milliseconds. A program
-/// that is still known to its caller comes back sooner.
+/// How long the account of a program is kept after its last turn, in milliseconds. The pauses
+/// between the turns of a running program are shorter.
 const ACCOUNT_TTL_MS: u64 = 10 * 60 * 1000;
-/// Time for which a turn is kept beyond what was asked for, in milliseconds; covers the difference
-/// between the clocks of successive leaders.
+/// How long a turn is kept beyond the requested time, in milliseconds. Covers the clock difference
+/// between successive leaders.
 const RETAIN_MARGIN_MS: u64 = 10_000;
-/// Time between two searches for what has expired, in milliseconds.
+/// Time between two sweeps for expired entries, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 5_000;
-/// Turns before one turn; a longer line cannot be continued.
+/// Maximum number of turns before a turn; a longer chain cannot be continued.
 const MAX_CHAIN_TURNS: usize = 4096;
 
 /// Team and name of a program or turn.
@@ -27,7 +28,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Account {
     used: u64,
-    /// Reservations that are not settled, with their tokens, sorted by name.
+    /// Open reservations and their tokens, sorted by name.
     reservations: Vec<(Name, u64)>,
     touched_ms: u64,
 }
@@ -46,7 +47,7 @@
     expires_ms: u64,
 }
 
-/// State machine of the stores' group.
+/// State machine of a store group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Turns {
     now_ms: u64,
@@ -58,8 +59,8 @@
 }
 
 impl Turns {
-    /// Inputs and outputs of a kept turn and of those before it, oldest first. None when the team
-    /// has no such turn.
+    /// Returns the inputs and outputs of a kept turn and of the turns before it, oldest first.
+    /// Returns `None` if the team has no such turn.
     pub fn history(&self, team: &str, turn: &str) -> Option<Bytes> {
         let chain = self.chain(team, turn)?;
         let len = chain.iter().map(|k| k.input.len() + k.output.len()).sum();
@@ -76,17 +77,17 @@
         find(&self.accounts, team, program).map_or(0, |at| self.accounts[at].1.committed())
     }
 
-    /// KeptTurn turns.
+    /// Number of kept turns.
     pub fn len(&self) -> usize {
         self.turns.len()
     }
 
-    /// Whether no turn is kept.
+    /// Whether there are no kept turns.
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
     }
 
-    /// A turn and those before it, newest first.
+    /// Returns a turn and the turns before it, newest first.
     fn chain(&self, team: &str, turn: &str) -> Option<Vec<&KeptTurn>> {
         let mut chain = Vec::new();
         let mut next = Some(turn);
@@ -124,7 +125,7 @@
         if let Ok(at) = find(&self.accounts, &team, &program) {
             let account = &mut self.accounts[at].1;
             account.touched_ms = self.now_ms;
-            // A reservation that is not open was settled before.
+            // A reservation that is not open has already been settled.
             if let Ok(at) = account.reservations.binary_search_by(|(n, _)| (**n).cmp(&*name)) {
                 account.reservations.remove(at);
                 account.used += used;
