--- a/crates/relay/src/front/answered.rs
+++ b/crates/relay/src/front/answered.rs
@@ -1,13 +1,13 @@
-//! Requests that a front has answered a short time ago.
+//! Requests that were recently answered through this front.
 //!
-//! Owner: each front for itself; a new one starts with none.
+//! Each front has its own list, which starts empty.
 
 use std::time::Duration;
 
 use poplarspan_policy::containment::Fingerprint;
 use tokio::time::Instant;
 
-/// A generation of requests lasts this long, or until it is full. Two are remembered.
+/// Lifetime of a generation, unless it fills up earlier. The current and the previous one are kept.
 const GENERATION_TIME: Duration = Duration::from_secs(15);
 const MAX_REQUESTS: usize = 4_096;
 
@@ -33,7 +33,7 @@
         [&self.current, &self.previous].iter().any(|list| list.binary_search(&request).is_ok())
     }
 
-    /// Begins a new generation when it is time.
+    /// Starts a new generation when the current one is old or full.
     fn rotate(&mut self, now: Instant) {
         let age = self.current_since.map_or(Duration::MAX, |at| now.saturating_duration_since(at));
         if age < GENERATION_TIME && self.current.len() < MAX_REQUESTS {
--- a/crates/relay/src/front/attempt.rs
+++ b/crates/relay/src/front/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends a call to one endpoint after another, as far as it may be repeated.
+//! Sends a call to endpoints and retries where the route allows it.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -26,11 +26,11 @@
 };
 use crate::{CallHead, Forward, ResponseHead, Route, RouteKind};
 
-/// Endpoints that may refuse a call, or not be reached, before it is given up.
+/// Maximum number of endpoints that refuse a call or cannot be reached before the call is refused.
 const MAX_UNSENT: u32 = 6;
-/// Endpoints that keep refusing are asked again after this pause.
+/// Pause before endpoints that refused the call are asked again.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
-/// When a call that was given up unsent may come back.
+/// When to retry a call that no endpoint has run.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// A call that was admitted.
@@ -44,16 +44,16 @@
     pub(crate) team: Option<Name>,
     pub(crate) want: Arc<PlacementRequest>,
     pub(crate) urgency: Option<u8>,
-    /// When the caller has to have an answer.
+    /// When the caller must have a response.
     pub(crate) deadline: Instant,
-    /// Memory of the body.
+    /// Memory reserved for the body.
     pub(crate) _memory: MemoryReservation,
-    /// Computed when it is first asked for.
+    /// Computed on first use.
     pub(crate) fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Call {
-    /// Identifies the request, whichever front it comes to and under whichever id.
+    /// Digest that identifies the request across fronts and request ids.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let team = self.team.as_deref().unwrap_or("");
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Whether it may run at a second endpoint, if it may have run at a first one.
+    /// Whether the call may run at a second endpoint after one that may have run it.
     fn may_run_again(&self) -> bool {
         match self.route.kind {
             RouteKind::Idempotent => true,
@@ -76,7 +76,7 @@
     }
 }
 
-/// An answer that has begun.
+/// A response whose head has arrived.
 pub(crate) struct StartedResponse {
     pub(crate) parts: response::Parts,
     pub(crate) body: Incoming,
@@ -84,30 +84,30 @@
     pub(crate) slot: Slot,
 }
 
-/// The attempts of one call.
+/// State of the attempts of one call.
 pub(crate) struct Attempts {
     front: Arc<Front>,
     pub(crate) call: Arc<Call>,
     tried: Vec<Name>,
-    /// Endpoints that may have run it.
+    /// Number of endpoints that may have run the call.
     pub(crate) ran: u32,
-    /// Endpoints that have certainly not run it.
+    /// Number of attempts that certainly did not run the call.
     pub(crate) unsent: u32,
-    /// Time spent waiting for places.
+    /// Time spent waiting for a slot.
     pub(crate) waited: Duration,
-    /// The endpoint that was tried last.
+    /// The endpoint of the last attempt.
     pub(crate) last: Option<Name>,
-    /// Open while the call runs on trial.
+    /// Set while the call runs on trial.
     trial: Option<Trial>,
 }
 
-/// What became of one attempt that gave no answer.
+/// Why an attempt yielded no response.
 enum AttemptError {
-    /// The endpoint has not run the call and will not.
+    /// The endpoint has not run the call and will not run it.
     NotRun,
     /// The endpoint may have run the call.
     Unknown,
-    /// The call must not run now at any endpoint.
+    /// The call must not be sent to any endpoint now.
     Refused(Refusal),
 }
 
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Sends the call until an endpoint begins to answer. A stream goes on after `last_event`.
+    /// Sends the call until an endpoint starts a response. A stream is resumed after `last_event`.
     pub(crate) async fn next(
         &mut self,
         last_event: Option<&Name>,
@@ -178,14 +178,14 @@
         self.unsent > 0 && self.ran == 0 && self.call.time_left() > 4 * REFUSED_PAUSE
     }
 
-    /// Whether the call may be sent to one more endpoint after one that may have run it.
+    /// Whether the call may be sent to another endpoint after one that may have run it.
     pub(crate) fn may_retry(&self) -> bool {
         self.call.may_run_again()
             && self.ran < self.call.route.max_endpoints
             && !self.call.time_left().is_zero()
     }
 
-    /// Takes note that an endpoint that began to answer did not complete.
+    /// Records that an endpoint did not complete its response.
     pub(crate) fn failed(&mut self, slot: Slot, cause: &str) {
         self.note_incomplete(&slot.endpoint, cause);
         self.ran += 1;
@@ -285,7 +285,8 @@
         self.trial = None;
         match error {
             SendError::NotPermitted => {
-                // The lease has ended, or the endpoint is leaving; either says nothing of its health.
+                // The lease expired or the endpoint is leaving; neither is a failure of the
+                // endpoint.
                 slot.finish(Outcome::Abandoned);
                 AttemptError::NotRun
             }
@@ -294,7 +295,7 @@
                 AttemptError::NotRun
             }
             SendError::Silent if self.call.time_left().is_zero() => {
-                // The call's own time limit says little about the endpoint.
+                // Running into the call's own deadline is not evidence against the endpoint.
                 slot.finish(Outcome::Abandoned);
                 AttemptError::Unknown
             }
@@ -305,7 +306,7 @@
         }
     }
 
-    /// Takes note that an endpoint may have run the call and gave no whole answer.
+    /// Records that an endpoint may have run the call without completing a response.
     fn note_incomplete(&mut self, endpoint: &ChosenEndpoint, cause: &str) {
         let (id, request) = (&*self.call.head.id, self.call.fingerprint().to_string());
         let name = &*endpoint.name;
@@ -314,7 +315,7 @@
         self.front.quarantine.note_incomplete(&self.call, endpoint, self.trial.take());
     }
 
-    /// Takes note that the call has a whole answer.
+    /// Records that the call has a complete response.
     pub(crate) fn answered(&mut self) {
         self.front.quarantine.answered(&self.call, self.trial.take());
     }
@@ -324,7 +325,8 @@
         log::info!(id, endpoint, status; "{what}");
     }
 
-    /// The answer for a call that gets no further place.
+    /// The refusal for a call that is not sent again. Its outcome is unknown if an endpoint may
+    /// have run it.
     fn refuse(&self, code: &'static str, message: &'static str, retry_after: Duration) -> Refusal {
         if self.ran > 0 {
             self.unknown_outcome()
@@ -333,13 +335,13 @@
         }
     }
 
-    /// The answer for a request under which endpoints end.
+    /// The refusal for a request that terminates endpoints.
     fn crashes_endpoints(&self) -> Refusal {
         let message = "endpoints have ended each time that they ran this request";
         Refusal::new(StatusCode::UNPROCESSABLE_ENTITY, "request_crashes_endpoints", message)
     }
 
-    /// The answer for a call that may have run, but has no answer.
+    /// The refusal for a call that may have run but has no response.
     pub(crate) fn unknown_outcome(&self) -> Refusal {
         if self.call.time_left().is_zero() {
             let message = "no answer in time";
@@ -349,13 +351,13 @@
     }
 }
 
-/// Whether an answer comes from the endpoint itself.
+/// Whether a response was created by the endpoint itself.
 fn is_genuine(status: StatusCode, head: &ResponseHead) -> bool {
     !head.is_encoded && (head.is_sealed || !status.is_success())
 }
 
-/// Reads a short body to its end, so that its connection can be used again. The call goes on
-/// meanwhile: the body may never end.
+/// Reads a short body to its end so that the connection can be reused. Runs in the background,
+/// because the body may never end.
 async fn drain(mut body: Incoming, reuse: Reuse) {
     use http_body_util::BodyExt;
     const MAX_FRAMES: usize = 4;
--- a/crates/relay/src/front/body.rs
+++ b/crates/relay/src/front/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Response bodies.
 
 use std::{
     pin::Pin,
@@ -12,21 +12,21 @@
 
 use super::memory::MemoryReservation;
 
-/// Ends an answer that cannot be completed: the connection is closed, so that the caller does not
-/// take what has arrived for the whole.
+/// Terminates a response that cannot be completed. The connection is closed, so that the caller
+/// does not mistake the partial body for a complete one.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer was cut short: {0}")]
 pub(crate) struct TruncatedBody(pub(crate) &'static str);
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
-/// A body that is there as a whole.
+/// A body that is completely in memory.
 pub(crate) fn full(bytes: Bytes) -> AnswerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body that is there as a whole, with the memory that is held for it.
+/// A body that is completely in memory, with its memory reservation.
 pub(crate) fn reserved(bytes: Bytes, reservation: MemoryReservation) -> AnswerBody {
     ReservedBody { full: Full::new(bytes), _reservation: reservation }.boxed_unsync()
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A body that arrives in pieces.
+/// A body that arrives in chunks.
 pub(crate) fn streamed(
     stream: impl Stream<Item = Result<Bytes, TruncatedBody>> + Send + 'static,
 ) -> AnswerBody {
--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -1,8 +1,7 @@
-//! What the front knows of endpoints: load, cached prompts, failures, cold starts.
+//! State of the endpoints as seen by a front: load, cached prompts, failures and cold starts.
 //!
-//! It answers uneven load and shared prompts on calm days, and crashes, restarts and releases on the
-//! others. Owner: each front for itself; rebuilt after a restart from the list of endpoints and from
-//! answers.
+//! Each front keeps its own state. After a restart it is rebuilt from the endpoint list and from
+//! responses.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,21 +19,21 @@
 use super::schedule::PlacementRequest;
 use crate::{ListedEndpoint, Load, PromptPart, Publication, fleet_client::View};
 
-/// Tokens of one block of a prompt in the index of cached prompts.
+/// Block size of the index of cached prompts, in tokens.
 const BLOCK_TOKENS: u32 = 256;
-/// Blocks that the index holds: some 8 million tokens.
+/// Maximum number of blocks in the index, about 8 million tokens.
 const MAX_BLOCKS: usize = 32_768;
-/// Prefill speed that is assumed for engines, in tokens a second; of the order of what a large
-/// accelerator reads of a mixture-of-experts model.
+/// Assumed prefill speed of engines in tokens per second, of the order that a large accelerator
+/// reaches with a mixture-of-experts model.
 const PREFILL_PER_SECOND: f64 = 300_000.0;
-/// Service time that is assumed until one has been measured, in seconds.
+/// Assumed service time until one has been measured, in seconds.
 const INITIAL_SERVICE_S: f64 = 0.2;
-/// A load report of an answer counts half after this time, which is about that of one answer.
+/// Half-life of a reported load, about the duration of one response.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(600);
-/// Costs of an endpoint. What a call adds to the time of the others in the batch counts as much as
-/// what it waits itself: one more call in a full batch slows each of them by some 3 percent, and all
-/// of them wait while its prompt is read. A new connection takes both sides some milliseconds, and
-/// costs about as much as one more call in a batch of 16.
+/// Cost model for choosing an endpoint. The delay that a call causes for others in the batch weighs
+/// as much as its own waiting time: one more call in a full batch slows each of them by about 3
+/// percent, and all of them wait while its prompt is prefilled. A new connection takes both sides a
+/// few milliseconds and costs about as much as one more call in a batch of 16.
 const COSTS: CostConfig = CostConfig {
     other_zone_s: 0.006,
     prefill_weight: 6.0,
@@ -47,17 +46,17 @@
     stay: 0.1,
     connect_s: 0.012,
 };
-/// First pause after a failure, doubled with each further one.
+/// Pause after the first failure, doubled with each further one.
 const MIN_PAUSE: Duration = Duration::from_millis(250);
 const MAX_PAUSE: Duration = Duration::from_secs(2);
-/// Calls that an endpoint gets at a time after it has failed, until it has answered one.
+/// Concurrent calls to an endpoint after a failure, until it has answered one.
 const PROBE_CALLS: u32 = 1;
-/// Longest life of what is known of a conversation's last endpoint.
+/// How long the last endpoint of a conversation is remembered.
 const CONVERSATION_TTL: Duration = Duration::from_secs(30);
 const MAX_CONVERSATIONS: usize = 8_192;
-/// A part counts as shared once this many lines have used it.
+/// A prompt part counts as shared once this many conversations have used it.
 const MIN_SHARING_CONVERSATIONS: u32 = 8;
-/// Parts whose use is remembered; beyond, the one that was used longest ago is forgotten.
+/// Maximum number of tracked parts; the least recently used one is evicted.
 const MAX_SHARED_PARTS: usize = 512;
 
 struct EndpointState {
@@ -66,55 +65,56 @@
     id: EndpointId,
     address: SocketAddr,
     started_ms: Option<u64>,
-    /// Until when the endpoint counts as cold.
+    /// When the cold start phase ends.
     cold_until: Duration,
     gate: StartGate,
     failures: u32,
-    /// No calls until then, and few until an answer has come.
+    /// No calls are sent until then; afterwards `PROBE_CALLS` at a time until one is answered.
     paused_until: Option<Duration>,
 }
 
-/// A chosen endpoint.
+/// An endpoint chosen for a call.
 #[derive(Clone, Debug)]
 pub(crate) struct ChosenEndpoint {
     pub(crate) name: Name,
     pub(crate) address: SocketAddr,
 }
 
-/// How a call at an endpoint has ended.
+/// Result of a call at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// A whole answer has arrived.
+    /// The response is complete.
     Answered,
-    /// The endpoint has refused the call and works.
+    /// The endpoint refused the call but is healthy.
     Refused,
-    /// The caller has gone, or the call was not sent.
+    /// The caller disconnected, or the call was not sent.
     Abandoned,
-    /// No connection, a lost one, or an answer that is not the endpoint's.
+    /// The connection failed, or the response did not come from the endpoint.
     Failed,
 }
 
-/// Parts of prompts that lines share.
+/// Tracks prompt parts that many conversations share.
 ///
-/// Each front knows only of the calls it sent itself, but a part that many lines share is cached at
-/// every endpoint that has been up for a while, whichever front sent it there. So it says nothing for
-/// or against an endpoint.
+/// A front only sees its own calls, but a part shared by many conversations is cached at every
+/// endpoint that has been up for a while, whichever front sent it there. Such parts are therefore
+/// ignored when an endpoint is chosen.
 #[derive(Default)]
 struct SharedParts {
-    /// Sorted by part.
+    /// Sorted by id.
     parts: Vec<PartUse>,
 }
 
 struct PartUse {
     id: u64,
-    /// Lines that used the part, as far as they followed one another.
+    /// Number of conversations that used the part; only consecutive uses by the same one are
+    /// recognized.
     conversations: u32,
     last_conversation: Option<Name>,
     at: Duration,
 }
 
 impl SharedParts {
-    /// Takes note of the parts of a conversation's prompt. The last one is the conversation's own.
+    /// Records the parts of a prompt, except the last one, which is specific to the conversation.
     fn note(&mut self, want: &PlacementRequest, now: Duration) {
         let shared = want.parts.len().saturating_sub(1);
         for part in &want.parts[..shared] {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Number of leading parts that many lines share.
+    /// Number of leading parts that are shared.
     fn leading(&self, want: &PlacementRequest) -> usize {
         let is_shared = |part: &&PromptPart| {
             let found = self.parts.binary_search_by_key(&part.id, |p| p.id);
@@ -163,7 +163,7 @@
     at: Duration,
 }
 
-/// The endpoints of the list in force.
+/// The endpoints of the current list.
 pub(crate) struct Endpoints {
     pool: Arc<Pool>,
     fleet: Fleet,
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Follows changes of the list, the publication and the zones.
+    /// Applies changes of the endpoint list, the publication and the zones.
     pub(crate) fn observe(&mut self, view: &View, now: Duration) {
         self.place = view.place;
         let version = view.publication.as_ref().map_or(0, |p| p.version);
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Lets reported loads fade, and tries endpoints again that have failed.
+    /// Decays reported loads, and ends the pauses of endpoints that have failed.
     pub(crate) fn tick(&mut self, now: Duration) {
         self.fleet.fade(LOAD_HALF_LIFE, now);
         for known in &mut self.endpoints {
@@ -299,7 +299,7 @@
         self.last_endpoints.retain(|l| now < l.at + CONVERSATION_TTL);
     }
 
-    /// Chooses an endpoint and counts the call there.
+    /// Chooses an endpoint and counts the call as running there.
     pub(crate) fn place(
         &mut self,
         want: &PlacementRequest,
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Blocks and tokens of a prompt without the leading parts that many lines share.
+    /// Blocks and tokens of a prompt without its leading shared parts.
     fn own_blocks<'a>(&self, want: &'a PlacementRequest) -> (&'a [u64], u32) {
         let leading = &want.parts[..self.shared.leading(want)];
         let tokens: u32 = leading.iter().map(|p| p.tokens).sum();
@@ -341,8 +341,8 @@
         (&want.blocks[blocks..], want.prompt_tokens - tokens)
     }
 
-    /// Endpoints that must not get the call: those that were tried, and cold ones that have had as
-    /// many calls in this second as they bear from this front.
+    /// Endpoints that must not get the call: those already tried, and cold ones that have had as
+    /// many calls in this second as this front may send them.
     fn excluded(
         &mut self,
         want: &PlacementRequest,
@@ -399,7 +399,7 @@
         Some(self.last_endpoints[at].id)
     }
 
-    /// Takes a call back from its endpoint.
+    /// Records the end of a call at an endpoint.
     pub(crate) fn end(&mut self, name: &Name, outcome: Outcome, took: Duration, now: Duration) {
         let Ok(at) = self.position(name) else { return };
         let known = &mut self.endpoints[at];
@@ -428,7 +428,7 @@
         }
     }
 
-    /// Takes note of the load that an answer reports.
+    /// Records a load report from a response.
     pub(crate) fn report(&mut self, name: &Name, load: Load, now: Duration) {
         if let Ok(at) = self.position(name) {
             let report = LoadReport { running: load.running, queued: load.waiting, taken: now };
@@ -436,8 +436,8 @@
         }
     }
 
-    /// Takes note that an endpoint has said that it is about to stop: it gets no more calls, whatever
-    /// the list says, until its next start is known.
+    /// Records that an endpoint announced its stop. It gets no further calls until its next start
+    /// is in the list, even if the list still shows it as available.
     pub(crate) fn note_leaving(&mut self, name: &Name) {
         let Ok(at) = self.position(name) else { return };
         let known = &self.endpoints[at];
@@ -448,7 +448,7 @@
         self.fleet.set_leaving(known.id);
     }
 
-    /// Whether an endpoint that was chosen may still be sent the call.
+    /// Whether the call may still be sent to the chosen endpoint.
     pub(crate) fn may_receive(&self, chosen: &ChosenEndpoint) -> bool {
         self.position(&chosen.name).is_ok_and(|at| {
             let known = &self.endpoints[at];
@@ -456,7 +456,7 @@
         })
     }
 
-    /// Calls that the open endpoints of a service run at once.
+    /// Number of concurrent calls that the available endpoints of a service can run.
     pub(crate) fn capacity(&self, service: &str) -> u32 {
         let members = self.fleet.members(service).unwrap_or(&[]);
         let open = members.iter().filter(|id| self.fleet.is_open(**id));
@@ -472,13 +472,13 @@
     Start { name: &endpoint.name, started_ms: endpoint.started_ms }
 }
 
-/// A number that is the same for an endpoint at all fronts.
+/// A number derived from the name of an endpoint, equal at all fronts.
 fn offset(name: &str) -> u32 {
     let digest = blake3::hash(name.as_bytes());
     u32::from_le_bytes(*digest.as_bytes().first_chunk().expect("a digest has 32 bytes"))
 }
 
-/// Splits a prompt into blocks, each named by its part and by all that is before it.
+/// Splits a prompt into blocks. Each is identified by its part and all blocks before it.
 pub(crate) fn blocks(parts: &[PromptPart]) -> Vec<u64> {
     const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
     let mut blocks = Vec::new();
--- a/crates/relay/src/front/events.rs
+++ b/crates/relay/src/front/events.rs
@@ -1,18 +1,18 @@
-//! Events of a stream.
+//! Parser for streams of server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
 /// One event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// The event as it arrived, with the empty line at its end.
+    /// The bytes of the event as received, including the empty line at its end.
     pub raw: Bytes,
-    /// Its id, if it has one.
+    /// Value of the last `id` field, if there is one.
     pub id: Option<Bytes>,
 }
 
 impl Event {
-    /// Appends the data of the event, each line followed by a line feed.
+    /// Appends the values of the `data` fields, each followed by a line feed.
     pub fn write_data(&self, buf: &mut BytesMut) {
         for line in lines(&self.raw) {
             if let Some(data) = field(line, b"data") {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether the event carries data.
+    /// Whether the event has a `data` field.
     pub fn has_data(&self) -> bool {
         lines(&self.raw).any(|line| field(line, b"data").is_some())
     }
@@ -32,37 +32,38 @@
 #[derive(Debug, Default)]
 pub struct EventReader {
     buf: BytesMut,
-    /// Bytes at the start of `buf` in which no end of an event is.
+    /// Length of the prefix of `buf` that is known to contain no end of an event.
     searched: usize,
 }
 
 impl EventReader {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Bytes of an event whose end has not arrived.
+    /// Number of buffered bytes. After [`EventReader::next_event`] has returned `None`, these are
+    /// the bytes of an incomplete event.
     pub fn pending(&self) -> usize {
         self.buf.len()
     }
 
-    /// Forgets an event whose end has not arrived.
+    /// Discards the buffered bytes.
     pub fn clear(&mut self) {
         self.buf.clear();
         self.searched = 0;
     }
 
-    /// Takes the bytes that are left when a stream has ended.
+    /// Takes the buffered bytes, which are what is left after the end of a stream.
     pub fn take_rest(&mut self) -> Bytes {
         self.searched = 0;
         self.buf.split().freeze()
     }
 
-    /// Takes the next whole event.
+    /// Takes the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let Some(end) = event_end(&self.buf, self.searched) else {
-            // An end may be split between what is here and what follows.
+            // The end may be split between the buffered bytes and the next ones.
             self.searched = self.buf.len().saturating_sub(3);
             return None;
         };
@@ -74,7 +75,7 @@
     }
 }
 
-/// Length of the first event, with the empty line after it.
+/// Length of the first event including the empty line.
 fn event_end(buf: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     while let Some(found) = buf[at..].iter().position(|b| *b == b'\n') {
@@ -92,7 +93,7 @@
     raw.split(|b| *b == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
 
-/// Value of a line with this field name.
+/// Returns the value if `line` is the field `name`.
 fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
--- a/crates/relay/src/front/handler.rs
+++ b/crates/relay/src/front/handler.rs
@@ -1,4 +1,4 @@
-//! Admits a call and answers it.
+//! Admits calls and answers them.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -26,27 +26,28 @@
 };
 use crate::{CallHead, ProgramHead, Publication, Route, RouteKind, Team};
 
-/// Largest answer that is not a stream, in bytes.
+/// Maximum size of a response that is not a stream, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// Time in which the body of a request must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When a call may come back while the front holds no lease; about the time of an election.
+/// When to retry while the front holds no lease; about the length of an election.
 const RETRY_AFTER: Duration = Duration::from_millis(400);
-/// When a call that another front can serve may come back.
+/// When to retry a call that another front can serve.
 const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(10);
 /// Cost of a call to a plain service, in tokens.
 const SERVICE_COST: u64 = 64;
-/// Prompt tokens that cost as much as one generated token, as most of a prompt is cached.
+/// Number of prompt tokens that cost as much as one generated token; most of a prompt is usually
+/// cached.
 const PROMPT_DISCOUNT: u64 = 16;
-/// Urgency at an engine of the most urgent calls; more urgent values are left free.
+/// Engine priority of the most urgent calls. More urgent values are reserved.
 const FIRST_URGENCY: u8 = 3;
-/// Steps of urgency between two priorities.
+/// Difference in engine priority between two route priorities.
 const URGENCY_STEP: u8 = 2;
 const LEAST_URGENCY: u8 = 9;
-/// Of the calls that end well, one in this many is logged; of all others, each.
+/// One in this many successful calls is logged. Other calls are always logged.
 const LOG_SAMPLE: u64 = 16;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const HOP_HEADERS: [header::HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -56,7 +57,7 @@
     header::PROXY_AUTHENTICATE,
 ];
 
-/// Writes the log line of a call when it has ended.
+/// Metrics and log line of a call, written when dropped.
 pub(crate) struct CallRecord {
     id: Name,
     program: Option<Name>,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Says how the call has ended.
+    /// Sets the outcome of the call.
     pub(crate) fn finish(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
@@ -144,7 +145,7 @@
 }
 
 impl Front {
-    /// Answers a call.
+    /// Handles a call.
     pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Response<AnswerBody> {
         let started = Instant::now();
         let (parts, body) = req.into_parts();
@@ -196,7 +197,7 @@
         answer
     }
 
-    /// Checks whether and as whom a call may run.
+    /// Checks that a call may run, and determines its team, deadline and turn.
     async fn admit(
         self: &Arc<Self>,
         parts: request::Parts,
@@ -242,7 +243,7 @@
         let (turn, recording, body) = match begun {
             Ok(begun) => begun,
             Err(refusal) => {
-                // Programs that go on after their budget is spent must not use up their team's rate.
+                // Calls of programs that have spent their budget must not use up the team's rate.
                 self.rates.give_back(token);
                 return Err(refusal);
             }
@@ -252,7 +253,7 @@
         Ok(AdmittedCall { call: Arc::new(call), turn, recording })
     }
 
-    /// Begins a turn, if the call is one whose tokens are counted or whose history is kept.
+    /// Begins a turn if the call has a token budget or its turn is kept.
     async fn begin_turn(
         &self,
         route: &Route,
@@ -380,7 +381,7 @@
         self.refuse(&refusal)
     }
 
-    /// Reads an answer whole. Returns the place at the endpoint if it was cut short, and why.
+    /// Reads a complete response. On failure returns the slot and the cause.
     async fn collect(
         &self,
         begun: StartedResponse,
@@ -426,7 +427,7 @@
         })
     }
 
-    /// Hands on a stream.
+    /// Starts relaying a stream.
     fn stream(
         self: &Arc<Self>,
         admitted: AdmittedCall,
@@ -456,14 +457,14 @@
     }
 }
 
-/// A call that may run.
+/// A call that has been admitted.
 struct AdmittedCall {
     call: Arc<Call>,
     turn: Option<OpenTurn>,
     recording: Option<TurnRecording>,
 }
 
-/// Headers of an answer without those that concern one connection only.
+/// Returns the headers of a response without the hop-by-hop ones.
 fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     for name in &HOP_HEADERS {
@@ -473,7 +474,7 @@
     headers
 }
 
-/// The team whose key a call carries; none on open routes.
+/// The team whose key a call carries; `None` if no key is needed.
 fn team_of<'a>(
     publication: &'a Publication,
     route: &Route,
@@ -488,7 +489,8 @@
     publication.team_of(key).map(Some).ok_or_else(|| refusal("the key is unknown"))
 }
 
-/// What keeps calls together at an endpoint: the line of turns, or the object that they are about.
+/// Key that keeps related calls at one endpoint: the conversation, or for plain services the
+/// affinity key.
 fn affinity_of(head: &CallHead) -> Option<Name> {
     let conversation = |p: &ProgramHead| p.conversation.clone().unwrap_or_else(|| p.id.clone());
     if head.prompt.is_empty() {
@@ -497,7 +499,7 @@
     head.program.as_ref().map(conversation)
 }
 
-/// Estimated service, in generated tokens.
+/// Estimated service cost in generated tokens.
 fn cost(head: &CallHead) -> u64 {
     if head.prompt.is_empty() {
         return SERVICE_COST;
--- a/crates/relay/src/front/listener.rs
+++ b/crates/relay/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections.
+//! Accepts connections from callers.
 
 use std::{convert::Infallible, pin::pin, sync::Arc, time::Duration};
 
@@ -13,24 +13,24 @@
 
 use super::Front;
 
-/// Connections from callers. With those to endpoints they stay below the platform's limit of
-/// descriptors.
+/// Maximum number of connections from callers. Together with those to endpoints it stays below the
+/// platform's file descriptor limit.
 const MAX_CONNECTIONS: usize = 2_500;
-/// Time in which the first request of a new connection is read, also when connections are being
-/// closed: it may have been sent before the caller could know.
+/// Time for the first request of a new connection, also while connections are being closed, because
+/// the caller may have sent it before it could notice.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a failed accept, for instance when the process is out of descriptors.
+/// Pause after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Smallest buffer that hyper allows.
+/// Minimum buffer size that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
-/// Read buffer beyond the largest head, for the start of the body.
+/// Additional read buffer for the start of the body.
 const BODY_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Serves callers on one address.
 pub(crate) struct Listener {
     front: Arc<Front>,
     slots: Arc<Semaphore>,
-    /// Set once idle connections are to be closed.
+    /// Set to true to close idle connections.
     closing: watch::Sender<bool>,
 }
 
@@ -40,7 +40,7 @@
         Arc::new(Self { front, slots, closing: watch::Sender::new(false) })
     }
 
-    /// Accepts connections until the task is ended.
+    /// Accepts connections until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>, socket: Arc<TcpListener>) -> Result<()> {
         loop {
             match socket.accept().await {
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Closes idle connections, and the others after their answers.
+    /// Closes idle connections immediately and the others after their current response.
     pub(crate) fn close_idle(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub(crate) fn open(&self) -> usize {
         MAX_CONNECTIONS - self.slots.available_permits()
     }
@@ -82,7 +82,8 @@
         let buffer = (limits.max_head + BODY_BUFFER_BYTES).max(MIN_BUFFER_BYTES);
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            // The timer also runs while a connection is idle, so it has the longer of both bounds.
+            // The timer also runs while a connection is idle, so it gets the longer of the two
+            // limits.
             .header_read_timeout(limits.idle_timeout.max(limits.head_timeout))
             .max_buf_size(buffer)
             .serve_connection(TokioIo::new(stream), service);
@@ -90,7 +91,7 @@
         let mut closing = self.closing.subscribe();
         let accepted = Instant::now();
         let close_requested = async {
-            // Fails only when the listener is gone.
+            // Only fails when the listener has been dropped.
             let _ = closing.wait_for(|closing| *closing).await;
             sleep_until(accepted + FIRST_REQUEST_TIMEOUT).await;
         };
--- a/crates/relay/src/front/memory.rs
+++ b/crates/relay/src/front/memory.rs
@@ -1,7 +1,8 @@
-//! Memory that the bodies of all calls of a front reserve together.
+//! Limits the memory that the bodies of all calls of a front use together.
 //!
-//! A single body may be large, and a front has thousands of connections, so each body asks for its
-//! share as it arrives. One that finds none left is given up, instead of the whole process.
+//! A single body may be large and a front has thousands of connections, so each body reserves
+//! memory as it arrives. A body that does not fit is refused, so that the process does not run out
+//! of memory.
 
 use std::sync::Arc;
 
@@ -13,29 +14,30 @@
     time::{Instant, timeout_at},
 };
 
-/// Bytes that all bodies may reserve; the smallest fronts have some 88 MB for everything.
+/// Limit for all bodies together, in bytes. The smallest fronts have about 88 MB for the whole
+/// process.
 const MAX_RESERVED_BYTES: usize = 32 << 20;
-/// Bytes of one permit.
+/// Bytes per semaphore permit.
 const UNIT_BYTES: usize = 1 << 10;
 
-/// Why a body was not read to its end.
+/// Why a body could not be read completely.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ReadError {
-    /// It is larger than one body may be.
+    /// The body exceeds the size limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
-    /// The bodies of other calls leave no room for it.
+    /// The bodies of other calls leave no room.
     #[error("no memory is left for the body")]
     OutOfMemory,
-    /// It broke off.
+    /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
     Interrupted(hyper::Error),
-    /// It did not arrive in time.
+    /// The body did not arrive before the deadline.
     #[error("the body did not arrive in time")]
     Timeout,
 }
 
-/// The memory of a front for bodies.
+/// Memory budget of a front for bodies.
 pub(crate) struct BodyMemory {
     units: Arc<Semaphore>,
 }
@@ -46,7 +48,7 @@
     }
 }
 
-/// Memory of one body, given back when dropped.
+/// Memory reserved for one body; released when dropped.
 pub(crate) struct MemoryReservation {
     units: Arc<Semaphore>,
     permit: Option<OwnedSemaphorePermit>,
@@ -54,12 +56,12 @@
 }
 
 impl BodyMemory {
-    /// A body that holds nothing yet.
+    /// Creates an empty reservation.
     pub(crate) fn reserve(&self) -> MemoryReservation {
         MemoryReservation { units: self.units.clone(), permit: None, bytes: 0 }
     }
 
-    /// Reads a body whole.
+    /// Reads a complete body of up to `max` bytes until the deadline `until`.
     pub(crate) async fn collect(
         &self,
         mut body: Incoming,
@@ -67,7 +69,7 @@
         until: Instant,
     ) -> Result<(Bytes, MemoryReservation), ReadError> {
         let mut reservation = self.reserve();
-        // Most bodies arrive in one piece, which is not copied then.
+        // Most bodies arrive in one chunk and are not copied.
         let mut first: Option<Bytes> = None;
         let mut rest = BytesMut::new();
         loop {
@@ -97,7 +99,7 @@
 }
 
 impl MemoryReservation {
-    /// Holds so many bytes from now on.
+    /// Changes the size of the reservation.
     pub(crate) fn resize(&mut self, bytes: usize) -> Result<(), ReadError> {
         let (old, new) = (self.bytes.div_ceil(UNIT_BYTES), bytes.div_ceil(UNIT_BYTES));
         if new > old {
--- a/crates/relay/src/front/mod.rs
+++ b/crates/relay/src/front/mod.rs
@@ -1,8 +1,8 @@
 //! A front: serves callers.
 //!
-//! A call goes one way: it is decoded ([`crate::Protocol`]), admitted ([`handler`]: route, key, rate,
-//! budget), placed ([`schedule`]), sent ([`attempt`]), and its answer is handed on whole
-//! ([`handler`]) or as it arrives ([`stream`]).
+//! A call is decoded by [`crate::Protocol`], admitted by [`handler`] (route, key, rate, token
+//! budget), assigned to an endpoint by [`schedule`] and sent by [`attempt`]. Its response is
+//! returned complete by [`handler`] or relayed by [`stream`].
 
 mod answered;
 mod attempt;
@@ -40,15 +40,16 @@
 use rates::Rates;
 use schedule::Schedule;
 
-/// A new connection to an endpoint that takes longer is given up; the way there and back is a few
+/// Connection attempts to endpoints are aborted after this time; a round trip takes a few
 /// milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Idle connections to endpoints are closed after this time; reopening one has its price.
+/// Idle connections to endpoints are closed after this time, which is long because reconnecting is
+/// costly.
 const MAX_IDLE: Duration = Duration::from_secs(20);
-/// An endpoint that acknowledges nothing for this long is not reached any more.
+/// An endpoint that acknowledges no data for this long counts as unreachable.
 const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
 
-/// What the calls of a front share.
+/// State shared by the calls of a front.
 pub(crate) struct Front {
     pub(crate) protocol: Arc<dyn Protocol>,
     pub(crate) fleet: Arc<FleetClient>,
@@ -62,7 +63,7 @@
 }
 
 impl Front {
-    /// Connections to endpoints.
+    /// Creates the connection pool for endpoints.
     pub(crate) fn pool(protocol: &dyn Protocol) -> Arc<Pool> {
         Pool::new(PoolConfig {
             connect_timeout: CONNECT_TIMEOUT,
@@ -72,13 +73,13 @@
         })
     }
 
-    /// Whether a call may still be sent to an endpoint that was chosen for it; asked right before its
-    /// first byte leaves.
+    /// Whether a call may still be sent to its chosen endpoint. Checked right before the first byte
+    /// is sent.
     pub(crate) fn may_send(&self, chosen: &ChosenEndpoint) -> bool {
         self.fleet.lease_left().is_some() && self.schedule.may_receive(chosen)
     }
 
-    /// Closes connections that have been idle for too long, until the task is ended.
+    /// Closes idle connections and updates gauges until the task is cancelled.
     pub(crate) async fn run_sweep(self: Arc<Self>) -> anyhow::Result<()> {
         const INTERVAL: Duration = Duration::from_secs(1);
         loop {
--- a/crates/relay/src/front/programs.rs
+++ b/crates/relay/src/front/programs.rs
@@ -1,13 +1,13 @@
-//! Begins and ends turns at the stores.
+//! Begins and ends turns of programs at the stores.
 //!
-//! Each program belongs to one group of stores, whose leader begins and ends its turns. A program may
-//! go on from a turn of another one, so a turn that its own group does not know is looked for in all
-//! others before the caller is told that there is none.
+//! Each program belongs to one store group, whose leader begins and ends its turns. A program may
+//! continue a turn of another program, so a turn that is unknown to the program's own group is
+//! looked up in all other groups before the call is refused.
 //!
-//! A turn whose tokens are counted begins with a reservation that the stores have committed. A turn
-//! that continues a kept one gets its history from the front's own memory, or from the stores. A kept
-//! turn waits for its commit, because its caller may continue from it at once; what other turns have
-//! used is settled in the background.
+//! A turn with a token budget starts with a committed reservation. A turn that continues a kept one
+//! gets the history from the front's cache or from the stores. A kept turn is committed before the
+//! response ends, because the caller may continue it immediately. Reservations of other turns are
+//! settled in the background.
 
 mod history_cache;
 
@@ -34,18 +34,18 @@
 use crate::{fleet_client::FleetClient, groups::group_of};
 use history_cache::HistoryCache;
 
-/// Longest wait for an answer of one store before another is asked.
+/// Timeout of a call to one store, after which another is asked.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// A store that has too many calls is left alone for this long.
+/// Pause after a store has refused a call because of overload.
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(150);
-/// Reservations that may wait to be settled; more stay reserved.
+/// Maximum number of queued settlements. The tokens of further ones stay reserved.
 const MAX_UNSETTLED: usize = 4_096;
-/// Time in which ends are collected into one call.
+/// Time in which settlements are collected into a batch.
 const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_BATCH: usize = 256;
 const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// A turn, as the stores know it.
+/// Identifies a turn in the stores.
 #[derive(Clone, Debug)]
 pub(crate) struct TurnName {
     pub(crate) team: Name,
@@ -53,52 +53,52 @@
     pub(crate) turn: Name,
 }
 
-/// What a turn needs before it may run.
+/// Conditions under which a turn may begin.
 pub(crate) struct TurnRequirements<'a> {
-    /// Most tokens that it may generate.
+    /// Maximum number of tokens that the turn may generate.
     pub(crate) most: u64,
-    /// Tokens that all turns of the program may generate; none for no limit.
+    /// Maximum number of tokens for all turns of the program; `None` for no limit.
     pub(crate) budget: Option<u64>,
-    /// Kept turn that it continues.
+    /// The kept turn that this one continues.
     pub(crate) previous: Option<&'a Name>,
-    /// When its caller gives up.
+    /// When the caller stops waiting.
     pub(crate) deadline: Instant,
 }
 
-/// Access to the stores.
+/// Client of the stores.
 pub(crate) struct Programs {
     fleet: Arc<FleetClient>,
     client: PeerClient,
     clock: Arc<dyn Clock>,
-    /// For each group, the store that answered last as the leader.
+    /// For each group, the store that last answered as the leader.
     leaders: Mutex<Vec<Option<SocketAddr>>>,
     history_cache: Mutex<HistoryCache>,
     ends: mpsc::Sender<PendingSettlement>,
 }
 
-/// The end of a turn, on its way to the group of its program.
+/// The end of a turn, queued for the group of its program.
 struct PendingSettlement {
     group: u32,
     end: peer::TurnEnd,
 }
 
-/// Settles what programs have used, in the background.
+/// Background task that settles reservations.
 pub(crate) struct Settler {
     programs: Arc<Programs>,
     rx: mpsc::Receiver<PendingSettlement>,
 }
 
-/// A turn that has begun. Dropping it settles what it has used.
+/// A turn that has begun. Dropping it settles its reservation.
 pub(crate) struct OpenTurn {
     name: TurnName,
     programs: Arc<Programs>,
-    /// The group of its program.
+    /// Group of the program.
     group: u32,
-    /// Whether tokens are reserved that are not settled.
+    /// Whether there is an unsettled reservation.
     is_reserved: bool,
-    /// Whether the turn that it continues is kept by another group.
+    /// Whether the turn that this one continues belongs to another group.
     continues_other_group: bool,
-    /// Tokens handed to the caller.
+    /// Tokens passed on to the caller.
     pub(crate) used: u64,
 }
 
@@ -120,14 +120,15 @@
         (programs.clone(), Settler { programs, rx })
     }
 
-    /// Begins a turn; returns the inputs and outputs of the turns before it.
+    /// Begins a turn and returns the inputs and outputs of the turns before it.
     pub(crate) async fn begin(
         self: &Arc<Self>,
         name: &TurnName,
         needs: TurnRequirements<'_>,
     ) -> Result<(OpenTurn, Bytes), Refusal> {
         let groups = self.groups(needs.deadline).await?;
-        // Made first, so that a caller who leaves while the reservation is under way has it settled.
+        // Created before the reservation is requested, so that the reservation is settled if the
+        // caller disconnects meanwhile.
         let mut open = OpenTurn {
             name: name.clone(),
             programs: self.clone(),
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Number of groups. Waits for it while a new fleet forms them.
+    /// Number of groups. Waits while a new fleet forms them.
     async fn groups(&self, deadline: Instant) -> Result<u32, Refusal> {
         let mut changes = self.fleet.subscribe();
         loop {
@@ -186,7 +187,7 @@
             if groups > 0 {
                 return Ok(groups);
             }
-            // Fails only at the end of the process.
+            // The channel is only closed at the end of the process.
             if !matches!(timeout_at(deadline, changes.changed()).await, Ok(Ok(()))) {
                 return Err(stores_unavailable("the stores have not formed groups yet"));
             }
@@ -205,8 +206,8 @@
         }
     }
 
-    /// Looks for the turn that `begin` continues in the groups that it does not belong to. Returns
-    /// none if all of them say that there is no such turn.
+    /// Looks up the turn that `begin` continues in all other groups. Returns `None` if every group
+    /// reports that it does not have the turn.
     async fn find_in_other_groups(
         &self,
         begin: &peer::TurnBegin,
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Calls the leader of a group of stores, whichever it is, until `deadline`.
+    /// Calls the leader of a store group, retrying until `deadline`.
     async fn call(
         &self,
         group: u32,
@@ -278,7 +279,7 @@
         None
     }
 
-    /// Takes note of a store that cannot carry out a call. Returns whether another one is next.
+    /// Records the failure of a call. Returns whether to try another store next.
     fn note_failure(&self, group: u32, address: SocketAddr, failure: &peer::Failure) -> bool {
         if failure.code() == FailureCode::Unavailable {
             return false;
@@ -297,7 +298,7 @@
         leaders[at] = leader;
     }
 
-    /// The store that is asked in the attempt `attempt` for the leader of a group.
+    /// The store to ask for the leader of `group` in the given attempt.
     fn candidate(&self, group: u32, attempt: usize) -> Option<SocketAddr> {
         let leaders = self.leaders.lock().expect("no panic while locked");
         let known = leaders.get(group as usize).copied().flatten();
@@ -308,10 +309,10 @@
     }
 }
 
-/// A turn that is to be kept.
+/// A turn to be kept.
 pub(crate) struct KeptTurn {
     pub(crate) previous: Option<Name>,
-    /// Inputs and outputs of the turns before.
+    /// Inputs and outputs of the turns before it.
     pub(crate) history: Bytes,
     pub(crate) input: Bytes,
     pub(crate) output: Bytes,
@@ -330,13 +331,14 @@
         PendingSettlement { group: self.group, end }
     }
 
-    /// Keeps the turn; returns once it is durable.
+    /// Keeps the turn and returns once it is durable.
     ///
-    /// Fails when the stores do not answer in time; the turn may be kept all the same.
+    /// Fails if the stores do not answer in time. The turn may have been kept nevertheless.
     pub(crate) async fn keep(&mut self, kept: KeptTurn, deadline: Instant) -> Result<(), Refusal> {
         let name = self.name.clone();
         let PendingSettlement { group, mut end } = self.end();
-        // The group does not hold the turns before, so this one is kept with all of them.
+        // The group does not have the previous turns, so their history becomes part of this turn's
+        // input.
         let (previous, input) = if self.continues_other_group {
             (None, concat(&[&kept.history, &kept.input]))
         } else {
@@ -375,8 +377,8 @@
 }
 
 impl Settler {
-    /// Settles until the task is ended. Each group has one call under way at a time, so that a group
-    /// without a leader holds up no other.
+    /// Settles reservations until the task is cancelled. Each group has at most one call in flight,
+    /// so that a group without a leader does not delay the others.
     pub(crate) async fn run(mut self) -> Result<()> {
         // Sorted by group.
         let mut waiting: Vec<(u32, Vec<peer::TurnEnd>)> = Vec::new();
@@ -413,7 +415,7 @@
     waiting.iter().map(|(_, ends)| ends.len()).sum()
 }
 
-/// Repeats a call until it is committed: what is not settled counts against the programs.
+/// Retries until the batch is committed, because unsettled reservations count against the budgets.
 async fn settle(programs: Arc<Programs>, group: u32, ends: Vec<peer::TurnEnd>) -> u32 {
     let body = || request::Body::TurnEnds(peer::TurnEnds { ends: ends.clone(), group });
     while programs.call(group, body, Instant::now() + 4 * CALL_TIMEOUT).await.is_none() {}
--- a/crates/relay/src/front/programs/history_cache.rs
+++ b/crates/relay/src/front/programs/history_cache.rs
@@ -1,17 +1,18 @@
-//! HistoryCache of turns that this front has kept, so that the next turn of the same line needs no
-//! store.
+//! Cache of the histories of turns that this front has kept, so that the next turn of a
+//! conversation need not read them from a store.
 
 use std::{collections::VecDeque, time::Duration};
 
 use bytes::Bytes;
 use poplarspan_policy::Name;
 
-/// Bytes of all histories together.
+/// Maximum size of all histories together, in bytes.
 const MAX_BYTES: usize = 8 << 20;
-/// A line that has gone on for this long without the front has probably gone elsewhere.
+/// Maximum age of an entry. A conversation without a turn here for this long has probably continued
+/// at another front.
 const MAX_AGE: Duration = Duration::from_secs(20);
 
-/// HistoryCache, the oldest first.
+/// Histories, oldest first.
 #[derive(Default)]
 pub(super) struct HistoryCache {
     entries: VecDeque<Entry>,
@@ -19,7 +20,7 @@
 }
 
 struct Entry {
-    /// Group of stores that keeps the turn.
+    /// Store group that has the turn.
     group: u32,
     team: Name,
     turn: Name,
@@ -28,9 +29,9 @@
 }
 
 impl HistoryCache {
-    /// Inputs and outputs up to and with a turn that was kept here, by a group.
+    /// Returns the inputs and outputs up to and including a turn that this front kept in `group`.
     pub(super) fn get(&self, group: u32, team: &Name, turn: &Name) -> Option<Bytes> {
-        // Lines mostly continue from their last turn.
+        // Conversations mostly continue from their last turn.
         let found = self
             .entries
             .iter()
--- a/crates/relay/src/front/quarantine.rs
+++ b/crates/relay/src/front/quarantine.rs
@@ -1,14 +1,14 @@
-//! The front's part in the quarantine of requests under which endpoints end.
+//! The front's part of the quarantine of requests that endpoints terminate under.
 //!
-//! A front tells the leader of the control group when an endpoint has ended while it may have been
-//! running a request, and learns with its lease which requests are suspects and which are refused.
-//! A suspect runs only with the leader's word that it runs nowhere else. A request that was answered
-//! here a short time ago is no reason for the end of an endpoint, so that the same request of many
-//! callers is not suspected when several endpoints end.
+//! A front reports to the control leader when an endpoint terminated while it may have been running
+//! a request. With its lease it receives the lists of suspected and refused requests. A suspect
+//! only runs after the leader has confirmed that it runs nowhere else. A request that was recently
+//! answered through this front is not reported, so that a request sent by many callers is not
+//! suspected when several endpoints terminate for other reasons.
 //!
-//! Owner: the leader; a front only has the list of its last lease, and the events that it has not
-//! passed on yet. These are dropped when they cannot be passed on in time: a front that is cut off
-//! cannot tell an endpoint that has ended from one that it does not reach.
+//! The leader owns the quarantine. A front has the lists of its last heartbeat and the events that
+//! it has not delivered yet. Undelivered events are dropped after a while, because a partitioned
+//! front cannot tell a terminated endpoint from an unreachable one.
 
 use std::{
     net::SocketAddr,
@@ -33,22 +33,23 @@
 use super::{answered::AnsweredRequests, attempt::Call, endpoints::ChosenEndpoint};
 use crate::{control_state::write_fingerprint, fleet_client::FleetClient};
 
-/// A probe that finds that an endpoint has ended serves all calls that are lost there within this time.
+/// How long the result of a probe that found an endpoint down is shared with other calls that
+/// failed there.
 const PROBE_TTL: Duration = Duration::from_secs(1);
-/// Looks at an endpoint after a trial, and the time between two. It has ended if it accepts no
-/// connection in any of them.
+/// Number of probes of an endpoint after a trial, and the time between them. The endpoint has
+/// terminated if it accepts no connection in any of them.
 const TRIAL_PROBES: u32 = 3;
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Events of calls that are lost together go to the leader together.
+/// Delay before events are sent, so that those of calls that fail together form one batch.
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 const RULING_TIMEOUT: Duration = Duration::from_millis(300);
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Events that no leader has taken for this long are dropped; longer than an election takes.
+/// Undelivered events are dropped after this time, which is longer than an election.
 const DROP_AFTER: Duration = Duration::from_secs(2);
-/// Events that wait; further ones are dropped.
+/// Maximum number of undelivered events; further ones are dropped.
 const MAX_PENDING: usize = 4_096;
 
-/// Whether a call may be sent to an endpoint.
+/// Decision whether a call may be sent to an endpoint.
 pub(crate) enum Admission {
     Free,
     OnTrial(Trial),
@@ -56,12 +57,12 @@
     EndpointTaken,
     /// The endpoint accepts no connection.
     EndpointUnreachable,
-    /// The request runs elsewhere, or no leader answers.
+    /// The request runs elsewhere, or the leader did not answer.
     Busy,
     Refused,
 }
 
-/// A run on trial. Dropping it says that the trial has shown nothing.
+/// A run on trial. When it is dropped, the leader is told that the trial is over.
 pub(crate) struct Trial {
     quarantine: Arc<Quarantine>,
     request: Fingerprint,
@@ -86,7 +87,7 @@
     is_accepting: Shared<BoxFuture<'static, bool>>,
 }
 
-/// Quarantine as a front sees it.
+/// A front's view of the quarantine.
 pub(crate) struct Quarantine {
     fleet: Arc<FleetClient>,
     client: PeerClient,
@@ -121,7 +122,8 @@
         !list.is_empty() && list.binary_search(&call.fingerprint()).is_ok()
     }
 
-    /// Asks whether a call may be sent to an endpoint.
+    /// Decides whether a call may be sent to an endpoint, asking the leader if the request is a
+    /// suspect.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         call: &Call,
@@ -142,7 +144,7 @@
             Some(SuspectRuling::OnTrial) => {
                 let (quarantine, name) = (self.clone(), endpoint.name.clone());
                 let trial = Trial { quarantine, request, endpoint: name };
-                // An endpoint that has ended before says nothing of this run.
+                // If the endpoint is already down, its state says nothing about this run.
                 match self.pool.is_accepting(endpoint.address).await {
                     true => Admission::OnTrial(trial),
                     false => Admission::EndpointUnreachable,
@@ -154,8 +156,8 @@
         }
     }
 
-    /// Takes note that an endpoint has given no whole answer to a call, and finds out meanwhile
-    /// whether it has ended.
+    /// Records that an endpoint did not complete its response to a call, and checks in the
+    /// background whether the endpoint has terminated.
     pub(crate) fn note_incomplete(
         self: &Arc<Self>,
         call: &Call,
@@ -174,12 +176,13 @@
             if has_ended {
                 this.push(event(SuspectEventKind::EndpointEnded, request, &endpoint.name));
             }
-            // The trial is over only after the leader has the event.
+            // The end of the trial is queued after the event, so that the leader handles the event
+            // first.
             drop(trial);
         });
     }
 
-    /// Takes note that a call has a whole answer.
+    /// Records that a call has a complete response.
     pub(crate) fn answered(&self, call: &Call, trial: Option<Trial>) {
         self.answered_requests().insert(call.fingerprint(), Instant::now());
         if trial.is_some() || self.is_suspect(call) || self.is_refused(call) {
@@ -191,7 +194,7 @@
         self.answered.lock().expect("no panic while locked")
     }
 
-    /// Whether an endpoint accepts no connection, and goes on so for a while.
+    /// Whether an endpoint accepts no connection in several probes.
     async fn stays_unreachable(&self, endpoint: &ChosenEndpoint) -> bool {
         for _ in 0..TRIAL_PROBES {
             if self.pool.is_accepting(endpoint.address).await {
@@ -202,11 +205,11 @@
         true
     }
 
-    /// Whether an endpoint accepts connections. Calls that are lost together share a probe.
+    /// Whether an endpoint accepts connections. Calls that fail together share a probe.
     fn probe(&self, address: SocketAddr) -> Shared<BoxFuture<'static, bool>> {
         let now = Instant::now();
         let mut probes = self.probes.lock().expect("no panic while locked");
-        // One that has found an endpoint up says nothing of what came after it.
+        // A probe that found the endpoint up says nothing about later failures.
         probes.retain(|l| now < l.at + PROBE_TTL && l.is_accepting.peek() != Some(&true));
         if let Some(probe) = probes.iter().find(|probe| probe.address == address) {
             return probe.is_accepting.clone();
@@ -232,7 +235,7 @@
         self.event_added.notify_one();
     }
 
-    /// Passes events on to the leader, until the task is ended.
+    /// Sends events to the leader until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         loop {
             if self.pending().is_empty() {
@@ -245,7 +248,7 @@
                 continue;
             }
             if self.send_events(events).await.is_some() {
-                // Events are only added at the end meanwhile.
+                // Other tasks only append events in the meantime.
                 self.pending().drain(..count);
                 continue;
             }
@@ -260,7 +263,7 @@
         }
     }
 
-    /// Tells the leader of events. None when it does not answer.
+    /// Sends events to the leader. Returns `None` if it does not answer.
     async fn send_events(&self, events: Vec<SuspectEvent>) -> Option<Vec<SuspectRuling>> {
         let leader = self.fleet.leader()?;
         let body = request::Body::Suspects(peer::SuspectEvents { events });
--- a/crates/relay/src/front/rates.rs
+++ b/crates/relay/src/front/rates.rs
@@ -1,8 +1,9 @@
-//! Admits calls of teams within the team's rate over the whole fleet.
+//! Enforces the rate limits of teams across the fleet.
 //!
-//! Most calls are admitted from the front's own share. A call for which the share has no token
-//! borrows one from the leader's reserve, and waits for it if its program is under way. While the
-//! team is near its rate, the leader decides which programs begin; the others are refused at once.
+//! Most calls are admitted from the front's own share of the rate. A call that finds no token there
+//! borrows one from the leader's reserve, and waits for it if its program is active. While a team
+//! is near its limit, the leader decides which programs may begin, and calls of other new programs
+//! are refused immediately.
 
 use std::{
     sync::{Arc, Mutex},
@@ -23,50 +24,50 @@
 use crate::{Settings, Team, fleet_client::FleetClient};
 
 const BORROW_TIMEOUT: Duration = Duration::from_millis(300);
-/// A call without a program waits this long for a token rather than being refused.
+/// Maximum time that a call without a program waits for a token.
 const TOKEN_WAIT: Duration = Duration::from_millis(60);
-/// A call of a program under way waits for a token for this part of its time.
+/// Fraction of its remaining time that a call of a program waits for a token.
 const PROGRAM_WAIT_FRACTION: f64 = 0.5;
-/// For how long a call waits for a leader that knows what is left of the rate: an election and a
-/// beat, as long as the caller has the time.
+/// Maximum time that a call waits for a leader that knows the remaining rate: the length of an
+/// election plus a heartbeat.
 const LEADER_WAIT: Duration = Duration::from_millis(1_500);
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// A program without calls for this long is not under way any more.
+/// A program without calls for this long is no longer active.
 const PROGRAM_IDLE: Duration = Duration::from_millis(1_500);
-/// A program that was admitted is known for this long after its last call.
+/// How long an admitted program is remembered after its last call.
 const PROGRAM_TTL: Duration = Duration::from_secs(20);
-/// A program that came here first is in the beats for this long, so that lost ones do not matter.
+/// How long a new program is reported in heartbeats, so that the loss of some of them does no harm.
 const REPORT_TIME: Duration = Duration::from_secs(1);
 const MAX_PROGRAMS: usize = 4_096;
-/// When a call that was refused for want of a leader may come back.
+/// When to retry a call that was refused because no leader answered.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Demand below which a team is forgotten, in calls a second.
+/// Demand in calls per second below which a team's state is dropped.
 const MIN_DEMAND_PER_SECOND: f64 = 0.01;
 
 struct TeamState {
     name: Name,
     bucket: Bucket,
     demand: Demand,
-    /// Whether the leader decides which programs begin.
+    /// Whether the leader decides which programs may begin.
     is_near_limit: bool,
-    /// AdmittedProgram programs, sorted by name.
+    /// Admitted programs, sorted by name.
     programs: Vec<AdmittedProgram>,
 }
 
-/// A program that was admitted here.
+/// A program that was admitted at this front.
 struct AdmittedProgram {
     program: Name,
     first: Duration,
     last: Duration,
 }
 
-/// A token that a call has taken.
+/// A rate token that a call has taken.
 pub(crate) enum Token {
-    /// The team has no limit.
+    /// The team has no rate limit.
     Free,
-    /// Of the front's own share.
+    /// Taken from the front's own share.
     Own(Name),
-    /// Borrowed from the leader.
+    /// Borrowed from the leader's reserve.
     Borrowed(Name),
 }
 
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes note of a call of an admitted program.
+    /// Records a call of an admitted program.
     fn note(&mut self, program: &Name, now: Duration) {
         match self.programs.binary_search_by(|p| p.program.cmp(program)) {
             Ok(at) => self.programs[at].last = now,
@@ -104,14 +105,14 @@
         self.programs.iter().filter(|p| now < p.last + PROGRAM_IDLE).count() as u32
     }
 
-    /// Digests of the programs that came here first a short while ago.
+    /// Digests of the programs that were recently seen here for the first time.
     fn recent_programs(&self, now: Duration) -> Vec<u64> {
         let recent = self.programs.iter().filter(|p| now < p.first + REPORT_TIME);
         recent.map(|p| digest(&p.program)).collect()
     }
 }
 
-/// The front's shares.
+/// Rate limiter of a front.
 pub(crate) struct Rates {
     settings: Arc<Settings>,
     fleet: Arc<FleetClient>,
@@ -131,7 +132,7 @@
         Arc::new(Self { settings, fleet, client, clock, teams: Mutex::default() })
     }
 
-    /// Admits a call, or refuses it.
+    /// Takes a token for a call, or refuses the call.
     pub(crate) async fn admit(
         &self,
         team: &Team,
@@ -158,7 +159,7 @@
         Ok(Token::Borrowed(team.name.clone()))
     }
 
-    /// Gives back the token of a call that will not run.
+    /// Returns the token of a call that will not run.
     pub(crate) fn give_back(self: &Arc<Self>, token: Token) {
         let (Token::Own(name) | Token::Borrowed(name)) = &token else { return };
         {
@@ -173,7 +174,7 @@
             Token::Free | Token::Own(_) => {}
             Token::Borrowed(name) => {
                 let rates = self.clone();
-                // A token that does not arrive is lost to the team for as long as it takes to refill.
+                // If this call fails, the team lacks the token until its rate has refilled it.
                 tokio::spawn(async move {
                     rates.ask_leader_once(&name, None, BorrowKind::Return).await
                 });
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Whether the call begins a program while its team is near its rate.
+    /// Whether the call begins a program while its team is near its limit.
     fn needs_leader_admission(&self, team: &Name, program: &Name) -> bool {
         let teams = self.teams.lock().expect("no panic while locked");
         let Ok(at) = teams.binary_search_by(|t| t.name.cmp(team)) else { return false };
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Takes a token of the own share.
+    /// Takes a token from the front's own share.
     fn take(&self, team: &Name, program: Option<&Name>) -> Result<(), Option<Duration>> {
         let now = self.clock.now();
         let mut teams = self.teams.lock().expect("no panic while locked");
@@ -219,7 +220,7 @@
         team.bucket.take(now)
     }
 
-    /// Borrows a token, waiting for it for `patience` at most.
+    /// Borrows a token, waiting up to `patience` for it.
     async fn borrow(
         &self,
         team: &Name,
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Asks the leader, whichever it is, until one answers. None when none does.
+    /// Asks the current leader, retrying until one answers. Returns `None` if none does in time.
     async fn ask_leader(
         &self,
         team: &Name,
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Asks the leader once. None when it does not answer.
+    /// Asks the leader once. Returns `None` if it does not answer.
     async fn ask_leader_once(
         &self,
         team: &Name,
@@ -285,7 +286,7 @@
         }
     }
 
-    /// What teams ask_leader of this front, and the shares in force.
+    /// Demand of the teams at this front, and the shares in force.
     pub(crate) fn demand(&self) -> Vec<peer::TeamDemand> {
         let now = self.clock.now();
         let mut teams = self.teams.lock().expect("no panic while locked");
@@ -307,7 +308,7 @@
         demand
     }
 
-    /// Takes note of new shares.
+    /// Applies new shares.
     pub(crate) fn set_shares(&self, shares: &[peer::TeamShare]) {
         let now = self.clock.now();
         let mut teams = self.teams.lock().expect("no panic while locked");
@@ -327,15 +328,15 @@
 /// What a front asks the leader for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BorrowKind {
-    /// One token.
+    /// Borrow one token.
     Token,
-    /// To take one token back.
+    /// Return one token.
     Return,
-    /// Whether a program may begin.
+    /// Admit a new program.
     Begin,
 }
 
-/// A number that stands for a program between instances; never 0.
+/// Identifies a program in messages between instances; never 0.
 fn digest(program: &Name) -> u64 {
     let digest = blake3::hash(program.as_bytes());
     u64::from_le_bytes(*digest.as_bytes().first_chunk().expect("32 bytes")) | 1
--- a/crates/relay/src/front/schedule.rs
+++ b/crates/relay/src/front/schedule.rs
@@ -1,10 +1,11 @@
-//! Decides which call goes next, and to which endpoint.
+//! Schedules calls on endpoints.
 //!
-//! It answers bursts: while a service is full, calls wait in a queue that is fair between teams and,
-//! within a team, puts the call first whose program has least time left. A call that cannot be
-//! served before its deadline is refused at once, with the time after which there will be room.
+//! While a service is at capacity, its calls wait in a queue that is fair between teams. Within a
+//! team, calls of the program with the least time left go first. A call that cannot be served
+//! before its deadline is refused immediately, with the time after which to retry.
 //!
-//! Owner: each front for itself. Its queue is lost with it, and with it the callers' connections.
+//! Each front has its own queues. They are lost with it, as are the connections of the waiting
+//! callers.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, Weak},
@@ -27,43 +28,43 @@
 use crate::{Load, PromptPart, fleet_client::FleetClient};
 
 const TICK: Duration = Duration::from_millis(100);
-/// Calls that may wait at one front.
+/// Maximum number of waiting calls per service.
 const MAX_WAITING: usize = 2_048;
-/// Weight of a new measurement in the average time that a call holds its place.
+/// Weight of a new sample in the moving average of the time that a call occupies its slot.
 const HOLD_TIME_GAIN: f64 = 0.05;
-/// Time that a call is assumed to hold its place until one has been measured, in seconds.
+/// Assumed time that a call occupies its slot until one has been measured, in seconds.
 const INITIAL_HOLD_TIME_S: f64 = 0.2;
-/// Come back when no endpoint of a service is open.
+/// When to retry while no endpoint of a service is available.
 const RETRY_AFTER: Duration = Duration::from_millis(400);
-/// A call waits this long for an endpoint to open before it is refused.
+/// How long a call waits for an endpoint to become available before it is refused.
 const OUTAGE_WAIT: Duration = Duration::from_millis(500);
 
-/// What the scheduler needs to know of a call.
+/// The properties of a call that determine its scheduling.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacementRequest {
     pub(crate) service: Name,
     /// Empty on open routes.
     pub(crate) team: Name,
     pub(crate) program: Option<Name>,
-    /// Line of turns that the call continues.
+    /// Conversation that the call continues.
     pub(crate) conversation: Option<Name>,
     /// Parts of the prompt, in order.
     pub(crate) parts: Arc<[PromptPart]>,
-    /// Blocks of the whole prompt.
+    /// Block ids of the whole prompt.
     pub(crate) blocks: Arc<[u64]>,
     pub(crate) prompt_tokens: u32,
-    /// Estimated service, in tokens.
+    /// Estimated service cost in tokens.
     pub(crate) cost: u64,
-    /// When the caller gives up, by the front's clock.
+    /// When the caller stops waiting, by the front's clock.
     pub(crate) deadline: Duration,
 }
 
-/// Why a call gets no place.
+/// Why a call gets no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementError {
-    /// There is no endpoint that may take it.
+    /// No suitable endpoint is available.
     NoEndpoint { retry_after: Duration },
-    /// It cannot be served in time.
+    /// The call cannot be served before its deadline.
     TooLate { retry_after: Duration },
 }
 
@@ -77,9 +78,9 @@
 struct ServiceQueue {
     service: Name,
     queue: FairQueue<WaitingCall>,
-    /// Average time that a call holds its place, in seconds.
+    /// Moving average of the time that a call occupies its slot, in seconds.
     hold_time_s: f64,
-    /// Calls of this front that hold a place.
+    /// Calls of this front that occupy a slot.
     in_flight: usize,
 }
 
@@ -89,7 +90,7 @@
     queues: Vec<ServiceQueue>,
 }
 
-/// Queues and endpoints of a front.
+/// Queues and endpoint state of a front.
 pub(crate) struct Schedule {
     fleet: Arc<FleetClient>,
     clock: Arc<dyn Clock>,
@@ -97,7 +98,7 @@
     this: Weak<Self>,
 }
 
-/// A place at an endpoint. Dropping it gives the place back.
+/// A slot at an endpoint; released when dropped.
 pub(crate) struct Slot {
     pub(crate) endpoint: ChosenEndpoint,
     want: Arc<PlacementRequest>,
@@ -107,19 +108,19 @@
 }
 
 impl Slot {
-    /// Ends the call.
+    /// Releases the slot and records the outcome of the call.
     pub(crate) fn finish(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Takes note of the load that the endpoint reports.
+    /// Records the load that the endpoint reports.
     pub(crate) fn report(&self, load: Load) {
         let schedule = &self.schedule;
         let now = schedule.clock.now();
         schedule.lock().endpoints.report(&self.endpoint.name, load, now);
     }
 
-    /// Takes note that the endpoint has said that it is about to stop.
+    /// Records that the endpoint announced its stop.
     pub(crate) fn note_leaving(&self) {
         self.schedule.lock().endpoints.note_leaving(&self.endpoint.name);
     }
@@ -131,7 +132,8 @@
     }
 }
 
-/// Whether the queue may hand out a call, as decided before.
+/// Concurrency limit that always has room. The endpoints enforce their own limits when a call is
+/// placed.
 struct AlwaysRoom;
 
 impl InFlight for AlwaysRoom {
@@ -139,7 +141,7 @@
         true
     }
 
-    // The endpoints count the calls themselves.
+    // Calls are counted per endpoint instead.
     fn began(&mut self, _cost: u64) {}
     fn ended(&mut self, _cost: u64) {}
 }
@@ -159,7 +161,7 @@
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Follows changes of the fleet and the passing of time, until the task is ended.
+    /// Follows changes of the fleet view and handles timeouts, until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Waits for a place at an endpoint that is not in `tried`.
+    /// Waits for a slot at an endpoint that is not in `tried`.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         want: &Arc<PlacementRequest>,
@@ -217,7 +219,7 @@
         match result {
             Ok(Ok(endpoint)) => Ok(self.slot(endpoint, want)),
             Ok(Err(e)) => Err(e),
-            // The queue was dropped, which only happens at the end of the process.
+            // The queue is only dropped at the end of the process.
             Err(_) => Err(PlacementError::NoEndpoint { retry_after: RETRY_AFTER }),
         }
     }
@@ -244,8 +246,8 @@
         self.notify_placed(decided);
     }
 
-    /// Tells waiting calls of their places. Not under the lock, since a place that nobody takes is
-    /// given back, which takes the lock.
+    /// Notifies waiting calls of their slots. Must not be called with the lock held: a slot whose
+    /// caller is gone is released, which takes the lock.
     fn notify_placed(&self, decided: Vec<(WaitingCall, ChosenEndpoint)>) {
         for (waiting, endpoint) in decided {
             let WaitingCall { want, tx, .. } = waiting;
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Whether an endpoint that was chosen may still be sent a call.
+    /// Whether a call may still be sent to its chosen endpoint.
     pub(crate) fn may_receive(&self, chosen: &ChosenEndpoint) -> bool {
         let view = self.fleet.view();
         let mut state = self.lock();
@@ -265,14 +267,14 @@
         state.endpoints.may_receive(chosen)
     }
 
-    /// Calls that wait, for metrics.
+    /// Number of waiting calls.
     pub(crate) fn waiting(&self) -> usize {
         self.lock().queues.iter().map(|q| q.queue.len()).sum()
     }
 }
 
 impl State {
-    /// Position of a service's queue.
+    /// Index of a service's queue, which is created if necessary.
     fn queue(&mut self, service: &Name) -> usize {
         self.queues.binary_search_by(|q| q.service.cmp(service)).unwrap_or_else(|at| {
             let cfg = QueueConfig { max_total: MAX_WAITING, ..QueueConfig::default() };
@@ -290,7 +292,7 @@
         })
     }
 
-    /// Queues a call, unless it could not be served in time.
+    /// Queues a call, unless it cannot be served in time.
     fn push(
         &mut self,
         at: usize,
@@ -320,7 +322,7 @@
         }
     }
 
-    /// Gives free places to waiting calls.
+    /// Assigns free slots to waiting calls.
     fn serve(
         &mut self,
         at: usize,
@@ -347,7 +349,8 @@
                     decided.push((entry.call.payload, endpoint));
                 }
                 Err(_) => {
-                    // A call that was tried elsewhere may find nothing although others would.
+                    // A call that has already tried some endpoints may find no slot while others
+                    // could.
                     let is_first = waiting.tried.is_empty();
                     passed.push(entry);
                     if is_first {
@@ -370,7 +373,7 @@
         (0..self.queues.len()).flat_map(|at| self.serve(at, fleet, now)).collect()
     }
 
-    /// Refuses the calls that cannot be served in time any more.
+    /// Refuses calls that can no longer be served in time.
     fn refuse_expired(&mut self, now: Duration) {
         for queue in &mut self.queues {
             let is_open = self.endpoints.capacity(&queue.service) > 0;
@@ -388,7 +391,7 @@
                 } else {
                     PlacementError::NoEndpoint { retry_after }
                 };
-                // Fails when the caller has gone.
+                // Fails if the caller has disconnected.
                 let _ = entry.call.payload.tx.send(Err(why));
             }
         }
@@ -396,8 +399,8 @@
 }
 
 impl ServiceQueue {
-    /// Time until a call that is queued now gets a place, if the calls of this front go on to end as
-    /// often as they do.
+    /// Expected time until a call queued now gets a slot, assuming that the calls of this front
+    /// keep completing at the current rate.
     fn expected_wait(&self) -> Duration {
         let ahead = (self.queue.len() + 1) as f64;
         let per_second = self.in_flight.max(1) as f64 / self.hold_time_s;
@@ -405,7 +408,7 @@
     }
 }
 
-/// Leaves the queue when the caller goes away.
+/// Removes a call from the queue if its caller disconnects.
 struct DequeueOnDrop<'a> {
     schedule: &'a Schedule,
     service: &'a Name,
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed answers, handed on event by event.
+//! Relays streamed responses event by event.
 
 use std::sync::Arc;
 
@@ -20,10 +20,10 @@
     programs::{KeptTurn, OpenTurn},
 };
 
-/// Largest event, and largest rest without an end, in bytes.
+/// Maximum size of an event and of a trailing incomplete event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// What is kept of a turn.
+/// Data of a turn that is to be kept.
 pub(crate) struct TurnRecording {
     /// Inputs and outputs of the turns before.
     pub(crate) history: Bytes,
@@ -32,7 +32,7 @@
     pub(crate) output: BytesMut,
 }
 
-/// A stream on its way from an endpoint to a caller. Dropping it cancels the call at the endpoint.
+/// A stream that is being relayed to a caller. Dropping it cancels the call at the endpoint.
 pub(crate) struct StreamRelay {
     pub(crate) attempts: Attempts,
     pub(crate) begun: Option<StartedResponse>,
@@ -44,11 +44,11 @@
     pub(crate) recording: Option<TurnRecording>,
     pub(crate) ending: CallRecord,
     pub(crate) is_done: bool,
-    /// Memory of what has arrived of the next event, and of the output that is kept.
+    /// Memory reserved for the incomplete event and the recorded output.
     pub(crate) reservation: MemoryReservation,
 }
 
-/// What came next from the endpoint.
+/// Result of reading from the endpoint.
 enum ReadOutcome {
     Bytes(Bytes),
     End,
@@ -57,16 +57,16 @@
 }
 
 impl StreamRelay {
-    /// The body of the answer.
+    /// Returns the body of the response to the caller.
     pub(crate) fn into_body(self) -> AnswerBody {
-        // Boxed, since the state of a next_piece is large and most of the time is spent between steps.
+        // Boxed because the state is large and lives mostly between two steps.
         streamed(stream::unfold(Box::new(self), |mut relaying| async move {
             let piece = relaying.next_piece().await?;
             Some((piece, relaying))
         }))
     }
 
-    /// The next piece for the caller: all events that have arrived whole.
+    /// Returns the next chunk for the caller, made of all events that have arrived completely.
     async fn next_piece(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         if self.is_done {
             return None;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes the whole events, as one piece.
+    /// Takes the complete events as one chunk.
     fn take_events(&mut self) -> Bytes {
         let Some(first) = self.reader.next_event() else { return Bytes::new() };
         let mut piece: Option<BytesMut> = None;
@@ -162,7 +162,8 @@
         }
     }
 
-    /// The endpoint has ended its answer. A kept turn is made durable before the caller sees the end.
+    /// Handles the end of the endpoint's response. A kept turn is made durable before the caller
+    /// sees the end of the stream.
     async fn end(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         if self.reader.pending() > 0 && self.begun.as_ref().is_some_and(|b| !has_end(&b.parts)) {
             // The connection was closed in the middle of an event.
@@ -196,7 +197,8 @@
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    /// Lets another endpoint go on after the last whole event, where the route allows it.
+    /// Resumes the stream at another endpoint after the last complete event, if the route allows
+    /// it.
     async fn resume_elsewhere(&mut self, cause: &str) -> Result<(), TruncatedBody> {
         let id = self.attempts.call.head.id.clone();
         let events = self.events;
@@ -204,7 +206,8 @@
         metrics::counter!("poplarspan_relay_broken_streams_total").increment(1);
         self.reader.clear();
         if let Some(begun) = self.begun.take() {
-            // The connection goes first, so that the endpoint stops before another one goes on.
+            // Closes the connection first, so that the endpoint stops before another one resumes
+            // the stream.
             drop((begun.body, begun.reuse));
             self.attempts.failed(begun.slot, cause);
         }
@@ -230,13 +233,13 @@
     }
 }
 
-/// Whether an answer says where it ends, and not only by the end of its connection.
+/// Whether the end of a response is marked by its framing, not only by the end of the connection.
 fn has_end(head: &response::Parts) -> bool {
     head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Tokens that an event stands for at the service of a call.
+/// Number of tokens that an event of a service stands for.
 pub(crate) fn tokens_per_event(front: &Arc<Front>, service: &str) -> u64 {
     let view = front.fleet.view();
     let engine = view.publication.as_ref().and_then(|p| p.service(service)?.engine);
--- a/crates/relay/tests/condemned_requests.rs
+++ b/crates/relay/tests/condemned_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that the state refuses.
+//! Blocked requests in the state of the control group.
 
 use poplarspan_agreement::StateMachine;
 use poplarspan_policy::containment::Fingerprint;
@@ -25,8 +25,7 @@
     state.blocked_request(request(n)).is_some()
 }
 
-/// Each time that a request is condemned anew it is refused for longer, and repeated reports of one
-/// trial count once.
+/// The block of a request gets longer each time, and repeated reports of one trial count once.
 #[test]
 fn refused_for_longer() {
     const MINUTE_MS: u64 = 60_000;
--- a/crates/relay/tests/event_reader.rs
+++ b/crates/relay/tests/event_reader.rs
@@ -1,4 +1,4 @@
-//! Events of a stream, however it is cut into pieces.
+//! Parsing of event streams in chunks of any size.
 
 use bytes::BytesMut;
 use poplarspan_relay::EventReader;
@@ -43,7 +43,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// The pieces in which a stream arrives make no difference, and no byte is lost.
+    /// The result does not depend on how a stream is split into chunks, and no byte is lost.
     #[test]
     fn any_pieces(
         stream in proptest::collection::vec(
--- a/crates/relay/tests/kept_turns.rs
+++ b/crates/relay/tests/kept_turns.rs
@@ -1,4 +1,4 @@
-//! Budgets and kept turns, as the stores replicate them.
+//! Token budgets and kept turns in the state of a store group.
 
 use bytes::Bytes;
 use poplarspan_agreement::StateMachine;
@@ -43,7 +43,7 @@
     run(turns, pb::TurnCommand { now_ms, settle, ..Default::default() });
 }
 
-/// A reservation and its settlement may be sent again without counting twice.
+/// Repeating a reservation or its settlement does not count tokens twice.
 #[test]
 fn resends_count_once() {
     let mut turns = Turns::default();
@@ -56,7 +56,7 @@
     assert_eq!(reserve(&mut turns, "t2", 60, 100), 60);
 }
 
-/// A chain is returned oldest first, to its own team only.
+/// A history is returned oldest first, and only to its own team.
 #[test]
 fn chain_in_order() {
     let mut turns = Turns::default();
@@ -70,7 +70,7 @@
     assert!(turns.history("blue", "b").is_none());
 }
 
-/// A turn lives as long as the turns that continue it, and is forgotten afterwards.
+/// A turn is kept as long as the turns that continue it, and dropped afterwards.
 #[test]
 fn chain_lives_together() {
     let mut turns = Turns::default();
@@ -91,8 +91,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// What is used and reserved never exceeds the budget, over any order of commands, repeated ones
-    /// included; a copy restored from a snapshot goes on in the same way.
+    /// Used and reserved tokens never exceed the budget for any order of commands, including
+    /// repeated ones. A copy restored from a snapshot behaves the same.
     #[test]
     fn never_above_budget(
         commands in proptest::collection::vec((0u8..12, any::<bool>(), 0u64..80), 1..120),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Bytes that are no command neither panic nor change anything.
+    /// Bytes that are not a valid command neither panic nor change the state.
     #[test]
     fn arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut turns = Turns::default();
--- a/crates/relay/tests/member_changes.rs
+++ b/crates/relay/tests/member_changes.rs
@@ -1,4 +1,4 @@
-//! Which change of a group's members comes next.
+//! Choice of the next membership change of a group.
 
 use std::{net::Ipv4Addr, time::Duration};
 
@@ -27,7 +27,8 @@
     }
 }
 
-/// A replica that lost its disk comes back under a new number, which votes before the old one goes.
+/// A replica that lost its disk returns with a new id, which becomes a voter before the old one is
+/// removed.
 #[test]
 fn lost_disk() {
     let (a, b, c, new) = (id(1, 0), id(2, 0), id(3, 0), id(3, 7));
@@ -46,7 +47,7 @@
     assert_eq!(m.next_step(), Some(MembershipChange::Remove(c)));
 }
 
-/// A machine that was replaced at another address is removed once its successor votes.
+/// A machine that was replaced by one with another address is removed once the new one votes.
 #[test]
 fn replaced_machine() {
     let (a, b, c, d) = (id(1, 0), id(2, 0), id(3, 0), id(4, 9));
@@ -55,7 +56,7 @@
     assert_eq!(m.next_step(), Some(MembershipChange::Remove(c)));
 }
 
-/// A store that is to be emptied goes only while enough others are left, and hands over first.
+/// A store is drained only while enough other voters remain, and transfers leadership first.
 #[test]
 fn emptied_store() {
     let (a, b, c, d) = (id(1, 0), id(2, 0), id(3, 0), id(4, 0));
@@ -69,7 +70,7 @@
     assert!(matches!(m.next_step(), Some(MembershipChange::HandOver(to)) if to != a));
 }
 
-/// A group has as many voters as bear the loss of two, and no more.
+/// A group grows to five voters, which tolerate the loss of two, and no further.
 #[test]
 fn enough_voters() {
     let voters: Vec<_> = (1..=5).map(|n| id(n, 0)).collect();
@@ -80,8 +81,8 @@
     assert_eq!(m.next_step(), Some(MembershipChange::AddLearner(id(6, 1))));
 }
 
-/// A store is not emptied while, without it, those that answer would be no majority. Found by
-/// `keeps_majority`.
+/// A store is not drained if the responsive voters would lose their majority without it. A case
+/// that `keeps_majority` found.
 #[test]
 fn emptied_among_silent() {
     let voters: Vec<_> = (0..7).map(|n| id(n, 0)).collect();
@@ -91,8 +92,8 @@
     assert_ne!(m.next_step(), Some(MembershipChange::Remove(voters[6])));
 }
 
-/// A store is emptied after another one has taken its place, so that the group bears as many losses
-/// meanwhile.
+/// A store is drained after its replacement has become a voter, so that the group tolerates as many
+/// losses meanwhile.
 #[test]
 fn emptied_after_successor() {
     let voters: Vec<_> = (1..=5).map(|n| id(n, 0)).collect();
@@ -107,8 +108,8 @@
     assert_eq!(m.next_step(), Some(MembershipChange::Remove(voters[4])));
 }
 
-/// The lead goes back to the home of the group, but not soon after an election, and not to a machine
-/// that does not answer or is to be emptied.
+/// Leadership returns to the preferred machine, but not soon after an election and not to a machine
+/// that is unresponsive or being drained.
 #[test]
 fn back_home() {
     let voters: Vec<_> = (1..=5).map(|n| id(n, 0)).collect();
@@ -132,8 +133,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// No change leaves a group in which those that answer are no majority, makes it smaller than
-    /// three, or removes the leader.
+    /// No removal leaves the responsive voters without a majority, shrinks the group below three
+    /// responsive voters, or removes the leader.
     #[test]
     fn keeps_majority(
         count in 3u8..8,
--- a/crates/relay/tests/object_checks.rs
+++ b/crates/relay/tests/object_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of published sets, and their indices.
+//! Validation and lookup of published objects.
 
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
     assert!(publication.teams().iter().all(|t| t.keys.is_empty()), "keys are kept as digests only");
 }
 
-/// All findings are reported together.
+/// All errors are reported together.
 #[test]
 fn findings_together() {
     let mut objects = objects();
--- a/crates/relay/tests/publication_order.rs
+++ b/crates/relay/tests/publication_order.rs
@@ -1,4 +1,4 @@
-//! The state: publications, zones and the stores' group.
+//! Replicated state of the control group: publications, zones and the layout of the store groups.
 
 use bytes::Bytes;
 use poplarspan_agreement::StateMachine;
@@ -16,7 +16,7 @@
     Body::Publish(pb::Publish { version, body: Bytes::from_static(body.as_bytes()) })
 }
 
-/// A version that is not higher is acknowledged and changes nothing, whatever its content.
+/// A version that is not higher is acknowledged without changing anything, whatever its content.
 #[test]
 fn highest_wins() {
     let mut state = ControlState::default();
@@ -28,7 +28,7 @@
     assert_eq!(&state.body()[..], b"nine");
 }
 
-/// The first voters of the stores are decided once.
+/// The layout of the store groups is decided once.
 #[test]
 fn founders_stay() {
     let mut state = ControlState::default();
@@ -44,7 +44,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// The version never goes back, and a snapshot restores the whole state.
+    /// The version never decreases, and a snapshot restores the complete state.
     #[test]
     fn never_back(commands in proptest::collection::vec((0u64..20, 0u8..4, 0u8..3), 1..60)) {
         let mut state = ControlState::default();
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Bytes that are no command change nothing.
+    /// Bytes that are not a valid command do not change the state.
     #[test]
     fn arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut state = ControlState::default();
--- a/crates/relay/tests/store_groups.rs
+++ b/crates/relay/tests/store_groups.rs
@@ -1,4 +1,4 @@
-//! How programs are spread over groups, and groups over stores.
+//! Assignment of programs to groups and of groups to stores.
 
 use std::net::Ipv4Addr;
 
@@ -9,7 +9,7 @@
     (1..=stores).map(|n| replica_id(Ipv4Addr::new(10, 0, 0, n), u32::from(n))).collect()
 }
 
-/// The leaders of a fleet with many stores are on different machines.
+/// The preferred leaders of all groups are on different machines.
 #[test]
 fn homes_differ() {
     for stores in 1..=32 {
@@ -24,8 +24,7 @@
     }
 }
 
-/// Each group begins with as many voters as bear the loss of two, where there are so many stores,
-/// and no store votes twice.
+/// Each group starts with five distinct voters, or with all stores if there are fewer.
 #[test]
 fn enough_founders() {
     for stores in 1..=32u8 {
@@ -40,8 +39,8 @@
     }
 }
 
-/// The loss of a zone leaves a majority in each group, with stores in four zones ordered so that
-/// neighbours are in different ones.
+/// A majority of each group survives the loss of a zone if the stores are in four zones and
+/// neighbors in the ring are in different ones.
 #[test]
 fn zone_loss() {
     let stores = ring(11);
@@ -55,7 +54,7 @@
     }
 }
 
-/// Programs spread evenly, also those of one team.
+/// Programs are spread evenly, including those of one team.
 #[test]
 fn even_spread() {
     const GROUPS: u32 = 5;
