--- a/crates/relay/src/control/endpoint_list.rs
+++ b/crates/relay/src/control/endpoint_list.rs
@@ -45,7 +45,7 @@
             match self.read().await {
                 Ok(endpoints) => {
                     if std::mem::take(&mut self.is_failing) {
-                        log::info!("the list of endpoints can be read again");
+                        log::info!("endpoint list is readable again");
                     }
                     self.apply(endpoints);
                     sleep(POLL_INTERVAL).await;
@@ -54,7 +54,7 @@
                     metrics::counter!("poplarspan_relay_list_failures_total").increment(1);
                     if !std::mem::replace(&mut self.is_failing, true) {
                         let error = format!("{e:#}");
-                        log::warn!(error = error.as_str(); "cannot read the list of endpoints");
+                        log::warn!(error = error.as_str(); "cannot read the endpoint list");
                     }
                     sleep(RETRY_PAUSE).await;
                 }
@@ -68,7 +68,7 @@
         let leaving = endpoints.iter().filter(|e| e.leaving).count();
         if state.leader.set_directory(endpoints, self.control.clock.now()) {
             let number = state.leader.directory_number();
-            log::info!(count, leaving, number; "the list of endpoints has changed");
+            log::info!(count, leaving, number; "endpoint list changed");
         }
     }
 
@@ -90,7 +90,7 @@
                 return Ok(endpoints);
             }
         }
-        anyhow::bail!("the list has more than {MAX_PAGES} pages")
+        anyhow::bail!("endpoint list has more than {MAX_PAGES} pages")
     }
 
     async fn page(&self, token: Option<&str>) -> Result<Bytes> {
@@ -98,7 +98,7 @@
         let address = self.control.settings.endpoint_list_address;
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = self.control.protocol.list_page_uri(token);
-        let host = HeaderValue::from_str(&address.to_string()).context("an address is ASCII")?;
+        let host = HeaderValue::from_str(&address.to_string()).context("invalid Host header")?;
         request.headers_mut().insert(header::HOST, host);
         let deadline = Instant::now() + READ_TIMEOUT;
         let exchange = self.pool.send(address, request, false, deadline).await?;
@@ -106,10 +106,10 @@
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_PAGE_BYTES).collect();
         let body =
-            tokio::time::timeout_at(deadline, body).await.context("no whole page in time")?;
+            tokio::time::timeout_at(deadline, body).await.context("timed out reading a page")?;
         let body = body.map_err(|e| anyhow::anyhow!(e))?.to_bytes();
         reuse.finish();
-        ensure!(status.is_success(), "the platform answered {status}");
+        ensure!(status.is_success(), "platform responded with status {status}");
         Ok(body)
     }
 }
--- a/crates/relay/src/control/forwarding.rs
+++ b/crates/relay/src/control/forwarding.rs
@@ -70,8 +70,8 @@
         let until = until.min(Instant::now() + ATTEMPT_TIMEOUT + order.transfer_time());
         let mut req = Request::new(Full::new(order.body.clone()));
         *req.method_mut() = order.method.clone();
-        *req.uri_mut() = order.path.parse().context("the path of an order")?;
-        let host = HeaderValue::from_str(&leader.to_string()).context("an address is ASCII")?;
+        *req.uri_mut() = order.path.parse().context("invalid request path")?;
+        let host = HeaderValue::from_str(&leader.to_string()).context("invalid Host header")?;
         req.headers_mut().insert(header::HOST, host);
         req.headers_mut().insert(FORWARDED, HeaderValue::from_static("1"));
         // Uses a new connection, because a pooled one may lead to a replica that is gone.
@@ -79,7 +79,7 @@
         let (response, _closed_when_read) = exchange.into_parts();
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
-        let body = timeout_at(until, body).await.context("no whole answer in time")?;
+        let body = timeout_at(until, body).await.context("timed out reading the response")?;
         Ok((status, body.map_err(|e| anyhow::anyhow!(e))?.to_bytes()))
     }
 }
@@ -121,7 +121,7 @@
         let seen = self.last_run_ms.swap(now, Ordering::Relaxed);
         if now.saturating_sub(seen) > millis(SUSPENSION_THRESHOLD) {
             let gap_ms = now.saturating_sub(seen);
-            log::warn!(gap_ms; "the process was suspended; orders that wait are refused");
+            log::warn!(gap_ms; "process was suspended; refusing pending operator requests");
             self.stale_until_ms.store(now + millis(STALE_WINDOW), Ordering::Relaxed);
         }
     }
--- a/crates/relay/src/control/leader_state.rs
+++ b/crates/relay/src/control/leader_state.rs
@@ -125,7 +125,7 @@
         members.retain(|m| {
             let lives = now < m.lease_until;
             if !lives {
-                changes.push_back((m.name.clone(), "instance lost"));
+                changes.push_back((m.name.clone(), "instance lease expired"));
             }
             lives
         });
@@ -348,7 +348,7 @@
             programs = load.programs,
             program_rate = load.program_rate,
             reserve = load.reserve;
-            "programs held back: the team is at its rate"
+            "refused new programs: team is at its rate limit"
         );
         (throttled.calls, throttled.logged_at) = (0, Some(now));
     }
--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -76,7 +76,7 @@
         let term = self.replica.leads()?;
         let mut state = self.state.lock().expect("no panic while locked");
         if state.leader.term != term {
-            log::info!(term; "leads the control group");
+            log::info!(term; "this replica leads the control group");
             metrics::counter!("poplarspan_relay_terms_led_total").increment(1);
             state.leader = LeaderState::new(term, lease_length(&self.settings), self.clock.now());
         }
@@ -97,7 +97,7 @@
                 Ok(publication) => state.publication = Some(Arc::new(publication)),
                 Err(error) => {
                     let version = control_state.version();
-                    log::error!(version, error = error.as_str(); "cannot read the publication");
+                    log::error!(version, error = error.as_str(); "cannot parse the publication");
                 }
             }
         }
@@ -220,10 +220,10 @@
             let Some(ring) = ring else { continue };
             let (stores, groups) = (ring.len(), group_count(ring.len()));
             match self.commit(board_command::Body::Form(pb::FormStore { ring, groups })).await {
-                Ok(_) => log::info!(stores, groups; "decided how the stores form groups"),
+                Ok(_) => log::info!(stores, groups; "formed store groups"),
                 Err(e) => {
                     let error = e.to_string();
-                    log::warn!(error = error.as_str(); "cannot decide how the stores form groups");
+                    log::warn!(error = error.as_str(); "cannot form store groups");
                 }
             }
         }
@@ -239,7 +239,7 @@
     let objects = protocol.parse_objects(body).map_err(|e| e.to_string())?;
     let publication = Publication::new(objects).map_err(|e| e.to_string())?;
     if publication.version != version {
-        return Err(format!("the set has version {}, not {version}", publication.version));
+        return Err(format!("publication has version {}, expected {version}", publication.version));
     }
     Ok(publication)
 }
--- a/crates/relay/src/control/operator_api.rs
+++ b/crates/relay/src/control/operator_api.rs
@@ -80,7 +80,7 @@
                     .await;
                 if let Err(e) = served {
                     let error = e.to_string();
-                    log::debug!(error = error.as_str(); "an operator's connection has failed");
+                    log::debug!(error = error.as_str(); "operator connection failed");
                 }
                 drop(permit);
             });
@@ -153,14 +153,14 @@
             Ok((status, body)) if !status.is_server_error() => Some(json_response(status, body)),
             Ok((status, _)) => {
                 let status = status.as_u16();
-                log::info!(leader = leader.to_string().as_str(), status; "order not taken");
+                log::info!(leader = leader.to_string().as_str(), status; "leader did not execute the forwarded request");
                 None
             }
             Err(e) => {
                 let error = format!("{e:#}");
                 log::warn!(
                     leader = leader.to_string().as_str(), error = error.as_str();
-                    "cannot hand an order on"
+                    "cannot forward a request to the leader"
                 );
                 None
             }
@@ -197,7 +197,7 @@
             }
             Err(findings) => {
                 let text = findings.to_string();
-                log::warn!(findings = text.as_str(); "publication refused");
+                log::warn!(findings = text.as_str(); "rejected an invalid publication");
                 Ok(self.refuse(StatusCode::BAD_REQUEST, &text))
             }
         }
--- a/crates/relay/src/control/suspects.rs
+++ b/crates/relay/src/control/suspects.rs
@@ -105,7 +105,7 @@
     fn block(&mut self, request: Fingerprint, now: Timestamps) -> board_command::Body {
         let until = now.monotonic + COMMIT_TIMEOUT;
         if self.quarantine.condemn(request, until, now.monotonic) {
-            log_request(request, "request is refused: endpoints end under it");
+            log_request(request, "request is blocked: endpoints terminate while running it");
             metrics::counter!("poplarspan_relay_condemned_requests_total").increment(1);
         }
         self.pending_block_until = Some(until);
@@ -163,7 +163,10 @@
                 }
                 if self.quarantine.note(request, &endpoint, now.monotonic) {
                     self.number += 1;
-                    log_request(request, "request is a suspect: it runs on trial");
+                    log_request(
+                        request,
+                        "request is suspected of terminating endpoints; it only runs on trial",
+                    );
                 }
                 (SuspectRuling::Free, None)
             }
@@ -183,7 +186,7 @@
             SuspectEventKind::Answered => {
                 if self.quarantine.remove(request) {
                     self.number += 1;
-                    log_request(request, "suspect is cleared: it was answered");
+                    log_request(request, "suspected request was answered; no longer suspected");
                 }
                 let acquit = || {
                     let request = write_fingerprint(request);
--- a/crates/relay/src/control_state.rs
+++ b/crates/relay/src/control_state.rs
@@ -141,11 +141,11 @@
             }
             Body::Condemn(condemn) => match read_fingerprint(&condemn.request) {
                 Some(request) => self.block(request, condemn.at_ms),
-                None => log::error!("a digest of another length is ignored"),
+                None => log::error!("ignored a command with a malformed request digest"),
             },
             Body::Acquit(acquit) => match read_fingerprint(&acquit.request) {
                 Some(request) => self.unblock(request),
-                None => log::error!("a digest of another length is ignored"),
+                None => log::error!("ignored a command with a malformed request digest"),
             },
         }
     }
@@ -180,10 +180,10 @@
     fn apply(&mut self, index: u64, data: &[u8]) -> Bytes {
         match pb::BoardCommand::decode(data) {
             Ok(pb::BoardCommand { body: Some(body) }) => self.apply_command(body),
-            Ok(_) => log::error!(index; "command of an unknown kind is ignored"),
+            Ok(_) => log::error!(index; "ignored a command of unknown type"),
             Err(e) => {
                 let error = e.to_string();
-                log::error!(index, error = error.as_str(); "malformed command is ignored");
+                log::error!(index, error = error.as_str(); "ignored a malformed command");
             }
         }
         pb::BoardResult { version: self.version }.encode_to_vec().into()
@@ -209,7 +209,8 @@
         let names = |list: Vec<String>| list.into_iter().map(Name::from).collect();
         let (zones_out, retiring) = (names(zones_out), names(retiring));
         let read = |c: &pb::Condemn| {
-            let request = read_fingerprint(&c.request).context("a digest of another length")?;
+            let request =
+                read_fingerprint(&c.request).context("malformed request digest in the snapshot")?;
             Ok(BlockedRequest { request, at_ms: c.at_ms, times: c.times })
         };
         let blocked = condemned.iter().map(read).collect::<anyhow::Result<Vec<_>>>()?.into();
--- a/crates/relay/src/fleet_client.rs
+++ b/crates/relay/src/fleet_client.rs
@@ -335,7 +335,7 @@
         search.answered = Some(address);
         if search.leader.replace(address) != Some(address) {
             let leader = address.to_string();
-            log::info!(leader = leader.as_str(); "found the leader of the control group");
+            log::info!(leader = leader.as_str(); "found the control leader");
         }
     }
 
@@ -343,7 +343,7 @@
         let mut search = self.search.lock().expect("no panic while locked");
         if search.leader == Some(address) {
             let leader = address.to_string();
-            log::warn!(leader = leader.as_str(); "lost the leader of the control group");
+            log::warn!(leader = leader.as_str(); "lost the control leader");
             metrics::counter!("poplarspan_relay_leader_losses_total").increment(1);
         }
         if !has_answered {
@@ -383,14 +383,14 @@
         };
         if view.zones_out != old.zones_out {
             let zones = view.zones_out.join(",");
-            log::info!(zones = zones.as_str(); "zones that are out have changed");
+            log::info!(zones = zones.as_str(); "zones out of service changed");
         }
         self.view.store(Arc::new(view));
         let length =
             Duration::from_millis(answer.lease_ms).min(control::lease_length(&self.settings));
         let until = asked_at + length;
         if self.lease_left().is_none() {
-            log::info!("the lease holds");
+            log::info!("lease acquired");
         }
         self.lease_until_us.fetch_max(until.as_micros() as u64, Ordering::AcqRel);
         self.changed.send_modify(|n| *n += 1);
@@ -407,11 +407,11 @@
         let version = published.version;
         match control::read_publication(&*self.protocol, version, &published.body) {
             Ok(publication) => {
-                log::info!(version, before = held_version; "publication in force");
+                log::info!(version, before = held_version; "new publication in force");
                 Some(Arc::new(publication))
             }
             Err(error) => {
-                log::error!(version, error = error.as_str(); "cannot read the publication");
+                log::error!(version, error = error.as_str(); "cannot parse the publication");
                 held
             }
         }
--- a/crates/relay/src/front/attempt.rs
+++ b/crates/relay/src/front/attempt.rs
@@ -241,14 +241,18 @@
             slot.note_leaving();
         }
         if head.not_run || head.is_other_endpoint {
-            self.log_no_answer(&slot, "endpoint has not run the call", parts.status.as_u16());
+            self.log_no_answer(&slot, "endpoint did not run the call", parts.status.as_u16());
             self.trial = None;
             tokio::spawn(drain(body, reuse));
             slot.finish(if head.is_other_endpoint { Outcome::Failed } else { Outcome::Refused });
             return Err(AttemptError::NotRun);
         }
         if !is_genuine(parts.status, &head) {
-            self.log_no_answer(&slot, "answer is not the endpoint's", parts.status.as_u16());
+            self.log_no_answer(
+                &slot,
+                "response was not created by the endpoint",
+                parts.status.as_u16(),
+            );
             metrics::counter!("poplarspan_relay_foreign_answers_total").increment(1);
             self.trial = None;
             slot.finish(Outcome::Failed);
@@ -278,7 +282,7 @@
         match error {
             SendError::NotPermitted | SendError::NotSent(_) => {
                 let (endpoint, id) = (&*slot.endpoint.name, &*self.call.head.id);
-                log::warn!(id, endpoint, cause = cause.as_str(); "call did not leave");
+                log::warn!(id, endpoint, cause = cause.as_str(); "call was not sent");
             }
             _ => self.note_incomplete(&slot.endpoint, &cause),
         }
@@ -310,7 +314,7 @@
     fn note_incomplete(&mut self, endpoint: &ChosenEndpoint, cause: &str) {
         let (id, request) = (&*self.call.head.id, self.call.fingerprint().to_string());
         let name = &*endpoint.name;
-        log::warn!(id, request = request.as_str(), endpoint = name, cause; "endpoint gave no whole answer");
+        log::warn!(id, request = request.as_str(), endpoint = name, cause; "endpoint did not complete its response");
         metrics::counter!("poplarspan_relay_lost_runs_total").increment(1);
         self.front.quarantine.note_incomplete(&self.call, endpoint, self.trial.take());
     }
--- a/crates/relay/src/front/body.rs
+++ b/crates/relay/src/front/body.rs
@@ -15,7 +15,7 @@
 /// Terminates a response that cannot be completed. The connection is closed, so that the caller
 /// does not mistake the partial body for a complete one.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer was cut short: {0}")]
+#[error("response truncated: {0}")]
 pub(crate) struct TruncatedBody(pub(crate) &'static str);
 
 /// Body of a response to a caller.
--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -386,7 +386,7 @@
             }
         }
         let name = self.fleet.spec(id).name.clone();
-        let at = self.position(&name).expect("the fleet holds known endpoints");
+        let at = self.position(&name).expect("every endpoint in the fleet has state");
         let known = &mut self.endpoints[at];
         if now < known.cold_until {
             known.gate.start(now);
@@ -408,7 +408,7 @@
         match outcome {
             Outcome::Answered | Outcome::Refused => {
                 if known.failures > 0 {
-                    log::info!(endpoint = &**name; "endpoint answers again");
+                    log::info!(endpoint = &**name; "endpoint recovered");
                     known.failures = 0;
                     self.fleet.set_cap(id, None);
                 }
@@ -418,7 +418,7 @@
                 known.failures += 1;
                 if known.paused_until.is_none() {
                     let failures = known.failures;
-                    log::warn!(endpoint = &**name, failures; "endpoint fails; no calls for a while");
+                    log::warn!(endpoint = &**name, failures; "endpoint failed; pausing calls to it");
                     metrics::counter!("poplarspan_relay_endpoint_failures_total").increment(1);
                 }
                 known.paused_until = Some(now + pause);
@@ -442,7 +442,7 @@
         let Ok(at) = self.position(name) else { return };
         let known = &self.endpoints[at];
         if !self.fleet.spec(known.id).leaving {
-            log::info!(endpoint = &**name; "endpoint says that it is leaving");
+            log::info!(endpoint = &**name; "endpoint announced its stop");
         }
         self.departures.note(name, known.started_ms);
         self.fleet.set_leaving(known.id);
--- a/crates/relay/src/front/handler.rs
+++ b/crates/relay/src/front/handler.rs
@@ -156,7 +156,7 @@
             }
             Err(e) => {
                 let error = e.to_string();
-                log::info!(error = error.as_str(); "malformed call");
+                log::info!(error = error.as_str(); "malformed request");
                 self.refuse(&Refusal::new(StatusCode::BAD_REQUEST, "malformed", error))
             }
         };
--- a/crates/relay/src/front/listener.rs
+++ b/crates/relay/src/front/listener.rs
@@ -70,7 +70,7 @@
     async fn serve(self: Arc<Self>, stream: TcpStream, permit: OwnedSemaphorePermit) {
         if let Err(e) = stream.set_nodelay(true) {
             let error = e.to_string();
-            log::debug!(error = error.as_str(); "cannot set an option of a connection");
+            log::debug!(error = error.as_str(); "cannot set TCP_NODELAY");
         }
         let view = self.front.fleet.view();
         let limits = view.publication.as_ref().map(|p| p.limits).unwrap_or_default();
@@ -104,7 +104,7 @@
         };
         if let Err(e) = served {
             let error = e.to_string();
-            log::debug!(error = error.as_str(); "a caller's connection has failed");
+            log::debug!(error = error.as_str(); "caller connection failed");
         }
         drop(permit);
     }
--- a/crates/relay/src/front/programs.rs
+++ b/crates/relay/src/front/programs.rs
@@ -238,7 +238,7 @@
     fn settle(&self, end: PendingSettlement) {
         if let Err(e) = self.ends.try_send(end) {
             let program = e.into_inner().end.program;
-            log::warn!(program = program.as_str(); "too much waits to be settled; tokens stay reserved");
+            log::warn!(program = program.as_str(); "settlement queue is full; tokens stay reserved");
             metrics::counter!("poplarspan_relay_unsettled_total").increment(1);
         }
     }
--- a/crates/relay/src/front/quarantine.rs
+++ b/crates/relay/src/front/quarantine.rs
@@ -227,7 +227,7 @@
     fn push(&self, event: SuspectEvent) {
         let mut pending = self.pending();
         if pending.len() >= MAX_PENDING {
-            log::warn!("too many events of suspects wait; one is dropped");
+            log::warn!("too many undelivered suspect events; dropped one");
             return;
         }
         pending.push(PendingEvent { event, since: Instant::now() });
@@ -258,7 +258,7 @@
             pending.retain(|w| w.since.elapsed() < DROP_AFTER);
             let dropped = before - pending.len();
             if dropped > 0 {
-                log::warn!(dropped; "no leader takes the events of suspects; the oldest are dropped");
+                log::warn!(dropped; "dropped suspect events that no control leader accepted");
             }
         }
     }
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -97,7 +97,7 @@
                 ReadOutcome::Late => {
                     self.is_done = true;
                     self.ending.finish("late");
-                    return Some(Err(TruncatedBody("its time is over")));
+                    return Some(Err(TruncatedBody("deadline exceeded")));
                 }
             }
         }
@@ -106,7 +106,7 @@
     async fn read(&mut self) -> ReadOutcome {
         let deadline = self.attempts.call.deadline;
         let Some(begun) = &mut self.begun else {
-            return ReadOutcome::Broken("no answer".to_owned());
+            return ReadOutcome::Broken("no response".to_owned());
         };
         loop {
             return match timeout_at(deadline, begun.body.frame()).await {
@@ -115,7 +115,7 @@
                 Ok(Some(Err(e))) => ReadOutcome::Broken(e.to_string()),
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(_) if self.reader.pending() > MAX_EVENT_BYTES => {
-                        ReadOutcome::Broken("an event is too large".to_owned())
+                        ReadOutcome::Broken("event exceeds the size limit".to_owned())
                     }
                     Ok(bytes) => ReadOutcome::Bytes(bytes),
                     Err(_) => continue,
@@ -167,7 +167,7 @@
     async fn end(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         if self.reader.pending() > 0 && self.begun.as_ref().is_some_and(|b| !has_end(&b.parts)) {
             // The connection was closed in the middle of an event.
-            return match self.resume_elsewhere("the stream ends within an event").await {
+            return match self.resume_elsewhere("stream ended within an event").await {
                 Ok(()) => Box::pin(self.next_piece()).await,
                 Err(cut) => Some(Err(cut)),
             };
@@ -202,7 +202,7 @@
     async fn resume_elsewhere(&mut self, cause: &str) -> Result<(), TruncatedBody> {
         let id = self.attempts.call.head.id.clone();
         let events = self.events;
-        log::warn!(id = &*id, cause, events; "stream broke off");
+        log::warn!(id = &*id, cause, events; "stream interrupted");
         metrics::counter!("poplarspan_relay_broken_streams_total").increment(1);
         self.reader.clear();
         if let Some(begun) = self.begun.take() {
@@ -214,20 +214,20 @@
         if !self.attempts.may_retry() {
             self.is_done = true;
             self.ending.finish("broken");
-            return Err(TruncatedBody("the endpoint broke off"));
+            return Err(TruncatedBody("the endpoint failed"));
         }
         let last_event = self.last_event.clone();
         match self.attempts.next(last_event.as_ref()).await {
             Ok(begun) if begun.parts.status.is_success() => {
                 let endpoint = begun.slot.endpoint.name.clone();
-                log::info!(id = &*id, endpoint = &*endpoint; "stream goes on at another endpoint");
+                log::info!(id = &*id, endpoint = &*endpoint; "stream resumed at another endpoint");
                 self.begun = Some(begun);
                 Ok(())
             }
             Ok(_) | Err(_) => {
                 self.is_done = true;
                 self.ending.finish("not_resumed");
-                Err(TruncatedBody("no other endpoint goes on"))
+                Err(TruncatedBody("no other endpoint could resume the stream"))
             }
         }
     }
--- a/crates/relay/src/readiness.rs
+++ b/crates/relay/src/readiness.rs
@@ -43,7 +43,7 @@
                     .await;
                 if let Err(e) = served {
                     let error = e.to_string();
-                    log::debug!(error = error.as_str(); "a readiness connection has failed");
+                    log::debug!(error = error.as_str(); "readiness probe connection failed");
                 }
                 drop(permit);
             });
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -127,7 +127,7 @@
         let text = fs::read_to_string(&path);
         let text = text.with_context(|| format!("cannot read {}", path.display()))?;
         let groups = text.trim().parse();
-        groups.map(Some).with_context(|| format!("{} holds no number", path.display()))
+        groups.map(Some).with_context(|| format!("{} does not contain a number", path.display()))
     }
 
     /// Like [`ReplicaFolder::open_log`], but waits while the disk is full.
@@ -165,7 +165,8 @@
             f.sync_all()?;
             let ready = self.ready_file();
             fs::File::create(&ready)?.sync_all()?;
-            fs::File::open(ready.parent().context("a file in the data folder")?)?.sync_all()?;
+            fs::File::open(ready.parent().context("ready file has no parent folder")?)?
+                .sync_all()?;
         }
         Ok(store)
     }
@@ -181,7 +182,7 @@
 
 async fn wait_for_disk_space(e: &anyhow::Error) {
     let error = format!("{e:#}");
-    log::error!(error = error.as_str(); "the disk takes no more bytes; the start waits");
+    log::error!(error = error.as_str(); "disk is full; waiting to start");
     metrics::gauge!("poplarspan_store_disk_refuses").set(1.0);
     sleep(DISK_FULL_PAUSE).await;
 }
@@ -277,7 +278,7 @@
         let node = Arc::new(builder.start().await.context("cannot start the replicated log")?);
         let dir = Arc::new(folder.dir);
         let replica = |group| {
-            let handle = node.group(group).context("the group that was just added")?;
+            let handle = node.group(group).context("group is missing from the node")?;
             Ok(Arc::new(Self {
                 id,
                 group,
@@ -388,12 +389,12 @@
             let Some(step) = members.next_step() else { continue };
             let (group, name) = (self.group.0, format!("{step:?}"));
             match self.apply(step).await {
-                Ok(()) => log::info!(group, step = name.as_str(); "change of members"),
+                Ok(()) => log::info!(group, step = name.as_str(); "membership changed"),
                 Err(e) => {
                     let error = e.to_string();
                     log::info!(
                         group, step = name.as_str(), error = error.as_str();
-                        "change of members refused"
+                        "membership change refused"
                     );
                     if let (
                         MembershipChange::Promote(id),
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -128,7 +128,7 @@
     }
 
     async fn folder(&self, is_founder: bool) -> Result<ReplicaFolder> {
-        let path = self.settings.data_dir.as_ref().context("this duty needs a data folder")?;
+        let path = self.settings.data_dir.as_ref().context("this role needs a data folder")?;
         ReplicaFolder::open_when_space(path, self.settings.ip, is_founder).await
     }
 
@@ -146,7 +146,7 @@
         let group = GroupStart { founders, state: Box::<ControlState>::default() };
         let (client, clock) = (self.client.clone(), self.clock.clone());
         let replicas = Replica::start(folder, vec![group], self.peer_port(), client, clock).await?;
-        let replica = replicas.into_iter().next().context("the control group")?;
+        let replica = replicas.into_iter().next().context("control group has no replica")?;
         let control = Control::new(
             settings.clone(),
             replica.clone(),
@@ -202,7 +202,7 @@
         tokio::spawn(async move {
             if let Err(e) = member.run(folder, stop.clone()).await {
                 let error = format!("{e:#}");
-                log::error!(error = error.as_str(); "the store has failed");
+                log::error!(error = error.as_str(); "store failed");
                 stop.cancel();
             }
         });
@@ -240,8 +240,7 @@
         // settles turns.
         tokio::spawn(settler.run());
         let listener = Listener::new(front.clone());
-        let calls =
-            listen(settings.call_address.context("a front needs an address for calls")?).await?;
+        let calls = listen(settings.call_address.context("a front needs a call address")?).await?;
         let accepting = listener.clone();
         self.supervisor.start("calls", move || accepting.clone().run(calls.clone()));
         if let Some(address) = settings.readiness_address {
@@ -270,7 +269,7 @@
             Some(replica) => replica.failed().await,
             None => {
                 self.stop.cancelled().await;
-                anyhow::anyhow!("the instance was stopped by a failure")
+                anyhow::anyhow!("instance stopped after a failure")
             }
         }
     }
--- a/crates/relay/src/turns.rs
+++ b/crates/relay/src/turns.rs
@@ -199,7 +199,7 @@
             Ok(command) => self.execute(command),
             Err(e) => {
                 let error = e.to_string();
-                log::error!(index, error = error.as_str(); "malformed command is ignored");
+                log::error!(index, error = error.as_str(); "ignored a malformed command");
                 pb::TurnResult::default()
             }
         };
--- a/crates/relay/tests/condemned_requests.rs
+++ b/crates/relay/tests/condemned_requests.rs
@@ -34,14 +34,14 @@
     for refused_ms in [MINUTE_MS, 10 * MINUTE_MS, WEEK_MS] {
         block(&mut state, 1, now_ms);
         block(&mut state, 1, now_ms + 1);
-        let until_ms = state.blocked_request(request(1)).expect("condemned").blocked_until_ms();
+        let until_ms = state.blocked_request(request(1)).expect("blocked").blocked_until_ms();
         assert_eq!(until_ms, now_ms + refused_ms);
         now_ms = until_ms;
     }
 }
 
 #[test]
-fn acquitted_by_answer() {
+fn unblocked_by_answer() {
     let mut state = ControlState::default();
     block(&mut state, 1, 5);
     block(&mut state, 2, 6);
@@ -57,7 +57,7 @@
         block(&mut state, n, n as u64);
     }
     let mut restored = ControlState::default();
-    restored.restore(&state.snapshot()).expect("a sound snapshot");
+    restored.restore(&state.snapshot()).expect("a valid snapshot");
     assert_eq!(restored, state);
     assert!(is_blocked(&restored, 49));
 }
--- a/crates/relay/tests/event_reader.rs
+++ b/crates/relay/tests/event_reader.rs
@@ -24,16 +24,16 @@
 fn ids_and_data() {
     let mut reader = EventReader::default();
     reader.push(b"versions: 3\nid: 7\ndata: one\ndata: two\n\n: comment\r\n\r\nid:8\ndata:x\n");
-    let first = reader.next_event().expect("whole");
+    let first = reader.next_event().expect("a complete event");
     assert_eq!(first.id.as_deref(), Some(&b"7"[..]));
     let mut data = BytesMut::new();
     first.write_data(&mut data);
     assert_eq!(&data[..], b"one\ntwo\n");
-    let second = reader.next_event().expect("whole");
+    let second = reader.next_event().expect("a complete event");
     assert!(second.id.is_none() && !second.has_data());
-    assert!(reader.next_event().is_none(), "its empty line has not arrived");
+    assert!(reader.next_event().is_none(), "the terminating empty line has not arrived");
     reader.push(b"\n");
-    assert_eq!(reader.next_event().expect("whole").id.as_deref(), Some(&b"8"[..]));
+    assert_eq!(reader.next_event().expect("a complete event").id.as_deref(), Some(&b"8"[..]));
 }
 
 proptest! {
--- a/crates/relay/tests/kept_turns.rs
+++ b/crates/relay/tests/kept_turns.rs
@@ -72,7 +72,7 @@
 
 /// A turn is kept as long as the turns that continue it, and dropped afterwards.
 #[test]
-fn chain_lives_together() {
+fn chain_expires_together() {
     let mut turns = Turns::default();
     keep(&mut turns, 0, "a", None, 60_000);
     keep(&mut turns, 50_000, "b", Some("a"), 60_000);
--- a/crates/relay/tests/member_changes.rs
+++ b/crates/relay/tests/member_changes.rs
@@ -34,12 +34,12 @@
     let (a, b, c, new) = (id(1, 0), id(2, 0), id(3, 0), id(3, 7));
     let mut m = members(&[a, b, c]);
     m.silence = vec![(c, LONG)];
-    assert_eq!(m.next_step(), None, "a group of three is made no smaller");
+    assert_eq!(m.next_step(), None, "a group of three is not shrunk");
     m.joining = vec![new];
     assert_eq!(m.next_step(), Some(MembershipChange::AddLearner(new)));
     m.learners = vec![new];
     m.lagging = vec![new];
-    assert_eq!(m.next_step(), None, "it has not caught up");
+    assert_eq!(m.next_step(), None, "the learner has not caught up");
     m.lagging.clear();
     assert_eq!(m.next_step(), Some(MembershipChange::Promote(new)));
     m.learners.clear();
@@ -58,7 +58,7 @@
 
 /// A store is drained only while enough other voters remain, and transfers leadership first.
 #[test]
-fn emptied_store() {
+fn drained_store() {
     let (a, b, c, d) = (id(1, 0), id(2, 0), id(3, 0), id(4, 0));
     let mut m = members(&[a, b, c]);
     m.retiring = vec![b];
@@ -84,7 +84,7 @@
 /// A store is not drained if the responsive voters would lose their majority without it. A case
 /// that `keeps_majority` found.
 #[test]
-fn emptied_among_silent() {
+fn drained_among_unresponsive() {
     let voters: Vec<_> = (0..7).map(|n| id(n, 0)).collect();
     let mut m = members(&voters);
     m.silence = [1, 3, 5].map(|at| (voters[at], LONG)).to_vec();
--- a/crates/relay/tests/publication_order.rs
+++ b/crates/relay/tests/publication_order.rs
@@ -30,7 +30,7 @@
 
 /// The layout of the store groups is decided once.
 #[test]
-fn founders_stay() {
+fn layout_decided_once() {
     let mut state = ControlState::default();
     apply(&mut state, Body::Form(pb::FormStore { ring: vec![3, 1, 2], groups: 2 }));
     apply(&mut state, Body::Form(pb::FormStore { ring: vec![4], groups: 1 }));
@@ -46,7 +46,7 @@
 
     /// The version never decreases, and a snapshot restores the complete state.
     #[test]
-    fn never_back(commands in proptest::collection::vec((0u64..20, 0u8..4, 0u8..3), 1..60)) {
+    fn version_never_decreases(commands in proptest::collection::vec((0u64..20, 0u8..4, 0u8..3), 1..60)) {
         let mut state = ControlState::default();
         let mut highest = 0;
         for (version, kind, zone) in commands {
--- a/crates/relay/tests/store_groups.rs
+++ b/crates/relay/tests/store_groups.rs
@@ -11,22 +11,22 @@
 
 /// The preferred leaders of all groups are on different machines.
 #[test]
-fn homes_differ() {
+fn preferred_leaders_differ() {
     for stores in 1..=32 {
         let ring = ring(stores);
-        let mut homes: Vec<_> = (0..group_count(ring.len()))
-            .map(|g| preferred_leader(&ring, g).expect("a home"))
+        let mut leaders: Vec<_> = (0..group_count(ring.len()))
+            .map(|g| preferred_leader(&ring, g).expect("a preferred leader"))
             .collect();
-        let count = homes.len();
-        homes.sort_unstable();
-        homes.dedup();
-        assert_eq!(homes.len(), count, "{stores} stores");
+        let count = leaders.len();
+        leaders.sort_unstable();
+        leaders.dedup();
+        assert_eq!(leaders.len(), count, "{stores} stores");
     }
 }
 
 /// Each group starts with five distinct voters, or with all stores if there are fewer.
 #[test]
-fn enough_founders() {
+fn enough_initial_voters() {
     for stores in 1..=32u8 {
         let ring = ring(stores);
         for group in 0..group_count(ring.len()) {
@@ -68,6 +68,6 @@
     assert_ne!(
         (0..64).map(|n| group_of("a", &format!("b{n}"), GROUPS)).collect::<Vec<_>>(),
         (0..64).map(|n| group_of("ab", &n.to_string(), GROUPS)).collect::<Vec<_>>(),
-        "the names of team and program do not run together"
+        "the boundary between team and program matters"
     );
 }
