--- a/crates/relay/src/control/forwarding.rs
+++ b/crates/relay/src/control/forwarding.rs
@@ -64,13 +64,13 @@
     pub(super) async fn send(
         &self,
         leader: SocketAddr,
-        order: &ReceivedRequest,
+        request: &ReceivedRequest,
         until: Instant,
     ) -> Result<(StatusCode, Bytes)> {
-        let until = until.min(Instant::now() + ATTEMPT_TIMEOUT + order.transfer_time());
-        let mut req = Request::new(Full::new(order.body.clone()));
-        *req.method_mut() = order.method.clone();
-        *req.uri_mut() = order.path.parse().context("invalid request path")?;
+        let until = until.min(Instant::now() + ATTEMPT_TIMEOUT + request.transfer_time());
+        let mut req = Request::new(Full::new(request.body.clone()));
+        *req.method_mut() = request.method.clone();
+        *req.uri_mut() = request.path.parse().context("invalid request path")?;
         let host = HeaderValue::from_str(&leader.to_string()).context("invalid Host header")?;
         req.headers_mut().insert(header::HOST, host);
         req.headers_mut().insert(FORWARDED, HeaderValue::from_static("1"));
--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -41,7 +41,7 @@
 
 /// Duration of a lease.
 pub(crate) fn lease_length(settings: &Settings) -> Duration {
-    settings.bounds.key_revocation.mul_f64(LEASE_FRACTION)
+    settings.time_limits.key_revocation.mul_f64(LEASE_FRACTION)
 }
 
 /// Handles the peer calls of a control replica.
@@ -116,9 +116,9 @@
         for (instance, change) in leader.take_changes() {
             log::info!(instance = &*instance; "{change}");
         }
-        let moment = self.timestamps();
-        leader.suspects.observe(&control_state, &beat, moment);
-        let quarantine = leader.suspects.list_for(beat.quarantine, moment);
+        let timestamps = self.timestamps();
+        leader.suspects.observe(&control_state, &beat, timestamps);
+        let quarantine = leader.suspects.list_for(beat.quarantine, timestamps);
         let place = leader.place(&beat.instance);
         let shares = publication.map_or_else(Vec::new, |publication| {
             leader.allocate_shares(&Name::from(&*beat.instance), &beat.demand, &publication, now)
@@ -163,8 +163,8 @@
         let mut state = self.leader_state().ok_or_else(|| self.replica.not_leader())?;
         let publication = self.publication(&mut state, &control_state);
         let publication = publication.ok_or_else(|| invalid("no publication is in force"))?;
-        let lent = state.leader.borrow(&borrow, &publication, now);
-        Ok(match lent {
+        let result = state.leader.borrow(&borrow, &publication, now);
+        Ok(match result {
             Ok(()) => peer::Borrowed { granted: true, retry_after_ms: 0 },
             Err(after) => {
                 let after = after.unwrap_or(Duration::from_secs(1));
--- a/crates/relay/src/control/operator_api.rs
+++ b/crates/relay/src/control/operator_api.rs
@@ -40,7 +40,7 @@
 /// Pause before the next attempt, in which another replica may be elected.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-type Answer = Response<Full<Bytes>>;
+type JsonResponse = Response<Full<Bytes>>;
 
 /// This replica is not the leader.
 struct NotLeading;
@@ -87,11 +87,11 @@
         }
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Result<Answer, Infallible> {
+    async fn answer(&self, req: Request<Incoming>) -> Result<JsonResponse, Infallible> {
         let (method, path) = (req.method().clone(), req.uri().path().to_owned());
         let answer = match self.control.protocol.parse_operator_request(&method, &path) {
-            Some(order) => match self.receive(req).await {
-                Ok(received) => self.execute(&order, &received).await,
+            Some(request) => match self.receive(req).await {
+                Ok(received) => self.execute(&request, &received).await,
                 Err(refusal) => refusal,
             },
             None => self.refuse(StatusCode::NOT_FOUND, "there is no such order"),
@@ -106,7 +106,7 @@
         Ok(answer)
     }
 
-    async fn receive(&self, req: Request<Incoming>) -> Result<ReceivedRequest, Answer> {
+    async fn receive(&self, req: Request<Incoming>) -> Result<ReceivedRequest, JsonResponse> {
         let (parts, body) = req.into_parts();
         let body = match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
@@ -119,7 +119,7 @@
     }
 
     /// Executes a request locally or forwards it to the leader.
-    async fn execute(&self, order: &OperatorRequest, received: &ReceivedRequest) -> Answer {
+    async fn execute(&self, request: &OperatorRequest, received: &ReceivedRequest) -> JsonResponse {
         if self.watch.is_stale() {
             let message = "the order may date from before a suspension";
             return self.refuse(StatusCode::SERVICE_UNAVAILABLE, message);
@@ -127,7 +127,7 @@
         let until = Instant::now() + FORWARD_TIMEOUT + received.transfer_time();
         loop {
             if self.control.leader_state().is_some()
-                && let Ok(answer) = self.execute_as_leader(order, received.body.clone()).await
+                && let Ok(answer) = self.execute_as_leader(request, received.body.clone()).await
             {
                 return answer;
             }
@@ -146,7 +146,7 @@
     }
 
     /// Returns the leader's response, or `None` if it could not handle the request.
-    async fn forward(&self, received: &ReceivedRequest, until: Instant) -> Option<Answer> {
+    async fn forward(&self, received: &ReceivedRequest, until: Instant) -> Option<JsonResponse> {
         let port = self.control.settings.operator_address?.port();
         let leader = SocketAddr::new(self.control.replica.leader()?.ip(), port);
         match self.forwarder.send(leader, received, until).await {
@@ -170,10 +170,10 @@
     /// Executes a request if this replica leads.
     async fn execute_as_leader(
         &self,
-        order: &OperatorRequest,
+        request: &OperatorRequest,
         body: Bytes,
-    ) -> Result<Answer, NotLeading> {
-        match order {
+    ) -> Result<JsonResponse, NotLeading> {
+        match request {
             OperatorRequest::Publish => self.publish(body).await,
             OperatorRequest::Read => self.read().await,
             OperatorRequest::Zone { zone, out } => {
@@ -188,7 +188,7 @@
         }
     }
 
-    async fn publish(&self, body: Bytes) -> Result<Answer, NotLeading> {
+    async fn publish(&self, body: Bytes) -> Result<JsonResponse, NotLeading> {
         let checked = self.control.protocol.parse_objects(&body).and_then(Publication::new);
         match checked {
             Ok(publication) => {
@@ -203,7 +203,7 @@
         }
     }
 
-    async fn read(&self) -> Result<Answer, NotLeading> {
+    async fn read(&self) -> Result<JsonResponse, NotLeading> {
         let control_state = self.control_state().await?;
         if control_state.version() == 0 {
             let message = "nothing has been published yet";
@@ -212,7 +212,7 @@
         Ok(json_response(StatusCode::OK, control_state.body().clone()))
     }
 
-    async fn retire(&self, instance: &Name) -> Result<Answer, NotLeading> {
+    async fn retire(&self, instance: &Name) -> Result<JsonResponse, NotLeading> {
         let control_state = self.control_state().await?;
         if control_state.retiring().contains(instance) {
             return Ok(json_response(StatusCode::OK, Bytes::from_static(b"{}")));
@@ -242,7 +242,7 @@
         self.commit(Body::Retire(pb::Retire { instance: instance.to_string() })).await
     }
 
-    async fn retire_status(&self, instance: &Name) -> Result<Answer, NotLeading> {
+    async fn retire_status(&self, instance: &Name) -> Result<JsonResponse, NotLeading> {
         let control_state = self.control_state().await?;
         if !control_state.retiring().contains(instance) {
             return Ok(self.refuse(StatusCode::NOT_FOUND, "this store is not being emptied"));
@@ -258,7 +258,7 @@
         self.control.control_state().await.map_err(|_| NotLeading)
     }
 
-    async fn commit(&self, body: Body) -> Result<Answer, NotLeading> {
+    async fn commit(&self, body: Body) -> Result<JsonResponse, NotLeading> {
         match timeout(COMMIT_TIMEOUT, self.control.commit(body)).await {
             Ok(Ok(_)) => Ok(json_response(StatusCode::OK, Bytes::from_static(b"{}"))),
             Ok(Err(ProposeError::NotLeader { .. })) => Err(NotLeading),
@@ -270,12 +270,12 @@
         }
     }
 
-    fn refuse(&self, status: StatusCode, message: &str) -> Answer {
+    fn refuse(&self, status: StatusCode, message: &str) -> JsonResponse {
         json_response(status, self.control.protocol.error_body(message))
     }
 }
 
-fn json_response(status: StatusCode, body: Bytes) -> Answer {
+fn json_response(status: StatusCode, body: Bytes) -> JsonResponse {
     let mut answer = Response::new(Full::new(body));
     *answer.status_mut() = status;
     let json = header::HeaderValue::from_static("application/json");
--- a/crates/relay/src/fleet_client.rs
+++ b/crates/relay/src/fleet_client.rs
@@ -401,9 +401,11 @@
         old: &View,
         published: Option<peer::Published>,
     ) -> Option<Arc<Publication>> {
-        let held = old.publication.clone();
-        let held_version = held.as_ref().map_or(0, |p| p.version);
-        let Some(published) = published.filter(|p| p.version > held_version) else { return held };
+        let current = old.publication.clone();
+        let held_version = current.as_ref().map_or(0, |p| p.version);
+        let Some(published) = published.filter(|p| p.version > held_version) else {
+            return current;
+        };
         let version = published.version;
         match control::read_publication(&*self.protocol, version, &published.body) {
             Ok(publication) => {
@@ -412,7 +414,7 @@
             }
             Err(error) => {
                 log::error!(version, error = error.as_str(); "cannot parse the publication");
-                held
+                current
             }
         }
     }
--- a/crates/relay/src/front/attempt.rs
+++ b/crates/relay/src/front/attempt.rs
@@ -42,7 +42,7 @@
     pub(crate) body: Bytes,
     pub(crate) route: Route,
     pub(crate) team: Option<Name>,
-    pub(crate) want: Arc<PlacementRequest>,
+    pub(crate) placement: Arc<PlacementRequest>,
     pub(crate) urgency: Option<u8>,
     /// When the caller must have a response.
     pub(crate) deadline: Instant,
@@ -135,7 +135,7 @@
                 return Err(self.crashes_endpoints());
             }
             let since = Instant::now();
-            let placed = self.front.schedule.acquire(&self.call.want, &self.tried).await;
+            let placed = self.front.schedule.acquire(&self.call.placement, &self.tried).await;
             self.waited += since.elapsed();
             let slot = match placed {
                 Ok(slot) => slot,
@@ -154,7 +154,7 @@
             };
             self.last = Some(slot.endpoint.name.clone());
             match self.send(slot, last_event).await {
-                Ok(begun) => return Ok(begun),
+                Ok(started) => return Ok(started),
                 Err(AttemptError::NotRun) => {
                     self.unsent += 1;
                     if self.unsent >= MAX_UNSENT {
--- a/crates/relay/src/front/body.rs
+++ b/crates/relay/src/front/body.rs
@@ -19,15 +19,15 @@
 pub(crate) struct TruncatedBody(pub(crate) &'static str);
 
 /// Body of a response to a caller.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, TruncatedBody>;
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
 /// A body that is completely in memory.
-pub(crate) fn full(bytes: Bytes) -> AnswerBody {
+pub(crate) fn full(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// A body that is completely in memory, with its memory reservation.
-pub(crate) fn reserved(bytes: Bytes, reservation: MemoryReservation) -> AnswerBody {
+pub(crate) fn reserved(bytes: Bytes, reservation: MemoryReservation) -> ResponseBody {
     ReservedBody { full: Full::new(bytes), _reservation: reservation }.boxed_unsync()
 }
 
@@ -60,7 +60,7 @@
 /// A body that arrives in chunks.
 pub(crate) fn streamed(
     stream: impl Stream<Item = Result<Bytes, TruncatedBody>> + Send + 'static,
-) -> AnswerBody {
+) -> ResponseBody {
     use futures::StreamExt;
     StreamBody::new(stream.map(|piece| piece.map(Frame::data))).boxed_unsync()
 }
--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -115,9 +115,9 @@
 
 impl SharedParts {
     /// Records the parts of a prompt, except the last one, which is specific to the conversation.
-    fn note(&mut self, want: &PlacementRequest, now: Duration) {
-        let shared = want.parts.len().saturating_sub(1);
-        for part in &want.parts[..shared] {
+    fn note(&mut self, placement: &PlacementRequest, now: Duration) {
+        let shared = placement.parts.len().saturating_sub(1);
+        for part in &placement.parts[..shared] {
             let at = match self.parts.binary_search_by_key(&part.id, |p| p.id) {
                 Ok(at) => at,
                 Err(at) => {
@@ -132,20 +132,20 @@
             };
             let part = &mut self.parts[at];
             part.at = now;
-            if part.last_conversation != want.conversation {
-                part.last_conversation.clone_from(&want.conversation);
+            if part.last_conversation != placement.conversation {
+                part.last_conversation.clone_from(&placement.conversation);
                 part.conversations = part.conversations.saturating_add(1);
             }
         }
     }
 
     /// Number of leading parts that are shared.
-    fn leading(&self, want: &PlacementRequest) -> usize {
+    fn leading(&self, placement: &PlacementRequest) -> usize {
         let is_shared = |part: &&PromptPart| {
             let found = self.parts.binary_search_by_key(&part.id, |p| p.id);
             found.is_ok_and(|at| self.parts[at].conversations >= MIN_SHARING_CONVERSATIONS)
         };
-        want.parts.iter().take_while(is_shared).count()
+        placement.parts.iter().take_while(is_shared).count()
     }
 
     fn make_room(&mut self) {
@@ -260,14 +260,14 @@
         let cold_until = now + endpoint.cold_left.saturating_sub(age);
         match self.endpoints.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
             Ok(at) => {
-                let known = &mut self.endpoints[at];
-                known.cold_until = known.cold_until.max(cold_until);
-                known.started_ms = endpoint.started_ms;
+                let state = &mut self.endpoints[at];
+                state.cold_until = state.cold_until.max(cold_until);
+                state.started_ms = endpoint.started_ms;
             }
             Err(at) => {
                 let blocks = engine.map_or(0, |e| e.cache_tokens / u64::from(BLOCK_TOKENS));
                 self.prefixes.declare(id, u32::try_from(blocks).unwrap_or(u32::MAX));
-                let known = EndpointState {
+                let state = EndpointState {
                     name: endpoint.name.clone(),
                     service: endpoint.service.clone(),
                     id,
@@ -278,7 +278,7 @@
                     failures: 0,
                     paused_until: None,
                 };
-                self.endpoints.insert(at, known);
+                self.endpoints.insert(at, state);
             }
         }
     }
@@ -286,11 +286,11 @@
     /// Decays reported loads, and ends the pauses of endpoints that have failed.
     pub(crate) fn tick(&mut self, now: Duration) {
         self.fleet.fade(LOAD_HALF_LIFE, now);
-        for known in &mut self.endpoints {
-            if known.paused_until.is_some_and(|until| now >= until) {
-                known.paused_until = None;
-                self.fleet.set_healthy(known.id, true);
-                self.fleet.set_cap(known.id, Some(PROBE_CALLS));
+        for state in &mut self.endpoints {
+            if state.paused_until.is_some_and(|until| now >= until) {
+                state.paused_until = None;
+                self.fleet.set_healthy(state.id, true);
+                self.fleet.set_cap(state.id, Some(PROBE_CALLS));
             }
         }
         if self.last_endpoints.len() > MAX_CONVERSATIONS {
@@ -302,61 +302,65 @@
     /// Chooses an endpoint and counts the call as running there.
     pub(crate) fn place(
         &mut self,
-        want: &PlacementRequest,
+        placement: &PlacementRequest,
         tried: &[Name],
         publication: Option<&Publication>,
         now: Duration,
     ) -> Result<ChosenEndpoint, NoRoute> {
-        let cold_rate =
-            publication.and_then(|p| p.service(&want.service)).map_or(0.0, |s| s.cold_per_second);
-        let avoid = self.excluded(want, tried, cold_rate, now);
-        self.note_connections(&want.service);
-        let (blocks, prompt_tokens) = self.own_blocks(want);
+        let cold_rate = publication
+            .and_then(|p| p.service(&placement.service))
+            .map_or(0.0, |s| s.cold_per_second);
+        let avoid = self.excluded(placement, tried, cold_rate, now);
+        self.note_connections(&placement.service);
+        let (blocks, prompt_tokens) = self.own_blocks(placement);
         let request = RouteRequest {
-            group: &want.service,
+            group: &placement.service,
             blocks,
             block_tokens: BLOCK_TOKENS,
             prompt_tokens,
-            last: want.conversation.as_ref().and_then(|conversation| self.last_of(conversation)),
+            last: placement
+                .conversation
+                .as_ref()
+                .and_then(|conversation| self.last_of(conversation)),
             avoid: &avoid,
         };
         let mut rng = rand::rng();
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &request, &mut rng)?;
-        Ok(self.record_dispatch(want, &choice, now))
+        Ok(self.record_dispatch(placement, &choice, now))
     }
 
     fn note_connections(&mut self, service: &Name) {
         let connected = self.pool.connected();
-        for known in self.endpoints.iter().filter(|k| k.service == *service) {
-            let is_connected = connected.binary_search(&known.address).is_ok();
-            self.fleet.set_connected(known.id, is_connected);
+        for state in self.endpoints.iter().filter(|k| k.service == *service) {
+            let is_connected = connected.binary_search(&state.address).is_ok();
+            self.fleet.set_connected(state.id, is_connected);
         }
     }
 
     /// Blocks and tokens of a prompt without its leading shared parts.
-    fn own_blocks<'a>(&self, want: &'a PlacementRequest) -> (&'a [u64], u32) {
-        let leading = &want.parts[..self.shared.leading(want)];
+    fn own_blocks<'a>(&self, placement: &'a PlacementRequest) -> (&'a [u64], u32) {
+        let leading = &placement.parts[..self.shared.leading(placement)];
         let tokens: u32 = leading.iter().map(|p| p.tokens).sum();
         let blocks: usize = leading.iter().map(|p| (p.tokens / BLOCK_TOKENS) as usize).sum();
-        (&want.blocks[blocks..], want.prompt_tokens - tokens)
+        (&placement.blocks[blocks..], placement.prompt_tokens - tokens)
     }
 
     /// Endpoints that must not get the call: those already tried, and cold ones that have had as
     /// many calls in this second as this front may send them.
     fn excluded(
         &mut self,
-        want: &PlacementRequest,
+        placement: &PlacementRequest,
         tried: &[Name],
         rate: f64,
         now: Duration,
     ) -> Vec<EndpointId> {
         let place = self.place;
         let mut avoid = Vec::new();
-        for known in self.endpoints.iter_mut().filter(|k| k.service == want.service) {
-            let is_cold = rate > 0.0 && now < known.cold_until;
-            let is_tried = tried.contains(&known.name);
-            if is_tried || (is_cold && !known.gate.is_open(rate, place, offset(&known.name), now)) {
-                avoid.push(known.id);
+        for state in self.endpoints.iter_mut().filter(|k| k.service == placement.service) {
+            let is_cold = rate > 0.0 && now < state.cold_until;
+            let is_tried = tried.contains(&state.name);
+            if is_tried || (is_cold && !state.gate.is_open(rate, place, offset(&state.name), now)) {
+                avoid.push(state.id);
             }
         }
         avoid
@@ -364,21 +368,21 @@
 
     fn record_dispatch(
         &mut self,
-        want: &PlacementRequest,
+        placement: &PlacementRequest,
         choice: &Choice,
         now: Duration,
     ) -> ChosenEndpoint {
         let id = choice.endpoint;
         self.fleet.began(id, now);
-        let (blocks, prompt_tokens) = self.own_blocks(want);
+        let (blocks, prompt_tokens) = self.own_blocks(placement);
         self.prefixes.dispatched(id, blocks, now);
-        self.shared.note(want, now);
+        self.shared.note(placement, now);
         let cached = u64::from(choice.cached_blocks) * u64::from(BLOCK_TOKENS);
         let prompt_tokens = u64::from(prompt_tokens);
         metrics::counter!("poplarspan_relay_own_prompt_tokens_total").increment(prompt_tokens);
         metrics::counter!("poplarspan_relay_cached_prompt_tokens_total")
             .increment(cached.min(prompt_tokens));
-        if let Some(conversation) = &want.conversation {
+        if let Some(conversation) = &placement.conversation {
             let entry = LastEndpoint { conversation: conversation.clone(), id, at: now };
             match self.last_endpoints.binary_search_by(|l| l.conversation.cmp(conversation)) {
                 Ok(at) => self.last_endpoints[at] = entry,
@@ -387,11 +391,11 @@
         }
         let name = self.fleet.spec(id).name.clone();
         let at = self.position(&name).expect("every endpoint in the fleet has state");
-        let known = &mut self.endpoints[at];
-        if now < known.cold_until {
-            known.gate.start(now);
+        let state = &mut self.endpoints[at];
+        if now < state.cold_until {
+            state.gate.start(now);
         }
-        ChosenEndpoint { name, address: known.address }
+        ChosenEndpoint { name, address: state.address }
     }
 
     fn last_of(&self, conversation: &Name) -> Option<EndpointId> {
@@ -402,26 +406,26 @@
     /// Records the end of a call at an endpoint.
     pub(crate) fn end(&mut self, name: &Name, outcome: Outcome, took: Duration, now: Duration) {
         let Ok(at) = self.position(name) else { return };
-        let known = &mut self.endpoints[at];
-        let id = known.id;
+        let state = &mut self.endpoints[at];
+        let id = state.id;
         self.fleet.ended(id, (outcome == Outcome::Answered).then_some(took), now);
         match outcome {
             Outcome::Answered | Outcome::Refused => {
-                if known.failures > 0 {
+                if state.failures > 0 {
                     log::info!(endpoint = &**name; "endpoint recovered");
-                    known.failures = 0;
+                    state.failures = 0;
                     self.fleet.set_cap(id, None);
                 }
             }
             Outcome::Failed => {
-                let pause = (MIN_PAUSE * 2u32.pow(known.failures.min(8))).min(MAX_PAUSE);
-                known.failures += 1;
-                if known.paused_until.is_none() {
-                    let failures = known.failures;
+                let pause = (MIN_PAUSE * 2u32.pow(state.failures.min(8))).min(MAX_PAUSE);
+                state.failures += 1;
+                if state.paused_until.is_none() {
+                    let failures = state.failures;
                     log::warn!(endpoint = &**name, failures; "endpoint failed; pausing calls to it");
                     metrics::counter!("poplarspan_relay_endpoint_failures_total").increment(1);
                 }
-                known.paused_until = Some(now + pause);
+                state.paused_until = Some(now + pause);
                 self.fleet.set_healthy(id, false);
             }
             Outcome::Abandoned => {}
@@ -440,19 +444,19 @@
     /// is in the list, even if the list still shows it as available.
     pub(crate) fn note_leaving(&mut self, name: &Name) {
         let Ok(at) = self.position(name) else { return };
-        let known = &self.endpoints[at];
-        if !self.fleet.spec(known.id).leaving {
+        let state = &self.endpoints[at];
+        if !self.fleet.spec(state.id).leaving {
             log::info!(endpoint = &**name; "endpoint announced its stop");
         }
-        self.departures.note(name, known.started_ms);
-        self.fleet.set_leaving(known.id);
+        self.departures.note(name, state.started_ms);
+        self.fleet.set_leaving(state.id);
     }
 
     /// Whether the call may still be sent to the chosen endpoint.
     pub(crate) fn may_receive(&self, chosen: &ChosenEndpoint) -> bool {
         self.position(&chosen.name).is_ok_and(|at| {
-            let known = &self.endpoints[at];
-            known.address == chosen.address && self.fleet.may_receive(known.id)
+            let state = &self.endpoints[at];
+            state.address == chosen.address && self.fleet.may_receive(state.id)
         })
     }
 
--- a/crates/relay/src/front/handler.rs
+++ b/crates/relay/src/front/handler.rs
@@ -14,7 +14,7 @@
 use super::{
     Front,
     attempt::{Attempts, Call, StartedResponse},
-    body::{self, AnswerBody},
+    body::{self, ResponseBody},
     endpoints::{Outcome, blocks},
     events::EventReader,
     memory::{MemoryReservation, ReadError},
@@ -146,13 +146,13 @@
 
 impl Front {
     /// Handles a call.
-    pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Response<AnswerBody> {
+    pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
         let started = Instant::now();
         let (parts, body) = req.into_parts();
         let mut answer = match self.protocol.parse_call(&parts) {
             Ok(head) => {
-                let ending = CallRecord::new(&head, started);
-                self.clone().answer(parts, head, body, ending).await
+                let record = CallRecord::new(&head, started);
+                self.clone().answer(parts, head, body, record).await
             }
             Err(e) => {
                 let error = e.to_string();
@@ -172,20 +172,20 @@
         parts: request::Parts,
         head: CallHead,
         body: Incoming,
-        mut ending: CallRecord,
-    ) -> Response<AnswerBody> {
-        let admitted = match self.admit(parts, head, body, &mut ending).await {
+        mut record: CallRecord,
+    ) -> Response<ResponseBody> {
+        let admitted = match self.admit(parts, head, body, &mut record).await {
             Ok(admitted) => admitted,
             Err(refusal) => {
-                ending.status = refusal.status.as_u16();
-                ending.finish(refusal.code);
+                record.status = refusal.status.as_u16();
+                record.finish(refusal.code);
                 return self.refuse(&refusal);
             }
         };
-        self.run(admitted, ending).await
+        self.run(admitted, record).await
     }
 
-    fn refuse(&self, refusal: &Refusal) -> Response<AnswerBody> {
+    fn refuse(&self, refusal: &Refusal) -> Response<ResponseBody> {
         metrics::counter!("poplarspan_relay_refusals_total", "code" => refusal.code).increment(1);
         let text = self.protocol.error_body(&refusal.message);
         let mut answer = Response::new(body::full(text));
@@ -203,7 +203,7 @@
         parts: request::Parts,
         head: CallHead,
         body: Incoming,
-        ending: &mut CallRecord,
+        record: &mut CallRecord,
     ) -> Result<AdmittedCall, Refusal> {
         let view = self.fleet.view();
         let Some(publication) = view.publication.clone() else {
@@ -213,19 +213,19 @@
                 RETRY_AFTER,
             ));
         };
-        ending.version = publication.version;
+        record.version = publication.version;
         let Some(lease_left) = self.fleet.lease_left() else {
             return Err(Refusal::retry_later("no_lease", "the front holds no lease", RETRY_AFTER));
         };
-        ending.lease_left = lease_left;
+        record.lease_left = lease_left;
         let Some(route) = publication.route(&head.host, parts.uri.path()).cloned() else {
             return Err(Refusal::new(StatusCode::NOT_FOUND, "unknown_route", "no such route"));
         };
-        ending.route = Some(route.name.clone());
+        record.route = Some(route.name.clone());
         let team = team_of(&publication, &route, &head)?.cloned();
-        ending.team = team.as_ref().map(|t| t.name.clone());
+        record.team = team.as_ref().map(|t| t.name.clone());
         let time = head.time_left.map_or(route.timeout, |left| left.min(route.timeout));
-        let deadline = ending.started + time;
+        let deadline = record.started + time;
         if self.fleet.ends_at().is_some_and(|end| deadline > end) {
             let message = "the instance ends before the call could";
             return Err(Refusal::retry_later("shutting_down", message, RETRY_ELSEWHERE_AFTER));
@@ -291,10 +291,10 @@
         let body = if history.is_empty() {
             body
         } else {
-            let mut whole = BytesMut::with_capacity(history.len() + body.len());
-            whole.put(history);
-            whole.put(body);
-            whole.freeze()
+            let mut combined = BytesMut::with_capacity(history.len() + body.len());
+            combined.put(history);
+            combined.put(body);
+            combined.freeze()
         };
         Ok((Some(turn), recording, body))
     }
@@ -318,7 +318,7 @@
         let priority = team.and_then(|t| t.priority).unwrap_or(route.priority);
         let urgency = FIRST_URGENCY.saturating_add(priority.saturating_mul(URGENCY_STEP));
         let left = deadline.saturating_duration_since(Instant::now());
-        let want = PlacementRequest {
+        let placement = PlacementRequest {
             service,
             team: team.map_or_else(|| "".into(), |t| t.name.clone()),
             program: head.program.as_ref().map(|p| p.id.clone()),
@@ -336,7 +336,7 @@
             body,
             route,
             team: team.map(|t| t.name.clone()),
-            want: Arc::new(want),
+            placement: Arc::new(placement),
             urgency: is_engine.then_some(urgency.min(LEAST_URGENCY)),
             deadline,
             head,
@@ -348,25 +348,25 @@
     async fn run(
         self: Arc<Self>,
         admitted: AdmittedCall,
-        mut ending: CallRecord,
-    ) -> Response<AnswerBody> {
+        mut record: CallRecord,
+    ) -> Response<ResponseBody> {
         let mut attempts = Attempts::new(self.clone(), admitted.call.clone());
         let refusal = loop {
-            let begun = attempts.next(None).await;
-            ending.attempts(&attempts);
-            let begun = match begun {
+            let started = attempts.next(None).await;
+            record.attempts(&attempts);
+            let started = match started {
                 Ok(begun) => begun,
                 Err(refusal) => break refusal,
             };
-            ending.status = begun.parts.status.as_u16();
+            record.status = started.parts.status.as_u16();
             let is_stream = matches!(admitted.call.route.kind, RouteKind::Stream { .. });
-            if is_stream && begun.parts.status.is_success() {
-                return self.stream(admitted, attempts, begun, ending);
+            if is_stream && started.parts.status.is_success() {
+                return self.stream(admitted, attempts, started, record);
             }
-            match self.collect(begun, admitted.call.deadline).await {
+            match self.collect(started, admitted.call.deadline).await {
                 Ok(answer) => {
                     attempts.answered();
-                    ending.finish("answered");
+                    record.finish("answered");
                     return answer;
                 }
                 Err((slot, cause)) => attempts.failed(slot, &cause),
@@ -376,18 +376,18 @@
             }
         };
         debug_assert!(attempts.ran == 0 || !refusal.guarantees_not_run());
-        ending.status = refusal.status.as_u16();
-        ending.finish(refusal.code);
+        record.status = refusal.status.as_u16();
+        record.finish(refusal.code);
         self.refuse(&refusal)
     }
 
     /// Reads a complete response. On failure returns the slot and the cause.
     async fn collect(
         &self,
-        begun: StartedResponse,
+        started: StartedResponse,
         deadline: Instant,
-    ) -> Result<Response<AnswerBody>, (Slot, String)> {
-        let StartedResponse { parts, body, reuse, slot } = begun;
+    ) -> Result<Response<ResponseBody>, (Slot, String)> {
+        let StartedResponse { parts, body, reuse, slot } = started;
         match self.memory.collect(body, MAX_ANSWER_BYTES, deadline).await {
             Ok((body, reservation)) => {
                 reuse.finish();
@@ -432,28 +432,28 @@
         self: &Arc<Self>,
         admitted: AdmittedCall,
         attempts: Attempts,
-        begun: StartedResponse,
-        ending: CallRecord,
-    ) -> Response<AnswerBody> {
+        started: StartedResponse,
+        record: CallRecord,
+    ) -> Response<ResponseBody> {
         let AdmittedCall { call, turn, recording } = admitted;
         let mut answer = Response::new(());
-        *answer.status_mut() = begun.parts.status;
-        *answer.headers_mut() = end_to_end(&begun.parts.headers);
+        *answer.status_mut() = started.parts.status;
+        *answer.headers_mut() = end_to_end(&started.parts.headers);
         answer.headers_mut().remove(header::CONTENT_LENGTH);
-        let relaying = StreamRelay {
+        let relay = StreamRelay {
             attempts,
-            begun: Some(begun),
+            response: Some(started),
             reader: EventReader::default(),
             last_event: call.head.last_event.clone(),
             events: 0,
-            tokens_per_event: tokens_per_event(self, &call.want.service),
+            tokens_per_event: tokens_per_event(self, &call.placement.service),
             turn,
             recording,
-            ending,
+            record,
             is_done: false,
             reservation: self.memory.reserve(),
         };
-        answer.map(|()| relaying.into_body())
+        answer.map(|()| relay.into_body())
     }
 }
 
--- a/crates/relay/src/front/memory.rs
+++ b/crates/relay/src/front/memory.rs
@@ -93,8 +93,8 @@
                 }
             }
         }
-        let whole = if rest.is_empty() { first.unwrap_or_default() } else { rest.freeze() };
-        Ok((whole, reservation))
+        let body_bytes = if rest.is_empty() { first.unwrap_or_default() } else { rest.freeze() };
+        Ok((body_bytes, reservation))
     }
 }
 
--- a/crates/relay/src/front/programs.rs
+++ b/crates/relay/src/front/programs.rs
@@ -303,9 +303,9 @@
         let leaders = self.leaders.lock().expect("no panic while locked");
         let known = leaders.get(group as usize).copied().flatten();
         let view = self.fleet.view();
-        let told = || view.group_leaders.get(group as usize).copied().flatten();
+        let reported = || view.group_leaders.get(group as usize).copied().flatten();
         let any = || view.stores.get(attempt % view.stores.len().max(1)).copied();
-        known.or_else(|| told().filter(|_| attempt == 0)).or_else(any)
+        known.or_else(|| reported().filter(|_| attempt == 0)).or_else(any)
     }
 }
 
@@ -355,9 +355,9 @@
         match self.programs.call(group, body, deadline).await {
             Some(response::Body::TurnsEnded(_)) => {
                 self.is_reserved = false;
-                let whole = concat(&[&kept.history, &kept.input, &kept.output]);
+                let combined = concat(&[&kept.history, &kept.input, &kept.output]);
                 let now = self.programs.clock.now();
-                self.programs.history_cache().put(group, &name.team, &name.turn, whole, now);
+                self.programs.history_cache().put(group, &name.team, &name.turn, combined, now);
                 Ok(())
             }
             _ => {
@@ -381,38 +381,38 @@
     /// so that a group without a leader does not delay the others.
     pub(crate) async fn run(mut self) -> Result<()> {
         // Sorted by group.
-        let mut waiting: Vec<(u32, Vec<peer::TurnEnd>)> = Vec::new();
+        let mut pending: Vec<(u32, Vec<peer::TurnEnd>)> = Vec::new();
         let mut busy: Vec<u32> = Vec::new();
         let mut calls = FuturesUnordered::new();
         let mut batches = interval(BATCH_INTERVAL);
         batches.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                end = self.rx.recv(), if count(&waiting) < MAX_UNSETTLED => {
+                end = self.rx.recv(), if count(&pending) < MAX_UNSETTLED => {
                     let Some(PendingSettlement { group, end }) = end else { return Ok(()) };
-                    match waiting.binary_search_by_key(&group, |(g, _)| *g) {
-                        Ok(at) => waiting[at].1.push(end),
-                        Err(at) => waiting.insert(at, (group, vec![end])),
+                    match pending.binary_search_by_key(&group, |(g, _)| *g) {
+                        Ok(at) => pending[at].1.push(end),
+                        Err(at) => pending.insert(at, (group, vec![end])),
                     }
                 }
                 Some(group) = calls.next() => busy.retain(|g| *g != group),
-                _ = batches.tick(), if !waiting.is_empty() => {
-                    for (group, ends) in &mut waiting {
+                _ = batches.tick(), if !pending.is_empty() => {
+                    for (group, ends) in &mut pending {
                         if !busy.contains(group) {
                             busy.push(*group);
                             let batch = ends.drain(..ends.len().min(MAX_BATCH)).collect();
                             calls.push(settle(self.programs.clone(), *group, batch));
                         }
                     }
-                    waiting.retain(|(_, ends)| !ends.is_empty());
+                    pending.retain(|(_, ends)| !ends.is_empty());
                 }
             }
         }
     }
 }
 
-fn count(waiting: &[(u32, Vec<peer::TurnEnd>)]) -> usize {
-    waiting.iter().map(|(_, ends)| ends.len()).sum()
+fn count(pending: &[(u32, Vec<peer::TurnEnd>)]) -> usize {
+    pending.iter().map(|(_, ends)| ends.len()).sum()
 }
 
 /// Retries until the batch is committed, because unsettled reservations count against the budgets.
@@ -423,11 +423,11 @@
 }
 
 fn concat(parts: &[&Bytes]) -> Bytes {
-    let mut whole = BytesMut::with_capacity(parts.iter().map(|p| p.len()).sum());
+    let mut combined = BytesMut::with_capacity(parts.iter().map(|p| p.len()).sum());
     for part in parts {
-        whole.extend_from_slice(part);
+        combined.extend_from_slice(part);
     }
-    whole.freeze()
+    combined.freeze()
 }
 
 fn stores_unavailable(message: &'static str) -> Refusal {
--- a/crates/relay/src/front/schedule.rs
+++ b/crates/relay/src/front/schedule.rs
@@ -69,7 +69,7 @@
 }
 
 struct WaitingCall {
-    want: Arc<PlacementRequest>,
+    placement: Arc<PlacementRequest>,
     tried: Vec<Name>,
     since: Duration,
     tx: oneshot::Sender<Result<ChosenEndpoint, PlacementError>>,
@@ -101,7 +101,7 @@
 /// A slot at an endpoint; released when dropped.
 pub(crate) struct Slot {
     pub(crate) endpoint: ChosenEndpoint,
-    want: Arc<PlacementRequest>,
+    placement: Arc<PlacementRequest>,
     schedule: Arc<Schedule>,
     since: Duration,
     outcome: Outcome,
@@ -173,21 +173,21 @@
             }
             let now = self.clock.now();
             let view = self.fleet.view();
-            let decided = {
+            let placed = {
                 let mut state = self.lock();
                 state.endpoints.observe(&view, now);
                 state.endpoints.tick(now);
                 state.refuse_expired(now);
                 state.serve_all(&self.fleet, now)
             };
-            self.notify_placed(decided);
+            self.notify_placed(placed);
         }
     }
 
     /// Waits for a slot at an endpoint that is not in `tried`.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
-        want: &Arc<PlacementRequest>,
+        placement: &Arc<PlacementRequest>,
         tried: &[Name],
     ) -> Result<Slot, PlacementError> {
         let now = self.clock.now();
@@ -195,14 +195,14 @@
             let view = self.fleet.view();
             let mut state = self.lock();
             state.endpoints.observe(&view, now);
-            let at = state.queue(&want.service);
+            let at = state.queue(&placement.service);
             if state.queues[at].queue.is_empty() {
                 let publication = view.publication.as_deref();
-                match state.endpoints.place(want, tried, publication, now) {
+                match state.endpoints.place(placement, tried, publication, now) {
                     Ok(endpoint) => {
                         state.queues[at].in_flight += 1;
                         drop(state);
-                        return Ok(self.slot(endpoint, want));
+                        return Ok(self.slot(endpoint, placement));
                     }
                     Err(NoRoute::Full) => {}
                     Err(NoRoute::NoneOpen) if tried.is_empty() => {}
@@ -211,50 +211,50 @@
                     }
                 }
             }
-            state.push(at, want, tried, now)?
+            state.push(at, placement, tried, now)?
         };
-        let mut guard = DequeueOnDrop { schedule: self, service: &want.service, id: Some(id) };
+        let mut guard = DequeueOnDrop { schedule: self, service: &placement.service, id: Some(id) };
         let result = rx.await;
         guard.id = None;
         match result {
-            Ok(Ok(endpoint)) => Ok(self.slot(endpoint, want)),
+            Ok(Ok(endpoint)) => Ok(self.slot(endpoint, placement)),
             Ok(Err(e)) => Err(e),
             // The queue is only dropped at the end of the process.
             Err(_) => Err(PlacementError::NoEndpoint { retry_after: RETRY_AFTER }),
         }
     }
 
-    fn slot(self: &Arc<Self>, endpoint: ChosenEndpoint, want: &Arc<PlacementRequest>) -> Slot {
-        let (want, schedule) = (want.clone(), self.clone());
-        Slot { endpoint, want, since: self.clock.now(), schedule, outcome: Outcome::Abandoned }
+    fn slot(self: &Arc<Self>, endpoint: ChosenEndpoint, placement: &Arc<PlacementRequest>) -> Slot {
+        let (placement, schedule) = (placement.clone(), self.clone());
+        Slot { endpoint, placement, since: self.clock.now(), schedule, outcome: Outcome::Abandoned }
     }
 
     fn release(&self, slot: &Slot) {
         let now = self.clock.now();
-        let held = now.saturating_sub(slot.since);
-        let decided = {
+        let occupied = now.saturating_sub(slot.since);
+        let placed = {
             let mut state = self.lock();
-            state.endpoints.end(&slot.endpoint.name, slot.outcome, held, now);
-            let at = state.queue(&slot.want.service);
+            state.endpoints.end(&slot.endpoint.name, slot.outcome, occupied, now);
+            let at = state.queue(&slot.placement.service);
             let queue = &mut state.queues[at];
             queue.in_flight = queue.in_flight.saturating_sub(1);
             if slot.outcome == Outcome::Answered {
-                queue.hold_time_s += HOLD_TIME_GAIN * (held.as_secs_f64() - queue.hold_time_s);
+                queue.hold_time_s += HOLD_TIME_GAIN * (occupied.as_secs_f64() - queue.hold_time_s);
             }
             state.serve(at, &self.fleet, now)
         };
-        self.notify_placed(decided);
+        self.notify_placed(placed);
     }
 
     /// Notifies waiting calls of their slots. Must not be called with the lock held: a slot whose
     /// caller is gone is released, which takes the lock.
-    fn notify_placed(&self, decided: Vec<(WaitingCall, ChosenEndpoint)>) {
-        for (waiting, endpoint) in decided {
-            let WaitingCall { want, tx, .. } = waiting;
+    fn notify_placed(&self, placed: Vec<(WaitingCall, ChosenEndpoint)>) {
+        for (waiting, endpoint) in placed {
+            let WaitingCall { placement, tx, .. } = waiting;
             if let Err(Ok(endpoint)) = tx.send(Ok(endpoint))
                 && let Some(this) = self.this.upgrade()
             {
-                drop(this.slot(endpoint, &want));
+                drop(this.slot(endpoint, &placement));
             }
         }
     }
@@ -296,7 +296,7 @@
     fn push(
         &mut self,
         at: usize,
-        want: &Arc<PlacementRequest>,
+        placement: &Arc<PlacementRequest>,
         tried: &[Name],
         now: Duration,
     ) -> Result<(QueueId, oneshot::Receiver<Result<ChosenEndpoint, PlacementError>>), PlacementError>
@@ -304,17 +304,22 @@
         let queue = &mut self.queues[at];
         let wait = queue.expected_wait();
         let needed = Duration::from_secs_f64(queue.hold_time_s / 2.0);
-        if now + wait + needed > want.deadline {
+        if now + wait + needed > placement.deadline {
             return Err(PlacementError::TooLate { retry_after: wait.max(RETRY_AFTER) });
         }
         let (tx, rx) = oneshot::channel();
         let call = Call {
-            team: want.team.clone(),
+            team: placement.team.clone(),
             weight: 1,
-            program: want.program.clone(),
-            cost: want.cost,
-            deadline: want.deadline,
-            payload: WaitingCall { want: want.clone(), tried: tried.to_vec(), since: now, tx },
+            program: placement.program.clone(),
+            cost: placement.cost,
+            deadline: placement.deadline,
+            payload: WaitingCall {
+                placement: placement.clone(),
+                tried: tried.to_vec(),
+                since: now,
+                tx,
+            },
         };
         match queue.queue.push(call, now) {
             Ok(id) => Ok((id, rx)),
@@ -331,38 +336,38 @@
     ) -> Vec<(WaitingCall, ChosenEndpoint)> {
         let Self { endpoints, queues } = self;
         let ServiceQueue { queue, in_flight, .. } = &mut queues[at];
-        let mut decided = Vec::new();
+        let mut placed = Vec::new();
         if queue.is_empty() {
-            return decided;
+            return placed;
         }
         let view = fleet.view();
         let publication = view.publication.as_deref();
-        let mut passed = Vec::new();
+        let mut skipped = Vec::new();
         while let Some(entry) = queue.pop(&mut AlwaysRoom, now) {
             let waiting = &entry.call.payload;
             if waiting.tx.is_closed() {
                 continue;
             }
-            match endpoints.place(&waiting.want, &waiting.tried, publication, now) {
+            match endpoints.place(&waiting.placement, &waiting.tried, publication, now) {
                 Ok(endpoint) => {
                     *in_flight += 1;
-                    decided.push((entry.call.payload, endpoint));
+                    placed.push((entry.call.payload, endpoint));
                 }
                 Err(_) => {
                     // A call that has already tried some endpoints may find no slot while others
                     // could.
                     let is_first = waiting.tried.is_empty();
-                    passed.push(entry);
+                    skipped.push(entry);
                     if is_first {
                         break;
                     }
                 }
             }
         }
-        for entry in passed {
+        for entry in skipped {
             queue.put_back(entry, &mut AlwaysRoom, now);
         }
-        decided
+        placed
     }
 
     fn serve_all(
@@ -379,20 +384,20 @@
             let is_open = self.endpoints.capacity(&queue.service) > 0;
             let needed = Duration::from_secs_f64(queue.hold_time_s / 4.0);
             let expired = queue.queue.expire(now);
-            let hopeless = queue.queue.remove_where(|call| {
+            let too_late = queue.queue.remove_where(|call| {
                 let w = &call.payload;
-                let is_late = now + needed > w.want.deadline;
+                let is_late = now + needed > w.placement.deadline;
                 is_late || (!is_open && now > w.since + OUTAGE_WAIT)
             });
-            for entry in expired.into_iter().chain(hopeless) {
+            for entry in expired.into_iter().chain(too_late) {
                 let retry_after = RETRY_AFTER;
-                let why = if is_open {
+                let error = if is_open {
                     PlacementError::TooLate { retry_after }
                 } else {
                     PlacementError::NoEndpoint { retry_after }
                 };
                 // Fails if the caller has disconnected.
-                let _ = entry.call.payload.tx.send(Err(why));
+                let _ = entry.call.payload.tx.send(Err(error));
             }
         }
     }
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -12,7 +12,7 @@
 use super::{
     Front,
     attempt::{Attempts, StartedResponse},
-    body::{AnswerBody, TruncatedBody, streamed},
+    body::{ResponseBody, TruncatedBody, streamed},
     endpoints::Outcome,
     events::EventReader,
     handler::CallRecord,
@@ -35,14 +35,14 @@
 /// A stream that is being relayed to a caller. Dropping it cancels the call at the endpoint.
 pub(crate) struct StreamRelay {
     pub(crate) attempts: Attempts,
-    pub(crate) begun: Option<StartedResponse>,
+    pub(crate) response: Option<StartedResponse>,
     pub(crate) reader: EventReader,
     pub(crate) last_event: Option<Name>,
     pub(crate) events: u64,
     pub(crate) tokens_per_event: u64,
     pub(crate) turn: Option<OpenTurn>,
     pub(crate) recording: Option<TurnRecording>,
-    pub(crate) ending: CallRecord,
+    pub(crate) record: CallRecord,
     pub(crate) is_done: bool,
     /// Memory reserved for the incomplete event and the recorded output.
     pub(crate) reservation: MemoryReservation,
@@ -58,11 +58,11 @@
 
 impl StreamRelay {
     /// Returns the body of the response to the caller.
-    pub(crate) fn into_body(self) -> AnswerBody {
+    pub(crate) fn into_body(self) -> ResponseBody {
         // Boxed because the state is large and lives mostly between two steps.
-        streamed(stream::unfold(Box::new(self), |mut relaying| async move {
-            let piece = relaying.next_piece().await?;
-            Some((piece, relaying))
+        streamed(stream::unfold(Box::new(self), |mut relay| async move {
+            let piece = relay.next_piece().await?;
+            Some((piece, relay))
         }))
     }
 
@@ -96,7 +96,7 @@
                 }
                 ReadOutcome::Late => {
                     self.is_done = true;
-                    self.ending.finish("late");
+                    self.record.finish("late");
                     return Some(Err(TruncatedBody("deadline exceeded")));
                 }
             }
@@ -105,11 +105,11 @@
 
     async fn read(&mut self) -> ReadOutcome {
         let deadline = self.attempts.call.deadline;
-        let Some(begun) = &mut self.begun else {
+        let Some(response) = &mut self.response else {
             return ReadOutcome::Broken("no response".to_owned());
         };
         loop {
-            return match timeout_at(deadline, begun.body.frame()).await {
+            return match timeout_at(deadline, response.body.frame()).await {
                 Err(_) => ReadOutcome::Late,
                 Ok(None) => ReadOutcome::End,
                 Ok(Some(Err(e))) => ReadOutcome::Broken(e.to_string()),
@@ -165,7 +165,7 @@
     /// Handles the end of the endpoint's response. A kept turn is made durable before the caller
     /// sees the end of the stream.
     async fn end(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
-        if self.reader.pending() > 0 && self.begun.as_ref().is_some_and(|b| !has_end(&b.parts)) {
+        if self.reader.pending() > 0 && self.response.as_ref().is_some_and(|b| !has_end(&b.parts)) {
             // The connection was closed in the middle of an event.
             return match self.resume_elsewhere("stream ended within an event").await {
                 Ok(()) => Box::pin(self.next_piece()).await,
@@ -173,9 +173,9 @@
             };
         }
         self.is_done = true;
-        if let Some(begun) = self.begun.take() {
-            begun.reuse.finish();
-            begun.slot.finish(Outcome::Answered);
+        if let Some(response) = self.response.take() {
+            response.reuse.finish();
+            response.slot.finish(Outcome::Answered);
         }
         self.attempts.answered();
         let rest = self.reader.take_rest();
@@ -189,11 +189,11 @@
                 retain: call.route.retain.unwrap_or_default(),
             };
             if let Err(refusal) = turn.keep(kept, call.deadline).await {
-                self.ending.finish(refusal.code);
+                self.record.finish(refusal.code);
                 return Some(Err(TruncatedBody("the turn could not be kept")));
             }
         }
-        self.ending.finish("whole");
+        self.record.finish("whole");
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
@@ -205,28 +205,28 @@
         log::warn!(id = &*id, cause, events; "stream interrupted");
         metrics::counter!("poplarspan_relay_broken_streams_total").increment(1);
         self.reader.clear();
-        if let Some(begun) = self.begun.take() {
+        if let Some(response) = self.response.take() {
             // Closes the connection first, so that the endpoint stops before another one resumes
             // the stream.
-            drop((begun.body, begun.reuse));
-            self.attempts.failed(begun.slot, cause);
+            drop((response.body, response.reuse));
+            self.attempts.failed(response.slot, cause);
         }
         if !self.attempts.may_retry() {
             self.is_done = true;
-            self.ending.finish("broken");
+            self.record.finish("broken");
             return Err(TruncatedBody("the endpoint failed"));
         }
         let last_event = self.last_event.clone();
         match self.attempts.next(last_event.as_ref()).await {
-            Ok(begun) if begun.parts.status.is_success() => {
-                let endpoint = begun.slot.endpoint.name.clone();
+            Ok(response) if response.parts.status.is_success() => {
+                let endpoint = response.slot.endpoint.name.clone();
                 log::info!(id = &*id, endpoint = &*endpoint; "stream resumed at another endpoint");
-                self.begun = Some(begun);
+                self.response = Some(response);
                 Ok(())
             }
             Ok(_) | Err(_) => {
                 self.is_done = true;
-                self.ending.finish("not_resumed");
+                self.record.finish("not_resumed");
                 Err(TruncatedBody("no other endpoint could resume the stream"))
             }
         }
--- a/crates/relay/src/replica/membership.rs
+++ b/crates/relay/src/replica/membership.rs
@@ -65,7 +65,7 @@
 
 impl Members {
     /// Returns the next change, if one is due.
-    pub fn next_step(&self) -> Option<MembershipChange> {
+    pub fn next_change(&self) -> Option<MembershipChange> {
         self.promotion()
             .or_else(|| self.removal())
             .or_else(|| self.addition())
@@ -134,15 +134,15 @@
     }
 
     fn retirement(&self) -> Option<MembershipChange> {
-        let leaving = self.voters.iter().find(|id| self.retiring.contains(id))?;
+        let retiring = self.voters.iter().find(|id| self.retiring.contains(id))?;
         let stays = |id: &&ReplicaId| self.is_responsive(**id) && !self.retiring.contains(id);
         let remaining: Vec<_> = self.voters.iter().filter(stays).collect();
         let is_majority = remaining.len() * 2 > self.voters.len() - 1;
         if remaining.len() < MIN_VOTERS || !is_majority || !self.learners.is_empty() {
             return None;
         }
-        if *leaving != self.self_id {
-            return Some(MembershipChange::Remove(*leaving));
+        if *retiring != self.self_id {
+            return Some(MembershipChange::Remove(*retiring));
         }
         remaining
             .into_iter()
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -75,10 +75,10 @@
 impl ReplicaFolder {
     /// Opens the folder. A folder without an identity has never voted: it is cleared and gets the
     /// id of a founder or a new random one. Blocks.
-    pub(crate) fn open(path: &Path, ip: Ipv4Addr, is_founder: bool) -> Result<Self> {
+    pub(crate) fn open(path: &Path, ip: Ipv4Addr, is_bootstrap_member: bool) -> Result<Self> {
         let dir = match DataDir::open(path) {
             Err(IdentityError::Missing(_)) => {
-                let nonce = if is_founder { 0 } else { rand::random_range(1..=u32::MAX) };
+                let nonce = if is_bootstrap_member { 0 } else { rand::random_range(1..=u32::MAX) };
                 clear(path).with_context(|| format!("cannot clear {}", path.display()))?;
                 DataDir::init(path, replica_id(ip, nonce))
             }
@@ -91,10 +91,10 @@
     pub(crate) async fn open_when_space(
         path: &Path,
         ip: Ipv4Addr,
-        is_founder: bool,
+        is_bootstrap_member: bool,
     ) -> Result<Self> {
         loop {
-            match Self::open(path, ip, is_founder) {
+            match Self::open(path, ip, is_bootstrap_member) {
                 Err(e) if is_disk_full_error(&e) => wait_for_disk_space(&e).await,
                 opened => return opened,
             }
@@ -131,9 +131,9 @@
     }
 
     /// Like [`ReplicaFolder::open_log`], but waits while the disk is full.
-    async fn open_log_when_space(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
+    async fn open_log_when_space(&self, initial_voters: &[Vec<ReplicaId>]) -> Result<FileStore> {
         loop {
-            match self.open_log(founders).await {
+            match self.open_log(initial_voters).await {
                 Err(e) if is_disk_full_error(&e) => wait_for_disk_space(&e).await,
                 opened => return opened,
             }
@@ -141,7 +141,7 @@
     }
 
     /// Opens the log. A new one is initialized with the initial voters of each group.
-    async fn open_log(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
+    async fn open_log(&self, initial_voters: &[Vec<ReplicaId>]) -> Result<FileStore> {
         let folder = self.dir.log_folder();
         let options =
             StoreOptions { segment_bytes: SEGMENT_BYTES, preallocate_bytes: PREALLOCATE_BYTES };
@@ -151,17 +151,17 @@
         }
         let store = FileStore::open(&folder, options).context("cannot open the log")?;
         if self.is_new() {
-            let founded: Vec<_> = group_ids()
-                .zip(founders.iter().cloned())
+            let new_groups: Vec<_> = group_ids()
+                .zip(initial_voters.iter().cloned())
                 .filter(|(_, voters)| voters.contains(&self.replica()))
                 .collect();
-            if !founded.is_empty() && store.load().await?.is_empty() {
-                init_groups(&store, founded).await?;
+            if !new_groups.is_empty() && store.load().await?.is_empty() {
+                init_groups(&store, new_groups).await?;
             }
             // The groups file is synced before the ready file is created, so it is complete
             // whenever the latter exists.
             let mut f = fs::File::create(self.groups_file())?;
-            write!(f, "{}", founders.len())?;
+            write!(f, "{}", initial_voters.len())?;
             f.sync_all()?;
             let ready = self.ready_file();
             fs::File::create(&ready)?.sync_all()?;
@@ -195,7 +195,7 @@
 /// Initial state of a group.
 pub(crate) struct GroupStart {
     /// Initial voters of a new group; empty if this replica is not one of them.
-    pub(crate) founders: Vec<ReplicaId>,
+    pub(crate) initial_voters: Vec<ReplicaId>,
     pub(crate) state: Box<dyn StateMachine>,
 }
 
@@ -219,7 +219,7 @@
 }
 
 /// Id of the founder on a machine.
-pub(crate) fn founder_id(ip: Ipv4Addr) -> ReplicaId {
+pub(crate) fn bootstrap_id(ip: Ipv4Addr) -> ReplicaId {
     replica_id(ip, 0)
 }
 
@@ -261,9 +261,9 @@
         client: PeerClient,
         clock: Arc<dyn Clock>,
     ) -> Result<Vec<Arc<Self>>> {
-        let (founders, states): (Vec<_>, Vec<_>) =
-            groups.into_iter().map(|g| (g.founders, g.state)).unzip();
-        let store = folder.open_log_when_space(&founders).await?;
+        let (initial_voters, states): (Vec<_>, Vec<_>) =
+            groups.into_iter().map(|g| (g.initial_voters, g.state)).unzip();
+        let store = folder.open_log_when_space(&initial_voters).await?;
         metrics::gauge!("poplarspan_store_disk_refuses").set(0.0);
         let id = folder.replica();
         let find: FindReplica =
@@ -290,7 +290,7 @@
                 _dir: dir.clone(),
             }))
         };
-        group_ids().take(founders.len()).map(replica).collect()
+        group_ids().take(initial_voters.len()).map(replica).collect()
     }
 
     pub(crate) fn group(&self) -> u32 {
@@ -386,9 +386,9 @@
             lagging.retain(|(_, until)| now < *until);
             let time_as_leader = now - *leader_since.get_or_insert(now);
             let Some(members) = self.members(&lagging, time_as_leader).await else { continue };
-            let Some(step) = members.next_step() else { continue };
-            let (group, name) = (self.group.0, format!("{step:?}"));
-            match self.apply(step).await {
+            let Some(change) = members.next_change() else { continue };
+            let (group, name) = (self.group.0, format!("{change:?}"));
+            match self.apply(change).await {
                 Ok(()) => log::info!(group, step = name.as_str(); "membership changed"),
                 Err(e) => {
                     let error = e.to_string();
@@ -399,7 +399,7 @@
                     if let (
                         MembershipChange::Promote(id),
                         ProposeError::Refused(Refusal::NotCaughtUp),
-                    ) = (step, &e)
+                    ) = (change, &e)
                     {
                         lagging.push((id, now + LAGGING_PAUSE));
                     }
@@ -433,8 +433,8 @@
         })
     }
 
-    async fn apply(&self, step: MembershipChange) -> Result<(), ProposeError> {
-        match step {
+    async fn apply(&self, change: MembershipChange) -> Result<(), ProposeError> {
+        match change {
             MembershipChange::AddLearner(id) => self.handle.add_learner(id).await,
             MembershipChange::Promote(id) => self.handle.promote(id).await,
             MembershipChange::Remove(id) => self.handle.remove_voter(id).await,
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -18,7 +18,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    ControlState, InstanceRole, Protocol, Settings, Turns,
+    ControlState, InstanceRole, Protocol, Settings, TurnState,
     control::{Control, EndpointListReader, OperatorServer},
     fleet_client::{FleetClient, HeartbeatReport},
     front::{
@@ -127,9 +127,9 @@
         }
     }
 
-    async fn folder(&self, is_founder: bool) -> Result<ReplicaFolder> {
+    async fn folder(&self, is_bootstrap_member: bool) -> Result<ReplicaFolder> {
         let path = self.settings.data_dir.as_ref().context("this role needs a data folder")?;
-        ReplicaFolder::open_when_space(path, self.settings.ip, is_founder).await
+        ReplicaFolder::open_when_space(path, self.settings.ip, is_bootstrap_member).await
     }
 
     fn peer_port(&self) -> u16 {
@@ -138,12 +138,12 @@
 
     async fn start_control(mut self) -> Result<RunningInstance> {
         let settings = self.settings.clone();
-        let is_founder = settings.is_bootstrap && settings.seeds.contains(&settings.ip);
-        let folder = self.folder(is_founder).await?;
-        let founders: Vec<ReplicaId> =
-            settings.seeds.iter().map(|ip| replica::founder_id(*ip)).collect();
-        let founders = if is_founder { founders } else { Vec::new() };
-        let group = GroupStart { founders, state: Box::<ControlState>::default() };
+        let is_bootstrap_member = settings.is_bootstrap && settings.seeds.contains(&settings.ip);
+        let folder = self.folder(is_bootstrap_member).await?;
+        let initial_voters: Vec<ReplicaId> =
+            settings.seeds.iter().map(|ip| replica::bootstrap_id(*ip)).collect();
+        let initial_voters = if is_bootstrap_member { initial_voters } else { Vec::new() };
+        let group = GroupStart { initial_voters, state: Box::<ControlState>::default() };
         let (client, clock) = (self.client.clone(), self.clock.clone());
         let replicas = Replica::start(folder, vec![group], self.peer_port(), client, clock).await?;
         let replica = replicas.into_iter().next().context("control group has no replica")?;
@@ -163,9 +163,9 @@
         });
         let forming = control.clone();
         self.supervisor.start("forming the stores", move || forming.clone().run_group_formation());
-        let reading = control.clone();
+        let reader = control.clone();
         self.supervisor
-            .start("list of endpoints", move || EndpointListReader::new(reading.clone()).run());
+            .start("list of endpoints", move || EndpointListReader::new(reader.clone()).run());
         if let Some(address) = self.settings.operator_address {
             let socket = listen(address).await?;
             let orders = OperatorServer::new(control);
@@ -188,8 +188,8 @@
         let store = Store::new();
         self.serve_peers(store.clone(), Some(Arc::new(StoreSink(store.clone()))));
         let report: Arc<dyn HeartbeatReport> = Arc::new(StoreReport { store: store.clone(), id });
-        let beats = fleet.clone();
-        self.supervisor.start("beats", move || beats.clone().run(report.clone()));
+        let heartbeats = fleet.clone();
+        self.supervisor.start("beats", move || heartbeats.clone().run(report.clone()));
         let joined = store.clone();
         let member = StoreMember {
             settings: self.settings.clone(),
@@ -230,8 +230,8 @@
             memory: BodyMemory::default(),
         });
         self.serve_peers(Arc::new(NoPeerCalls), None);
-        let (beats, report) = (fleet.clone(), front.clone() as Arc<dyn HeartbeatReport>);
-        self.supervisor.start("beats", move || beats.clone().run(report.clone()));
+        let (heartbeats, report) = (fleet.clone(), front.clone() as Arc<dyn HeartbeatReport>);
+        self.supervisor.start("beats", move || heartbeats.clone().run(report.clone()));
         self.supervisor.start("schedule", move || schedule.clone().run());
         self.supervisor.start("quarantine", move || quarantine.clone().run());
         let sweeping = front.clone();
@@ -287,7 +287,8 @@
     /// the number of connections that were still open.
     pub async fn shutdown(self) -> usize {
         log::info!(instance = &*self.settings.instance; "instance shutting down");
-        let end = Instant::now() + self.settings.bounds.shutdown_grace.saturating_sub(EXIT_MARGIN);
+        let end =
+            Instant::now() + self.settings.time_limits.shutdown_grace.saturating_sub(EXIT_MARGIN);
         if let Some(fleet) = &self.fleet {
             fleet.set_draining(end);
             fleet.send_heartbeat_now();
@@ -346,8 +347,8 @@
                 joiner.run_join(client.clone(), move || fleet.view().stores.clone())
             });
         }
-        let (led, fleet) = (replicas.clone(), self.fleet.clone());
-        supervisor.start("wishes", move || follow_goals(led.clone(), fleet.clone()));
+        let (watched, fleet) = (replicas.clone(), self.fleet.clone());
+        supervisor.start("wishes", move || follow_goals(watched.clone(), fleet.clone()));
         let error = replicas.first().context("the store has no groups")?.failed().await;
         // The log also stops when the instance shuts down.
         if self.fleet.is_draining() { Ok(()) } else { Err(error) }
@@ -356,7 +357,8 @@
     /// Initial state of the groups. A new folder waits until the control group has chosen the
     /// initial voters.
     async fn groups(&self, folder: &ReplicaFolder) -> Result<Vec<GroupStart>> {
-        let start = |founders| GroupStart { founders, state: Box::<Turns>::default() };
+        let start =
+            |initial_voters| GroupStart { initial_voters, state: Box::<TurnState>::default() };
         if let Some(groups) = folder.groups()? {
             return Ok((0..groups).map(|_| start(Vec::new())).collect());
         }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -67,14 +67,14 @@
     /// Number of machines with a disk that may be lost at the same time.
     pub tolerated_losses: usize,
     /// Time limits set by the platform.
-    pub bounds: Bounds,
+    pub time_limits: TimeLimits,
     /// Port that serves metrics.
     pub metrics_port: u16,
 }
 
 /// Time limits set by the platform.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct TimeLimits {
     /// Time after which a revoked key must not be accepted by any instance.
     pub key_revocation: Duration,
     /// Time between SIGTERM and SIGKILL.
--- a/crates/relay/src/store/mod.rs
+++ b/crates/relay/src/store/mod.rs
@@ -16,7 +16,7 @@
 use prost::Message;
 use tokio::{sync::Semaphore, time::timeout};
 
-use crate::{Turns, control::invalid, now_ms, replica::Replica};
+use crate::{TurnState, control::invalid, now_ms, replica::Replica};
 
 /// Time in which a command must commit; afterwards its outcome is unknown.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -66,7 +66,8 @@
         let mut begun = verdict(TurnVerdict::Granted, 0);
         if let Some(previous) = begin.previous.clone() {
             let team = begin.team.clone();
-            let read = replica.query(move |turns: &Turns| turns.history(&team, &previous)).await;
+            let read =
+                replica.query(move |turns: &TurnState| turns.history(&team, &previous)).await;
             match read.ok_or_else(|| replica.not_leader())? {
                 Some(history) => begun.history = history,
                 None => return Ok(verdict(TurnVerdict::UnknownTurn, 0)),
--- a/crates/relay/src/turns.rs
+++ b/crates/relay/src/turns.rs
@@ -49,7 +49,7 @@
 
 /// State machine of a store group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Turns {
+pub struct TurnState {
     now_ms: u64,
     swept_ms: u64,
     // Sorted by key.
@@ -58,7 +58,7 @@
     turns: Vec<(Key, KeptTurn)>,
 }
 
-impl Turns {
+impl TurnState {
     /// Returns the inputs and outputs of a kept turn and of the turns before it, oldest first.
     /// Returns `None` if the team has no such turn.
     pub fn history(&self, team: &str, turn: &str) -> Option<Bytes> {
@@ -193,7 +193,7 @@
     &mut list[at].1
 }
 
-impl StateMachine for Turns {
+impl StateMachine for TurnState {
     fn apply(&mut self, index: u64, data: &[u8]) -> Bytes {
         let result = match pb::TurnCommand::decode(Bytes::copy_from_slice(data)) {
             Ok(command) => self.execute(command),
--- a/crates/relay/tests/kept_turns.rs
+++ b/crates/relay/tests/kept_turns.rs
@@ -3,16 +3,16 @@
 use bytes::Bytes;
 use poplarspan_agreement::StateMachine;
 use poplarspan_proto::relay as pb;
-use poplarspan_relay::Turns;
+use poplarspan_relay::TurnState;
 use proptest::{prelude::*, test_runner::RngSeed};
 use prost::Message;
 
-fn run(turns: &mut Turns, command: pb::TurnCommand) -> Vec<pb::Reserved> {
+fn run(turns: &mut TurnState, command: pb::TurnCommand) -> Vec<pb::Reserved> {
     let result = turns.apply(1, &command.encode_to_vec());
     pb::TurnResult::decode(result).expect("a result").reserved
 }
 
-fn reserve(turns: &mut Turns, name: &str, most: u64, budget: u64) -> u64 {
+fn reserve(turns: &mut TurnState, name: &str, most: u64, budget: u64) -> u64 {
     let reserve = pb::Reserve {
         team: "red".to_owned(),
         program: "p".to_owned(),
@@ -24,13 +24,13 @@
     run(turns, pb::TurnCommand { reserve: vec![reserve], ..Default::default() })[0].amount
 }
 
-fn settle(turns: &mut Turns, name: &str, used: u64) {
+fn settle(turns: &mut TurnState, name: &str, used: u64) {
     let (team, program) = ("red".to_owned(), "p".to_owned());
     let settle = pb::Settle { team, program, name: name.to_owned(), used, kept: None };
     run(turns, pb::TurnCommand { settle: vec![settle], ..Default::default() });
 }
 
-fn keep(turns: &mut Turns, now_ms: u64, turn: &str, previous: Option<&str>, retain_ms: u64) {
+fn keep(turns: &mut TurnState, now_ms: u64, turn: &str, previous: Option<&str>, retain_ms: u64) {
     let kept = pb::Turn {
         team: "red".to_owned(),
         turn: turn.to_owned(),
@@ -46,7 +46,7 @@
 /// Repeating a reservation or its settlement does not count tokens twice.
 #[test]
 fn resends_count_once() {
-    let mut turns = Turns::default();
+    let mut turns = TurnState::default();
     assert_eq!(reserve(&mut turns, "t1", 60, 100), 60);
     assert_eq!(reserve(&mut turns, "t1", 60, 100), 60);
     assert_eq!(reserve(&mut turns, "t2", 60, 100), 0);
@@ -59,7 +59,7 @@
 /// A history is returned oldest first, and only to its own team.
 #[test]
 fn chain_in_order() {
-    let mut turns = Turns::default();
+    let mut turns = TurnState::default();
     keep(&mut turns, 0, "a", None, 1_000);
     keep(&mut turns, 0, "b", Some("a"), 1_000);
     keep(&mut turns, 0, "c", Some("a"), 1_000);
@@ -73,7 +73,7 @@
 /// A turn is kept as long as the turns that continue it, and dropped afterwards.
 #[test]
 fn chain_expires_together() {
-    let mut turns = Turns::default();
+    let mut turns = TurnState::default();
     keep(&mut turns, 0, "a", None, 60_000);
     keep(&mut turns, 50_000, "b", Some("a"), 60_000);
     keep(&mut turns, 100_000, "other", None, 60_000);
@@ -98,7 +98,7 @@
         commands in proptest::collection::vec((0u8..12, any::<bool>(), 0u64..80), 1..120),
     ) {
         const BUDGET: u64 = 300;
-        let (mut turns, mut handed_out) = (Turns::default(), 0);
+        let (mut turns, mut handed_out) = (TurnState::default(), 0);
         let mut open: Vec<(u8, u64)> = Vec::new();
         for (turn, is_end, tokens) in commands {
             let name = turn.to_string();
@@ -116,7 +116,7 @@
             prop_assert!(turns.committed("red", "p") <= BUDGET);
             let most: u64 = open.iter().map(|(_, amount)| amount).sum();
             prop_assert!(handed_out + most <= BUDGET);
-            let mut copy = Turns::default();
+            let mut copy = TurnState::default();
             copy.restore(&turns.snapshot()).expect("its own snapshot");
             prop_assert_eq!(copy.committed("red", "p"), turns.committed("red", "p"));
             turns = copy;
@@ -126,7 +126,7 @@
     /// Bytes that are not a valid command neither panic nor change the state.
     #[test]
     fn arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let mut turns = Turns::default();
+        let mut turns = TurnState::default();
         keep(&mut turns, 0, "a", None, 1_000);
         let before = turns.clone();
         if pb::TurnCommand::decode(&bytes[..]).is_err() {
--- a/crates/relay/tests/member_changes.rs
+++ b/crates/relay/tests/member_changes.rs
@@ -34,17 +34,17 @@
     let (a, b, c, new) = (id(1, 0), id(2, 0), id(3, 0), id(3, 7));
     let mut m = members(&[a, b, c]);
     m.silence = vec![(c, LONG)];
-    assert_eq!(m.next_step(), None, "a group of three is not shrunk");
+    assert_eq!(m.next_change(), None, "a group of three is not shrunk");
     m.joining = vec![new];
-    assert_eq!(m.next_step(), Some(MembershipChange::AddLearner(new)));
+    assert_eq!(m.next_change(), Some(MembershipChange::AddLearner(new)));
     m.learners = vec![new];
     m.lagging = vec![new];
-    assert_eq!(m.next_step(), None, "the learner has not caught up");
+    assert_eq!(m.next_change(), None, "the learner has not caught up");
     m.lagging.clear();
-    assert_eq!(m.next_step(), Some(MembershipChange::Promote(new)));
+    assert_eq!(m.next_change(), Some(MembershipChange::Promote(new)));
     m.learners.clear();
     m.voters.push(new);
-    assert_eq!(m.next_step(), Some(MembershipChange::Remove(c)));
+    assert_eq!(m.next_change(), Some(MembershipChange::Remove(c)));
 }
 
 /// A machine that was replaced by one with another address is removed once the new one votes.
@@ -53,7 +53,7 @@
     let (a, b, c, d) = (id(1, 0), id(2, 0), id(3, 0), id(4, 9));
     let mut m = members(&[a, b, c, d]);
     m.silence = vec![(c, LONG)];
-    assert_eq!(m.next_step(), Some(MembershipChange::Remove(c)));
+    assert_eq!(m.next_change(), Some(MembershipChange::Remove(c)));
 }
 
 /// A store is drained only while enough other voters remain, and transfers leadership first.
@@ -62,12 +62,12 @@
     let (a, b, c, d) = (id(1, 0), id(2, 0), id(3, 0), id(4, 0));
     let mut m = members(&[a, b, c]);
     m.retiring = vec![b];
-    assert_eq!(m.next_step(), None);
+    assert_eq!(m.next_change(), None);
     let mut m = members(&[a, b, c, d]);
     m.retiring = vec![b];
-    assert_eq!(m.next_step(), Some(MembershipChange::Remove(b)));
+    assert_eq!(m.next_change(), Some(MembershipChange::Remove(b)));
     m.retiring = vec![a];
-    assert!(matches!(m.next_step(), Some(MembershipChange::HandOver(to)) if to != a));
+    assert!(matches!(m.next_change(), Some(MembershipChange::HandOver(to)) if to != a));
 }
 
 /// A group grows to five voters, which tolerate the loss of two, and no further.
@@ -76,9 +76,9 @@
     let voters: Vec<_> = (1..=5).map(|n| id(n, 0)).collect();
     let mut m = members(&voters);
     m.joining = vec![id(6, 1)];
-    assert_eq!(m.next_step(), None);
+    assert_eq!(m.next_change(), None);
     m.voters.pop();
-    assert_eq!(m.next_step(), Some(MembershipChange::AddLearner(id(6, 1))));
+    assert_eq!(m.next_change(), Some(MembershipChange::AddLearner(id(6, 1))));
 }
 
 /// A store is not drained if the responsive voters would lose their majority without it. A case
@@ -89,7 +89,7 @@
     let mut m = members(&voters);
     m.silence = [1, 3, 5].map(|at| (voters[at], LONG)).to_vec();
     m.retiring = vec![voters[6]];
-    assert_ne!(m.next_step(), Some(MembershipChange::Remove(voters[6])));
+    assert_ne!(m.next_change(), Some(MembershipChange::Remove(voters[6])));
 }
 
 /// A store is drained after its replacement has become a voter, so that the group tolerates as many
@@ -100,12 +100,12 @@
     let mut m = members(&voters);
     m.retiring = vec![voters[4]];
     m.joining = vec![id(6, 1)];
-    assert_eq!(m.next_step(), Some(MembershipChange::AddLearner(id(6, 1))));
+    assert_eq!(m.next_change(), Some(MembershipChange::AddLearner(id(6, 1))));
     m.learners = vec![id(6, 1)];
-    assert_eq!(m.next_step(), Some(MembershipChange::Promote(id(6, 1))));
+    assert_eq!(m.next_change(), Some(MembershipChange::Promote(id(6, 1))));
     m.learners.clear();
     m.voters.push(id(6, 1));
-    assert_eq!(m.next_step(), Some(MembershipChange::Remove(voters[4])));
+    assert_eq!(m.next_change(), Some(MembershipChange::Remove(voters[4])));
 }
 
 /// Leadership returns to the preferred machine, but not soon after an election and not to a machine
@@ -115,15 +115,15 @@
     let voters: Vec<_> = (1..=5).map(|n| id(n, 0)).collect();
     let mut m = members(&voters);
     m.preferred_leader = Some(Ipv4Addr::new(10, 0, 0, 2));
-    assert_eq!(m.next_step(), Some(MembershipChange::HandOver(voters[1])));
+    assert_eq!(m.next_change(), Some(MembershipChange::HandOver(voters[1])));
     m.time_as_leader = Duration::from_millis(500);
-    assert_eq!(m.next_step(), None);
+    assert_eq!(m.next_change(), None);
     m.time_as_leader = LONG;
     m.silence = vec![(voters[1], Duration::from_secs(1))];
-    assert_eq!(m.next_step(), None);
+    assert_eq!(m.next_change(), None);
     m.silence.clear();
     m.self_id = voters[1];
-    assert_eq!(m.next_step(), None);
+    assert_eq!(m.next_change(), None);
 }
 
 proptest! {
@@ -151,7 +151,7 @@
         m.silence = voters.iter().map(|v| (*v, if is_silent(v) { LONG } else { NOW })).collect();
         m.retiring = voters.iter().enumerate().filter(|(at, _)| leaving[*at]).map(|(_, v)| *v).collect();
         m.joining = (0..joins).map(|n| id(20 + n, 1)).collect();
-        if let Some(MembershipChange::Remove(gone)) = m.next_step() {
+        if let Some(MembershipChange::Remove(gone)) = m.next_change() {
             prop_assert_ne!(gone, m.self_id);
             let left: Vec<_> = voters.iter().filter(|v| **v != gone).collect();
             let answering = left.iter().filter(|v| !is_silent(v)).count();
