--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -133,7 +133,7 @@
             publication: published,
             directory: leader.directory_for(beat.directory, now),
             zones_out: names(control_state.zones_out()),
-            fronts: place.of,
+            fronts: place.count,
             rank: place.rank,
             shares,
             cores: voters.iter().map(|id| self.control_peer_address(*id)).collect(),
--- a/crates/relay/src/control/suspects.rs
+++ b/crates/relay/src/control/suspects.rs
@@ -75,7 +75,7 @@
                 self.next_unblock_ms = self.next_unblock_ms.min(until_ms);
                 self.refused.push(entry.request);
             } else {
-                self.quarantine.adopt(entry.request, now.monotonic);
+                self.quarantine.adopt_suspect(entry.request, now.monotonic);
             }
         }
         self.number += 1;
@@ -95,7 +95,7 @@
             return;
         }
         for request in beat.suspects.iter().filter_map(|bytes| read_fingerprint(bytes)) {
-            if !self.is_blocked(request) && self.quarantine.adopt(request, now.monotonic) {
+            if !self.is_blocked(request) && self.quarantine.adopt_suspect(request, now.monotonic) {
                 self.number += 1;
             }
         }
@@ -161,7 +161,7 @@
                 if is_blocked {
                     return (SuspectRuling::Refused, None);
                 }
-                if self.quarantine.note(request, &endpoint, now.monotonic) {
+                if self.quarantine.record_failure(request, &endpoint, now.monotonic) {
                     self.number += 1;
                     log_request(
                         request,
@@ -174,7 +174,7 @@
             SuspectEventKind::Begin => {
                 let until =
                     now.monotonic + Duration::from_millis(event.run_ms) + TRIAL_RESULT_TIMEOUT;
-                let ruling = match self.quarantine.begin(request, &endpoint, until, now.monotonic) {
+                let ruling = match self.quarantine.admit(request, &endpoint, until, now.monotonic) {
                     Ruling::Free => SuspectRuling::Free,
                     Ruling::OnTrial => SuspectRuling::OnTrial,
                     Ruling::Busy => SuspectRuling::Busy,
--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -8,12 +8,12 @@
 use poplarspan_node::pool::Pool;
 use poplarspan_policy::{
     Name,
-    departures::{Departures, Start},
+    cold_start::{InstanceRank, StartLimiter},
+    departures::{Departures, EndpointRun},
     route::{
         Choice, Chooser, CostChooser, CostConfig, EndpointId, EndpointSpec, Fleet, LoadReport,
         NoRoute, PrefixIndex, RouteRequest,
     },
-    starts::{Place, StartGate},
 };
 
 use super::schedule::PlacementRequest;
@@ -35,15 +35,15 @@
 /// percent, and all of them wait while its prompt is prefilled. A new connection takes both sides a
 /// few milliseconds and costs about as much as one more call in a batch of 16.
 const COSTS: CostConfig = CostConfig {
-    other_zone_s: 0.006,
+    cross_zone_s: 0.006,
     prefill_weight: 6.0,
-    occupancy: 0.9,
-    max_fill: 2.0,
-    group_fill: 1.0,
-    near_s: 0.01,
-    near: 0.1,
-    stay_s: 0.02,
-    stay: 0.1,
+    occupancy_slowdown: 0.9,
+    max_load_factor: 2.0,
+    max_group_load_factor: 1.0,
+    tie_s: 0.01,
+    tie_fraction: 0.1,
+    stay_gain_s: 0.02,
+    stay_gain_fraction: 0.1,
     connect_s: 0.012,
 };
 /// Pause after the first failure, doubled with each further one.
@@ -67,7 +67,7 @@
     started_ms: Option<u64>,
     /// When the cold start phase ends.
     cold_until: Duration,
-    gate: StartGate,
+    gate: StartLimiter,
     failures: u32,
     /// No calls are sent until then; afterwards `PROBE_CALLS` at a time until one is answered.
     paused_until: Option<Duration>,
@@ -175,7 +175,7 @@
     last_endpoints: Vec<LastEndpoint>,
     shared: SharedParts,
     departures: Departures,
-    place: Place,
+    place: InstanceRank,
     directory: u64,
     version: u64,
     zones_out: Vec<Name>,
@@ -192,7 +192,7 @@
             last_endpoints: Vec::new(),
             shared: SharedParts::default(),
             departures: Departures::default(),
-            place: Place { rank: 0, of: 1 },
+            place: InstanceRank { rank: 0, count: 1 },
             directory: 0,
             version: 0,
             zones_out: Vec::new(),
@@ -220,7 +220,7 @@
     fn apply_list(&mut self, view: &View, now: Duration) {
         let listed = &view.directory.endpoints;
         let starts: Vec<_> = listed.iter().map(start_of).collect();
-        self.departures.follow(&starts);
+        self.departures.reconcile(&starts);
         let Self { endpoints, fleet, .. } = self;
         endpoints.retain(|k| {
             let stays = listed.iter().any(|e| e.name == k.name && e.address == k.address);
@@ -255,7 +255,7 @@
             capacity,
             prefill_per_second: engine.map_or(f64::INFINITY, |_| PREFILL_PER_SECOND),
             service_s: INITIAL_SERVICE_S,
-            leaving: endpoint.leaving || self.departures.includes(start_of(endpoint)),
+            leaving: endpoint.leaving || self.departures.contains(start_of(endpoint)),
         });
         let cold_until = now + endpoint.cold_left.saturating_sub(age);
         match self.endpoints.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
@@ -266,7 +266,7 @@
             }
             Err(at) => {
                 let blocks = engine.map_or(0, |e| e.cache_tokens / u64::from(BLOCK_TOKENS));
-                self.prefixes.declare(id, u32::try_from(blocks).unwrap_or(u32::MAX));
+                self.prefixes.register(id, u32::try_from(blocks).unwrap_or(u32::MAX));
                 let state = EndpointState {
                     name: endpoint.name.clone(),
                     service: endpoint.service.clone(),
@@ -274,7 +274,7 @@
                     address: endpoint.address,
                     started_ms: endpoint.started_ms,
                     cold_until,
-                    gate: StartGate::default(),
+                    gate: StartLimiter::default(),
                     failures: 0,
                     paused_until: None,
                 };
@@ -285,7 +285,7 @@
 
     /// Decays reported loads, and ends the pauses of endpoints that have failed.
     pub(crate) fn tick(&mut self, now: Duration) {
-        self.fleet.fade(LOAD_HALF_LIFE, now);
+        self.fleet.decay_reports(LOAD_HALF_LIFE, now);
         for state in &mut self.endpoints {
             if state.paused_until.is_some_and(|until| now >= until) {
                 state.paused_until = None;
@@ -310,7 +310,7 @@
         let cold_rate = publication
             .and_then(|p| p.service(&placement.service))
             .map_or(0.0, |s| s.cold_per_second);
-        let avoid = self.excluded(placement, tried, cold_rate, now);
+        let excluded = self.excluded(placement, tried, cold_rate, now);
         self.note_connections(&placement.service);
         let (blocks, prompt_tokens) = self.own_blocks(placement);
         let request = RouteRequest {
@@ -318,11 +318,11 @@
             blocks,
             block_tokens: BLOCK_TOKENS,
             prompt_tokens,
-            last: placement
+            last_endpoint: placement
                 .conversation
                 .as_ref()
                 .and_then(|conversation| self.last_of(conversation)),
-            avoid: &avoid,
+            excluded: &excluded,
         };
         let mut rng = rand::rng();
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &request, &mut rng)?;
@@ -355,15 +355,15 @@
         now: Duration,
     ) -> Vec<EndpointId> {
         let place = self.place;
-        let mut avoid = Vec::new();
+        let mut excluded = Vec::new();
         for state in self.endpoints.iter_mut().filter(|k| k.service == placement.service) {
             let is_cold = rate > 0.0 && now < state.cold_until;
             let is_tried = tried.contains(&state.name);
-            if is_tried || (is_cold && !state.gate.is_open(rate, place, offset(&state.name), now)) {
-                avoid.push(state.id);
+            if is_tried || (is_cold && !state.gate.allows(rate, place, offset(&state.name), now)) {
+                excluded.push(state.id);
             }
         }
-        avoid
+        excluded
     }
 
     fn record_dispatch(
@@ -373,9 +373,9 @@
         now: Duration,
     ) -> ChosenEndpoint {
         let id = choice.endpoint;
-        self.fleet.began(id, now);
+        self.fleet.call_started(id, now);
         let (blocks, prompt_tokens) = self.own_blocks(placement);
-        self.prefixes.dispatched(id, blocks, now);
+        self.prefixes.record_dispatch(id, blocks, now);
         self.shared.note(placement, now);
         let cached = u64::from(choice.cached_blocks) * u64::from(BLOCK_TOKENS);
         let prompt_tokens = u64::from(prompt_tokens);
@@ -393,7 +393,7 @@
         let at = self.position(&name).expect("every endpoint in the fleet has state");
         let state = &mut self.endpoints[at];
         if now < state.cold_until {
-            state.gate.start(now);
+            state.gate.record_start(now);
         }
         ChosenEndpoint { name, address: state.address }
     }
@@ -408,7 +408,7 @@
         let Ok(at) = self.position(name) else { return };
         let state = &mut self.endpoints[at];
         let id = state.id;
-        self.fleet.ended(id, (outcome == Outcome::Answered).then_some(took), now);
+        self.fleet.call_ended(id, (outcome == Outcome::Answered).then_some(took), now);
         match outcome {
             Outcome::Answered | Outcome::Refused => {
                 if state.failures > 0 {
@@ -435,7 +435,8 @@
     /// Records a load report from a response.
     pub(crate) fn report(&mut self, name: &Name, load: Load, now: Duration) {
         if let Ok(at) = self.position(name) {
-            let report = LoadReport { running: load.running, queued: load.waiting, taken: now };
+            let report =
+                LoadReport { running: load.running, queued: load.waiting, measured_at: now };
             self.fleet.report(self.endpoints[at].id, &report);
         }
     }
@@ -448,7 +449,7 @@
         if !self.fleet.spec(state.id).leaving {
             log::info!(endpoint = &**name; "endpoint announced its stop");
         }
-        self.departures.note(name, state.started_ms);
+        self.departures.record(name, state.started_ms);
         self.fleet.set_leaving(state.id);
     }
 
@@ -456,14 +457,14 @@
     pub(crate) fn may_receive(&self, chosen: &ChosenEndpoint) -> bool {
         self.position(&chosen.name).is_ok_and(|at| {
             let state = &self.endpoints[at];
-            state.address == chosen.address && self.fleet.may_receive(state.id)
+            state.address == chosen.address && self.fleet.accepts_calls(state.id)
         })
     }
 
     /// Number of concurrent calls that the available endpoints of a service can run.
     pub(crate) fn capacity(&self, service: &str) -> u32 {
         let members = self.fleet.members(service).unwrap_or(&[]);
-        let open = members.iter().filter(|id| self.fleet.is_open(**id));
+        let open = members.iter().filter(|id| self.fleet.is_available(**id));
         open.map(|id| self.fleet.spec(*id).capacity).sum()
     }
 
@@ -472,8 +473,8 @@
     }
 }
 
-fn start_of(endpoint: &ListedEndpoint) -> Start<'_> {
-    Start { name: &endpoint.name, started_ms: endpoint.started_ms }
+fn start_of(endpoint: &ListedEndpoint) -> EndpointRun<'_> {
+    EndpointRun { name: &endpoint.name, started_ms: endpoint.started_ms }
 }
 
 /// A number derived from the name of an endpoint, equal at all fronts.
--- a/crates/relay/src/front/schedule.rs
+++ b/crates/relay/src/front/schedule.rs
@@ -16,7 +16,7 @@
 use poplarspan_node::pool::Pool;
 use poplarspan_policy::{
     Name,
-    fair::{Call, FairQueue, InFlight, LasDeadline, QueueConfig, QueueId},
+    fair::{Call, FairQueue, InFlightLimit, LasDeadline, QueueConfig, QueueId},
     route::NoRoute,
 };
 use tokio::{
@@ -136,14 +136,14 @@
 /// placed.
 struct AlwaysRoom;
 
-impl InFlight for AlwaysRoom {
+impl InFlightLimit for AlwaysRoom {
     fn has_room(&self, _now: Duration) -> bool {
         true
     }
 
     // Calls are counted per endpoint instead.
-    fn began(&mut self, _cost: u64) {}
-    fn ended(&mut self, _cost: u64) {}
+    fn acquire(&mut self, _cost: u64) {}
+    fn release(&mut self, _cost: u64) {}
 }
 
 impl Schedule {
@@ -205,8 +205,8 @@
                         return Ok(self.slot(endpoint, placement));
                     }
                     Err(NoRoute::Full) => {}
-                    Err(NoRoute::NoneOpen) if tried.is_empty() => {}
-                    Err(NoRoute::NoneOpen) => {
+                    Err(NoRoute::NoneAvailable) if tried.is_empty() => {}
+                    Err(NoRoute::NoneAvailable) => {
                         return Err(PlacementError::NoEndpoint { retry_after: RETRY_AFTER });
                     }
                 }
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -22,9 +22,9 @@
 use anyhow::{Context, Result};
 use bytes::Bytes;
 use poplarspan_agreement::{
-    Clock, DataDir, FileStore, GroupHandle, GroupId, IdentityError, Node, NodeConfig, ProposeError,
-    Refusal, ReplicaId, Role, StateMachine, Storage, StoreError, StoreOptions, init_groups,
-    is_disk_full,
+    Clock, DataDir, FileStore, GroupHandle, GroupId, IdentityError, MembershipChangeError, Node,
+    NodeConfig, ProposeError, ReplicaId, Role, StateMachine, Storage, StoreError, StoreOptions,
+    init_groups, is_disk_full,
 };
 use poplarspan_node::{
     PeerClient,
@@ -58,8 +58,8 @@
 fn node_config(clock: Arc<dyn Clock>) -> NodeConfig {
     NodeConfig {
         clock,
-        tick: Duration::from_millis(20),
-        heartbeat: Duration::from_millis(75),
+        tick_interval: Duration::from_millis(20),
+        heartbeat_interval: Duration::from_millis(75),
         election_timeout_min: Duration::from_millis(350),
         election_timeout_max: Duration::from_millis(600),
         drift_margin: Duration::from_millis(75),
@@ -176,7 +176,7 @@
 fn is_disk_full_error(e: &anyhow::Error) -> bool {
     e.chain().any(|cause| {
         cause.downcast_ref().is_some_and(is_disk_full)
-            || cause.downcast_ref().is_some_and(StoreError::is_refusal)
+            || cause.downcast_ref().is_some_and(StoreError::is_disk_full)
     })
 }
 
@@ -398,7 +398,7 @@
                     );
                     if let (
                         MembershipChange::Promote(id),
-                        ProposeError::Refused(Refusal::NotCaughtUp),
+                        ProposeError::Refused(MembershipChangeError::NotCaughtUp),
                     ) = (change, &e)
                     {
                         lagging.push((id, now + LAGGING_PAUSE));
@@ -424,7 +424,7 @@
             self_id: self.id,
             voters: core.membership.voters,
             learners: core.membership.learners,
-            silence: core.silence,
+            silence: core.last_contact,
             joining: joining.map(|(id, _)| *id).collect(),
             retiring: goals.retiring,
             lagging: lagging.iter().map(|(id, _)| *id).collect(),
@@ -436,8 +436,8 @@
     async fn apply(&self, change: MembershipChange) -> Result<(), ProposeError> {
         match change {
             MembershipChange::AddLearner(id) => self.handle.add_learner(id).await,
-            MembershipChange::Promote(id) => self.handle.promote(id).await,
-            MembershipChange::Remove(id) => self.handle.remove_voter(id).await,
+            MembershipChange::Promote(id) => self.handle.promote_learner(id).await,
+            MembershipChange::Remove(id) => self.handle.remove_member(id).await,
             MembershipChange::HandOver(id) => self.handle.transfer_leadership(id).await,
         }
     }
