--- a/crates/relay/src/control/leader_state.rs
+++ b/crates/relay/src/control/leader_state.rs
@@ -147,7 +147,7 @@
     }
 
     /// Rank of an instance among the fronts, and their number.
-    pub(crate) fn place(&self, name: &str) -> InstanceRank {
+    pub(crate) fn instance_rank(&self, name: &str) -> InstanceRank {
         let fronts = || self.members(PbDuty::Front);
         let rank = fronts().take_while(|m| *m.name < *name).count();
         InstanceRank { rank: rank as u32, count: fronts().count().max(1) as u32 }
--- a/crates/relay/src/control/mod.rs
+++ b/crates/relay/src/control/mod.rs
@@ -119,7 +119,7 @@
         let timestamps = self.timestamps();
         leader.suspects.observe(&control_state, &beat, timestamps);
         let quarantine = leader.suspects.list_for(beat.quarantine, timestamps);
-        let place = leader.place(&beat.instance);
+        let rank = leader.instance_rank(&beat.instance);
         let shares = publication.map_or_else(Vec::new, |publication| {
             leader.allocate_shares(&Name::from(&*beat.instance), &beat.demand, &publication, now)
         });
@@ -133,8 +133,8 @@
             publication: published,
             directory: leader.directory_for(beat.directory, now),
             zones_out: names(control_state.zones_out()),
-            fronts: place.count,
-            rank: place.rank,
+            fronts: rank.count,
+            rank: rank.rank,
             shares,
             cores: voters.iter().map(|id| self.control_peer_address(*id)).collect(),
             stores: leader.store_addresses(),
--- a/crates/relay/src/fleet_client.rs
+++ b/crates/relay/src/fleet_client.rs
@@ -40,7 +40,7 @@
 /// Instances that are asked in parallel while no leader is known.
 const PARALLEL_CANDIDATES: usize = 3;
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(300);
-/// An instance that did not answer as the leader is skipped for this long, even if others still
+/// An instance that failed to answer a heartbeat is skipped for this long, even if others still
 /// name it as the leader.
 const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(1_000);
 
@@ -52,7 +52,7 @@
     pub(crate) directory: Arc<Directory>,
     /// Sorted.
     pub(crate) zones_out: Vec<Name>,
-    pub(crate) place: InstanceRank,
+    pub(crate) rank: InstanceRank,
     /// Peer addresses of the stores.
     pub(crate) stores: Vec<SocketAddr>,
     /// The stores in the order in which groups take their initial voters.
@@ -158,7 +158,7 @@
             publication: None,
             directory: Arc::default(),
             zones_out: Vec::new(),
-            place: InstanceRank { rank: 0, count: 1 },
+            rank: InstanceRank { rank: 0, count: 1 },
             stores: Vec::new(),
             store_ring: Vec::new(),
             group_leaders: Vec::new(),
@@ -371,7 +371,7 @@
             publication,
             directory: directory.unwrap_or_else(|| old.directory.clone()),
             zones_out: names(answer.zones_out),
-            place: InstanceRank { rank: answer.rank, count: answer.fronts.max(1) },
+            rank: InstanceRank { rank: answer.rank, count: answer.fronts.max(1) },
             stores,
             store_ring: answer.store_ring.into_iter().map(ReplicaId).collect(),
             group_leaders,
--- a/crates/relay/src/front/body.rs
+++ b/crates/relay/src/front/body.rs
@@ -62,5 +62,5 @@
     stream: impl Stream<Item = Result<Bytes, TruncatedBody>> + Send + 'static,
 ) -> ResponseBody {
     use futures::StreamExt;
-    StreamBody::new(stream.map(|piece| piece.map(Frame::data))).boxed_unsync()
+    StreamBody::new(stream.map(|chunk| chunk.map(Frame::data))).boxed_unsync()
 }
--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -175,7 +175,7 @@
     last_endpoints: Vec<LastEndpoint>,
     shared: SharedParts,
     departures: Departures,
-    place: InstanceRank,
+    rank: InstanceRank,
     directory: u64,
     version: u64,
     zones_out: Vec<Name>,
@@ -192,7 +192,7 @@
             last_endpoints: Vec::new(),
             shared: SharedParts::default(),
             departures: Departures::default(),
-            place: InstanceRank { rank: 0, count: 1 },
+            rank: InstanceRank { rank: 0, count: 1 },
             directory: 0,
             version: 0,
             zones_out: Vec::new(),
@@ -201,7 +201,7 @@
 
     /// Applies changes of the endpoint list, the publication and the zones.
     pub(crate) fn observe(&mut self, view: &View, now: Duration) {
-        self.place = view.place;
+        self.rank = view.rank;
         let version = view.publication.as_ref().map_or(0, |p| p.version);
         let is_new_list = view.directory.number != self.directory;
         if is_new_list || version != self.version {
@@ -354,12 +354,12 @@
         rate: f64,
         now: Duration,
     ) -> Vec<EndpointId> {
-        let place = self.place;
+        let rank = self.rank;
         let mut excluded = Vec::new();
         for state in self.endpoints.iter_mut().filter(|k| k.service == placement.service) {
             let is_cold = rate > 0.0 && now < state.cold_until;
             let is_tried = tried.contains(&state.name);
-            if is_tried || (is_cold && !state.gate.allows(rate, place, offset(&state.name), now)) {
+            if is_tried || (is_cold && !state.gate.allows(rate, rank, offset(&state.name), now)) {
                 excluded.push(state.id);
             }
         }
--- a/crates/relay/src/front/quarantine.rs
+++ b/crates/relay/src/front/quarantine.rs
@@ -210,7 +210,7 @@
         let now = Instant::now();
         let mut probes = self.probes.lock().expect("no panic while locked");
         // A probe that found the endpoint up says nothing about later failures.
-        probes.retain(|l| now < l.at + PROBE_TTL && l.is_accepting.peek() != Some(&true));
+        probes.retain(|p| now < p.at + PROBE_TTL && p.is_accepting.peek() != Some(&true));
         if let Some(probe) = probes.iter().find(|probe| probe.address == address) {
             return probe.is_accepting.clone();
         }
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -59,28 +59,28 @@
 impl StreamRelay {
     /// Returns the body of the response to the caller.
     pub(crate) fn into_body(self) -> ResponseBody {
-        // Boxed because the state is large and lives mostly between two steps.
+        // Boxed because the state is large and mostly lives between two chunks.
         streamed(stream::unfold(Box::new(self), |mut relay| async move {
-            let piece = relay.next_piece().await?;
-            Some((piece, relay))
+            let chunk = relay.next_chunk().await?;
+            Some((chunk, relay))
         }))
     }
 
     /// Returns the next chunk for the caller, made of all events that have arrived completely.
-    async fn next_piece(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         if self.is_done {
             return None;
         }
         loop {
-            let piece = self.take_events();
-            if !piece.is_empty() {
-                return Some(Ok(piece));
+            let chunk = self.take_events();
+            if !chunk.is_empty() {
+                return Some(Ok(chunk));
             }
             match self.read().await {
                 ReadOutcome::Bytes(bytes) => {
                     let kept = self.recording.as_ref().map_or(0, |k| k.output.len());
-                    let bytes_held = kept + self.reader.pending() + bytes.len();
-                    if let Err(e) = self.reservation.resize(bytes_held) {
+                    let needed_bytes = kept + self.reader.pending() + bytes.len();
+                    if let Err(e) = self.reservation.resize(needed_bytes) {
                         if let Err(cut) = self.resume_elsewhere(&e.to_string()).await {
                             return Some(Err(cut));
                         }
@@ -127,7 +127,7 @@
     /// Takes the complete events as one chunk.
     fn take_events(&mut self) -> Bytes {
         let Some(first) = self.reader.next_event() else { return Bytes::new() };
-        let mut piece: Option<BytesMut> = None;
+        let mut chunk: Option<BytesMut> = None;
         let mut event = first;
         let raw = event.raw.clone();
         loop {
@@ -135,14 +135,14 @@
             match self.reader.next_event() {
                 None => break,
                 Some(next) => {
-                    piece
+                    chunk
                         .get_or_insert_with(|| BytesMut::from(&raw[..]))
                         .extend_from_slice(&next.raw);
                     event = next;
                 }
             }
         }
-        piece.map_or(raw, BytesMut::freeze)
+        chunk.map_or(raw, BytesMut::freeze)
     }
 
     fn note(&mut self, event: &super::events::Event) {
@@ -168,7 +168,7 @@
         if self.reader.pending() > 0 && self.response.as_ref().is_some_and(|b| !has_end(&b.parts)) {
             // The connection was closed in the middle of an event.
             return match self.resume_elsewhere("stream ended within an event").await {
-                Ok(()) => Box::pin(self.next_piece()).await,
+                Ok(()) => Box::pin(self.next_chunk()).await,
                 Err(cut) => Some(Err(cut)),
             };
         }
--- a/crates/relay/src/replica/membership.rs
+++ b/crates/relay/src/replica/membership.rs
@@ -19,7 +19,7 @@
 const LEADER_RETURN_DELAY: Duration = Duration::from_secs(5);
 /// Number of voters that a group aims for, so that it tolerates the loss of two.
 pub(crate) const TARGET_VOTERS: usize = 5;
-/// Minimum number of voters that removals leave, so that a group tolerates the loss of one.
+/// Minimum number of voters. Groups are not shrunk below it, so that they tolerate the loss of one.
 pub(crate) const MIN_VOTERS: usize = 3;
 
 /// What the leader of a group knows of its members.
@@ -32,7 +32,7 @@
     /// Replicas that receive the log but do not vote.
     pub learners: Vec<ReplicaId>,
     /// Time since each other member last responded.
-    pub silence: Vec<(ReplicaId, Duration)>,
+    pub last_contact: Vec<(ReplicaId, Duration)>,
     /// Replicas that recently asked to become voters.
     pub joining: Vec<ReplicaId>,
     /// Replicas that are being drained.
@@ -54,7 +54,8 @@
     Promote(ReplicaId),
     /// Remove a replica.
     Remove(ReplicaId),
-    /// Transfer leadership to another voter.
+    /// Transfer leadership to another voter, because this one is being drained or is not on the
+    /// preferred machine.
     HandOver(ReplicaId),
 }
 
@@ -73,13 +74,13 @@
             .or_else(|| self.leadership_return())
     }
 
-    fn silence_of(&self, id: ReplicaId) -> Duration {
-        let found = self.silence.iter().find(|(r, _)| *r == id);
-        found.map_or(Duration::ZERO, |(_, silence)| *silence)
+    fn time_since_contact(&self, id: ReplicaId) -> Duration {
+        let found = self.last_contact.iter().find(|(r, _)| *r == id);
+        found.map_or(Duration::ZERO, |(_, elapsed)| *elapsed)
     }
 
     fn is_responsive(&self, id: ReplicaId) -> bool {
-        self.silence_of(id) < REPLACED_VOTER_TIMEOUT
+        self.time_since_contact(id) < REPLACED_VOTER_TIMEOUT
     }
 
     fn responsive_voters(&self) -> usize {
@@ -100,14 +101,15 @@
     fn removal(&self) -> Option<MembershipChange> {
         let is_replaced = |id: ReplicaId| {
             let same = |other: &ReplicaId| *other != id && machine(*other) == machine(id);
-            self.silence_of(id) >= REPLACED_VOTER_TIMEOUT && self.voters.iter().any(same)
+            self.time_since_contact(id) >= REPLACED_VOTER_TIMEOUT && self.voters.iter().any(same)
         };
         let is_silent = |id: ReplicaId| {
-            self.silence_of(id) >= SILENT_VOTER_TIMEOUT && self.responsive_voters() >= MIN_VOTERS
+            self.time_since_contact(id) >= SILENT_VOTER_TIMEOUT
+                && self.responsive_voters() >= MIN_VOTERS
         };
         let gone = self.voters.iter().find(|id| is_replaced(**id) || is_silent(**id));
         let idle = |id: &&ReplicaId| {
-            self.silence_of(**id) >= SILENT_VOTER_TIMEOUT && !self.joining.contains(id)
+            self.time_since_contact(**id) >= SILENT_VOTER_TIMEOUT && !self.joining.contains(id)
         };
         let gone = gone.filter(|_| self.keeps_majority()).or(self.learners.iter().find(idle));
         gone.map(|id| MembershipChange::Remove(*id))
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -424,7 +424,7 @@
             self_id: self.id,
             voters: core.membership.voters,
             learners: core.membership.learners,
-            silence: core.last_contact,
+            last_contact: core.last_contact,
             joining: joining.map(|(id, _)| *id).collect(),
             retiring: goals.retiring,
             lagging: lagging.iter().map(|(id, _)| *id).collect(),
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -168,10 +168,10 @@
             .start("list of endpoints", move || EndpointListReader::new(reader.clone()).run());
         if let Some(address) = self.settings.operator_address {
             let socket = listen(address).await?;
-            let orders = OperatorServer::new(control);
-            let watching = orders.clone();
+            let operators = OperatorServer::new(control);
+            let watching = operators.clone();
             self.supervisor.start("suspensions", move || watching.clone().run_watch());
-            self.supervisor.start("orders", move || orders.clone().run(socket.clone()));
+            self.supervisor.start("orders", move || operators.clone().run(socket.clone()));
         }
         Ok(RunningInstance { replica: Some(replica), ..self.running() })
     }
@@ -190,13 +190,12 @@
         let report: Arc<dyn HeartbeatReport> = Arc::new(StoreReport { store: store.clone(), id });
         let heartbeats = fleet.clone();
         self.supervisor.start("beats", move || heartbeats.clone().run(report.clone()));
-        let joined = store.clone();
         let member = StoreMember {
             settings: self.settings.clone(),
             fleet: fleet.clone(),
             client: self.client.clone(),
             clock: self.clock.clone(),
-            store: joined,
+            store: store.clone(),
         };
         let stop = self.stop.clone();
         tokio::spawn(async move {
--- a/crates/relay/src/turns.rs
+++ b/crates/relay/src/turns.rs
@@ -2,8 +2,8 @@
 //!
 //! The state lives in the replicated log of the group. A front reserves tokens of a program's
 //! budget before it passes any on to the caller, and later settles the number it did pass on. If
-//! the front dies first, the reservation stays, because nobody knows how many of its tokens were
-//! used. All commands are idempotent.
+//! the front dies first, the reservation stays open until the account expires, because nobody knows
+//! how many of its tokens were used. All commands are idempotent.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use poplarspan_agreement::StateMachine;
@@ -19,7 +19,7 @@
 const RETAIN_MARGIN_MS: u64 = 10_000;
 /// Time between two sweeps for expired entries, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 5_000;
-/// Maximum number of turns before a turn; a longer chain cannot be continued.
+/// Maximum number of turns in a chain; a longer one cannot be continued.
 const MAX_CHAIN_TURNS: usize = 4096;
 
 /// Team and name of a program or turn.
--- a/crates/relay/tests/member_changes.rs
+++ b/crates/relay/tests/member_changes.rs
@@ -18,7 +18,7 @@
         self_id: voters[0],
         voters: voters.to_vec(),
         learners: Vec::new(),
-        silence: Vec::new(),
+        last_contact: Vec::new(),
         joining: Vec::new(),
         retiring: Vec::new(),
         lagging: Vec::new(),
@@ -33,7 +33,7 @@
 fn lost_disk() {
     let (a, b, c, new) = (id(1, 0), id(2, 0), id(3, 0), id(3, 7));
     let mut m = members(&[a, b, c]);
-    m.silence = vec![(c, LONG)];
+    m.last_contact = vec![(c, LONG)];
     assert_eq!(m.next_change(), None, "a group of three is not shrunk");
     m.joining = vec![new];
     assert_eq!(m.next_change(), Some(MembershipChange::AddLearner(new)));
@@ -52,7 +52,7 @@
 fn replaced_machine() {
     let (a, b, c, d) = (id(1, 0), id(2, 0), id(3, 0), id(4, 9));
     let mut m = members(&[a, b, c, d]);
-    m.silence = vec![(c, LONG)];
+    m.last_contact = vec![(c, LONG)];
     assert_eq!(m.next_change(), Some(MembershipChange::Remove(c)));
 }
 
@@ -87,7 +87,7 @@
 fn drained_among_unresponsive() {
     let voters: Vec<_> = (0..7).map(|n| id(n, 0)).collect();
     let mut m = members(&voters);
-    m.silence = [1, 3, 5].map(|at| (voters[at], LONG)).to_vec();
+    m.last_contact = [1, 3, 5].map(|at| (voters[at], LONG)).to_vec();
     m.retiring = vec![voters[6]];
     assert_ne!(m.next_change(), Some(MembershipChange::Remove(voters[6])));
 }
@@ -119,9 +119,9 @@
     m.time_as_leader = Duration::from_millis(500);
     assert_eq!(m.next_change(), None);
     m.time_as_leader = LONG;
-    m.silence = vec![(voters[1], Duration::from_secs(1))];
+    m.last_contact = vec![(voters[1], Duration::from_secs(1))];
     assert_eq!(m.next_change(), None);
-    m.silence.clear();
+    m.last_contact.clear();
     m.self_id = voters[1];
     assert_eq!(m.next_change(), None);
 }
@@ -148,7 +148,7 @@
             let at = voters.iter().position(|v| v == id).unwrap_or(0);
             at > 0 && silent[at]
         };
-        m.silence = voters.iter().map(|v| (*v, if is_silent(v) { LONG } else { NOW })).collect();
+        m.last_contact = voters.iter().map(|v| (*v, if is_silent(v) { LONG } else { NOW })).collect();
         m.retiring = voters.iter().enumerate().filter(|(at, _)| leaving[*at]).map(|(_, v)| *v).collect();
         m.joining = (0..joins).map(|n| id(20 + n, 1)).collect();
         if let Some(MembershipChange::Remove(gone)) = m.next_change() {
