--- a/crates/relay/src/front/handler.rs
+++ b/crates/relay/src/front/handler.rs
@@ -1,4 +1,4 @@
-//! Admits a call and answers it.
+//! Admits calls and answers them.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -13,40 +13,41 @@
 
 use super::{
     Front,
-    attempt::{Attempts, Begun, Call},
-    body::{self, AnswerBody},
+    attempt::{Attempts, Call, StartedResponse},
+    body::{self, ResponseBody},
     endpoints::{Outcome, blocks},
     events::EventReader,
-    memory::{Held, ReadError},
-    programs::{OpenTurn, TurnName, TurnNeeds},
+    memory::{MemoryReservation, ReadError},
+    programs::{OpenTurn, TurnName, TurnRequirements},
     rates::Token,
     refusal::Refusal,
-    schedule::{Slot, Want},
-    stream::{Keeping, Relaying, tokens_per_event},
+    schedule::{PlacementRequest, Slot},
+    stream::{StreamRelay, TurnRecording, tokens_per_event},
 };
 use crate::{CallHead, ProgramHead, Publication, Route, RouteKind, Team};
 
-/// Largest answer that is not a stream, in bytes.
+/// Maximum size of a response that is not a stream, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// Time in which the body of a request must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When a call may come back while the front holds no lease; about the time of an election.
-const COME_BACK: Duration = Duration::from_millis(400);
-/// When a call that another front can serve may come back.
-const ELSEWHERE: Duration = Duration::from_millis(10);
+/// When to retry while the front holds no lease; about the length of an election.
+const RETRY_AFTER: Duration = Duration::from_millis(400);
+/// When to retry a call that another front can serve.
+const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(10);
 /// Cost of a call to a plain service, in tokens.
 const SERVICE_COST: u64 = 64;
-/// Prompt tokens that cost as much as one generated token, as most of a prompt is cached.
+/// Number of prompt tokens that cost as much as one generated token; most of a prompt is usually
+/// cached.
 const PROMPT_DISCOUNT: u64 = 16;
-/// Urgency at an engine of the most urgent calls; more urgent values are left free.
+/// Engine priority of the most urgent calls. More urgent values are reserved.
 const FIRST_URGENCY: u8 = 3;
-/// Steps of urgency between two priorities.
+/// Difference in engine priority between two route priorities.
 const URGENCY_STEP: u8 = 2;
 const LEAST_URGENCY: u8 = 9;
-/// Of the calls that end well, one in this many is logged; of all others, each.
-const SAMPLE: u64 = 16;
+/// One in this many successful calls is logged. Other calls are always logged.
+const LOG_SAMPLE: u64 = 16;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const HOP_HEADERS: [header::HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -56,8 +57,8 @@
     header::PROXY_AUTHENTICATE,
 ];
 
-/// Writes the log line of a call when it has ended.
-pub(crate) struct Ending {
+/// Metrics and log line of a call, written when dropped.
+pub(crate) struct CallRecord {
     id: Name,
     program: Option<Name>,
     route: Option<Name>,
@@ -73,7 +74,7 @@
     outcome: &'static str,
 }
 
-impl Ending {
+impl CallRecord {
     fn new(head: &CallHead, started: Instant) -> Self {
         Self {
             id: head.id.clone(),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Says how the call has ended.
+    /// Sets the outcome of the call.
     pub(crate) fn finish(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
@@ -107,11 +108,11 @@
             return true;
         }
         let digest = blake3::hash(self.id.as_bytes());
-        u64::from(digest.as_bytes()[0]) % SAMPLE == 0
+        u64::from(digest.as_bytes()[0]) % LOG_SAMPLE == 0
     }
 }
 
-impl Drop for Ending {
+impl Drop for CallRecord {
     fn drop(&mut self) {
         let took = self.started.elapsed();
         let outcome = self.outcome;
@@ -144,18 +145,18 @@
 }
 
 impl Front {
-    /// Answers a call.
-    pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Response<AnswerBody> {
+    /// Handles a call.
+    pub(crate) async fn handle(self: Arc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
         let started = Instant::now();
         let (parts, body) = req.into_parts();
-        let mut answer = match self.dialect.call(&parts) {
+        let mut answer = match self.protocol.parse_call(&parts) {
             Ok(head) => {
-                let ending = Ending::new(&head, started);
-                self.clone().answer(parts, head, body, ending).await
+                let record = CallRecord::new(&head, started);
+                self.clone().answer(parts, head, body, record).await
             }
             Err(e) => {
                 let error = e.to_string();
-                log::info!(error = error.as_str(); "malformed call");
+                log::info!(error = error.as_str(); "malformed request");
                 self.refuse(&Refusal::new(StatusCode::BAD_REQUEST, "malformed", error))
             }
         };
@@ -171,61 +172,66 @@
         parts: request::Parts,
         head: CallHead,
         body: Incoming,
-        mut ending: Ending,
-    ) -> Response<AnswerBody> {
-        let admitted = match self.admit(parts, head, body, &mut ending).await {
+        mut record: CallRecord,
+    ) -> Response<ResponseBody> {
+        let admitted = match self.admit(parts, head, body, &mut record).await {
             Ok(admitted) => admitted,
             Err(refusal) => {
-                ending.status = refusal.status.as_u16();
-                ending.finish(refusal.code);
+                record.status = refusal.status.as_u16();
+                record.finish(refusal.code);
                 return self.refuse(&refusal);
             }
         };
-        self.run(admitted, ending).await
+        self.run(admitted, record).await
     }
 
-    fn refuse(&self, refusal: &Refusal) -> Response<AnswerBody> {
+    fn refuse(&self, refusal: &Refusal) -> Response<ResponseBody> {
         metrics::counter!("poplarspan_relay_refusals_total", "code" => refusal.code).increment(1);
-        let text = self.dialect.fault(&refusal.message);
-        let mut answer = Response::new(body::whole(text));
+        let text = self.protocol.error_body(&refusal.message);
+        let mut answer = Response::new(body::full(text));
         *answer.status_mut() = refusal.status;
-        if let Some(after) = refusal.come_back {
-            let (name, value) = self.dialect.come_back(after);
+        if let Some(after) = refusal.retry_after {
+            let (name, value) = self.protocol.retry_after_header(after);
             answer.headers_mut().insert(name, value);
         }
         answer
     }
 
-    /// Checks whether and as whom a call may run.
+    /// Checks that a call may run, and determines its team, deadline and turn.
     async fn admit(
         self: &Arc<Self>,
         parts: request::Parts,
         head: CallHead,
         body: Incoming,
-        ending: &mut Ending,
-    ) -> Result<Admitted, Refusal> {
+        record: &mut CallRecord,
+    ) -> Result<AdmittedCall, Refusal> {
         let view = self.fleet.view();
         let Some(publication) = view.publication.clone() else {
-            return Err(Refusal::not_now("not_ready", "nothing has been published", COME_BACK));
+            return Err(Refusal::retry_later(
+                "not_ready",
+                "nothing has been published",
+                RETRY_AFTER,
+            ));
         };
-        ending.version = publication.version;
+        record.version = publication.version;
         let Some(lease_left) = self.fleet.lease_left() else {
-            return Err(Refusal::not_now("no_lease", "the front holds no lease", COME_BACK));
+            return Err(Refusal::retry_later("no_lease", "the front holds no lease", RETRY_AFTER));
         };
-        ending.lease_left = lease_left;
+        record.lease_left = lease_left;
         let Some(route) = publication.route(&head.host, parts.uri.path()).cloned() else {
             return Err(Refusal::new(StatusCode::NOT_FOUND, "unknown_route", "no such route"));
         };
-        ending.route = Some(route.name.clone());
+        record.route = Some(route.name.clone());
         let team = team_of(&publication, &route, &head)?.cloned();
-        ending.team = team.as_ref().map(|t| t.name.clone());
+        record.team = team.as_ref().map(|t| t.name.clone());
         let time = head.time_left.map_or(route.timeout, |left| left.min(route.timeout));
-        let deadline = ending.started + time;
+        let deadline = record.started + time;
         if self.fleet.ends_at().is_some_and(|end| deadline > end) {
             let message = "the instance ends before the call could";
-            return Err(Refusal::not_now("shutting_down", message, ELSEWHERE));
+            return Err(Refusal::retry_later("shutting_down", message, RETRY_ELSEWHERE_AFTER));
         }
-        let (body, held) = self.read_body(body, publication.limits.max_body, deadline).await?;
+        let (body, reservation) =
+            self.read_body(body, publication.limits.max_body, deadline).await?;
         let token = match &team {
             Some(team) => {
                 let program = head.program.as_ref().map(|p| &p.id);
@@ -234,20 +240,20 @@
             None => Token::Free,
         };
         let begun = self.begin_turn(&route, &head, team.as_ref(), body, deadline).await;
-        let (turn, keeping, body) = match begun {
+        let (turn, recording, body) = match begun {
             Ok(begun) => begun,
             Err(refusal) => {
-                // Programs that go on after their budget is spent must not use up their team's rate.
+                // Calls of programs that have spent their budget must not use up the team's rate.
                 self.rates.give_back(token);
                 return Err(refusal);
             }
         };
-        let body = (body, held);
+        let body = (body, reservation);
         let call = self.call(parts, head, body, route, team.as_ref(), deadline, &publication);
-        Ok(Admitted { call: Arc::new(call), turn, keeping })
+        Ok(AdmittedCall { call: Arc::new(call), turn, recording })
     }
 
-    /// Begins a turn, if the call is one whose tokens are counted or whose history is kept.
+    /// Begins a turn if the call has a token budget or its turn is kept.
     async fn begin_turn(
         &self,
         route: &Route,
@@ -255,7 +261,7 @@
         team: Option<&Team>,
         body: Bytes,
         deadline: Instant,
-    ) -> Result<(Option<OpenTurn>, Option<Keeping>, Bytes), Refusal> {
+    ) -> Result<(Option<OpenTurn>, Option<TurnRecording>, Bytes), Refusal> {
         let is_stream = matches!(route.kind, RouteKind::Stream { .. });
         let Some(program) = head.program.as_ref().filter(|_| is_stream) else {
             return Ok((None, None, body));
@@ -269,14 +275,14 @@
             program: program.id.clone(),
             turn: head.id.clone(),
         };
-        let needs = TurnNeeds {
+        let needs = TurnRequirements {
             most: u64::from(head.max_output_tokens),
             budget: program.token_budget,
             previous,
             deadline,
         };
         let (turn, history) = self.programs.begin(&name, needs).await?;
-        let keeping = route.retain.map(|_| Keeping {
+        let recording = route.retain.map(|_| TurnRecording {
             history: history.clone(),
             input: body.clone(),
             previous: previous.cloned(),
@@ -285,12 +291,12 @@
         let body = if history.is_empty() {
             body
         } else {
-            let mut whole = BytesMut::with_capacity(history.len() + body.len());
-            whole.put(history);
-            whole.put(body);
-            whole.freeze()
+            let mut combined = BytesMut::with_capacity(history.len() + body.len());
+            combined.put(history);
+            combined.put(body);
+            combined.freeze()
         };
-        Ok((Some(turn), keeping, body))
+        Ok((Some(turn), recording, body))
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -298,25 +304,25 @@
         &self,
         parts: request::Parts,
         head: CallHead,
-        (body, held): (Bytes, Held),
+        (body, reservation): (Bytes, MemoryReservation),
         route: Route,
         team: Option<&Team>,
         deadline: Instant,
         publication: &Publication,
     ) -> Call {
-        let line = line_of(&head);
-        let hash = blake3::hash(line.as_ref().unwrap_or(&head.id).as_bytes());
+        let conversation = affinity_of(&head);
+        let hash = blake3::hash(conversation.as_ref().unwrap_or(&head.id).as_bytes());
         let hash = u64::from_le_bytes(*hash.as_bytes().first_chunk().expect("32 bytes"));
         let service = route.service(hash).clone();
         let is_engine = publication.service(&service).is_some_and(|s| s.engine.is_some());
         let priority = team.and_then(|t| t.priority).unwrap_or(route.priority);
         let urgency = FIRST_URGENCY.saturating_add(priority.saturating_mul(URGENCY_STEP));
         let left = deadline.saturating_duration_since(Instant::now());
-        let want = Want {
+        let placement = PlacementRequest {
             service,
             team: team.map_or_else(|| "".into(), |t| t.name.clone()),
             program: head.program.as_ref().map(|p| p.id.clone()),
-            line,
+            conversation,
             parts: head.prompt.as_slice().into(),
             blocks: blocks(&head.prompt).into(),
             prompt_tokens: head.prompt.iter().map(|p| p.tokens).sum(),
@@ -330,59 +336,63 @@
             body,
             route,
             team: team.map(|t| t.name.clone()),
-            want: Arc::new(want),
+            placement: Arc::new(placement),
             urgency: is_engine.then_some(urgency.min(LEAST_URGENCY)),
             deadline,
             head,
-            _held: held,
+            _memory: reservation,
             fingerprint: OnceLock::new(),
         }
     }
 
-    async fn run(self: Arc<Self>, admitted: Admitted, mut ending: Ending) -> Response<AnswerBody> {
+    async fn run(
+        self: Arc<Self>,
+        admitted: AdmittedCall,
+        mut record: CallRecord,
+    ) -> Response<ResponseBody> {
         let mut attempts = Attempts::new(self.clone(), admitted.call.clone());
         let refusal = loop {
-            let begun = attempts.next(None).await;
-            ending.attempts(&attempts);
-            let begun = match begun {
+            let started = attempts.next(None).await;
+            record.attempts(&attempts);
+            let started = match started {
                 Ok(begun) => begun,
                 Err(refusal) => break refusal,
             };
-            ending.status = begun.parts.status.as_u16();
+            record.status = started.parts.status.as_u16();
             let is_stream = matches!(admitted.call.route.kind, RouteKind::Stream { .. });
-            if is_stream && begun.parts.status.is_success() {
-                return self.stream(admitted, attempts, begun, ending);
+            if is_stream && started.parts.status.is_success() {
+                return self.stream(admitted, attempts, started, record);
             }
-            match self.collect(begun, admitted.call.deadline).await {
+            match self.collect(started, admitted.call.deadline).await {
                 Ok(answer) => {
                     attempts.answered();
-                    ending.finish("answered");
+                    record.finish("answered");
                     return answer;
                 }
                 Err((slot, cause)) => attempts.failed(slot, &cause),
             }
             if !attempts.may_retry() {
-                break attempts.lost();
+                break attempts.unknown_outcome();
             }
         };
-        debug_assert!(attempts.ran == 0 || !refusal.promises_not_run());
-        ending.status = refusal.status.as_u16();
-        ending.finish(refusal.code);
+        debug_assert!(attempts.ran == 0 || !refusal.guarantees_not_run());
+        record.status = refusal.status.as_u16();
+        record.finish(refusal.code);
         self.refuse(&refusal)
     }
 
-    /// Reads an answer whole. Returns the place at the endpoint if it was cut short, and why.
+    /// Reads a complete response. On failure returns the slot and the cause.
     async fn collect(
         &self,
-        begun: Begun,
+        started: StartedResponse,
         deadline: Instant,
-    ) -> Result<Response<AnswerBody>, (Slot, String)> {
-        let Begun { parts, body, reuse, slot } = begun;
+    ) -> Result<Response<ResponseBody>, (Slot, String)> {
+        let StartedResponse { parts, body, reuse, slot } = started;
         match self.memory.collect(body, MAX_ANSWER_BYTES, deadline).await {
-            Ok((body, held)) => {
+            Ok((body, reservation)) => {
                 reuse.finish();
                 slot.finish(Outcome::Answered);
-                let mut answer = Response::new(body::held(body, held));
+                let mut answer = Response::new(body::reserved(body, reservation));
                 *answer.status_mut() = parts.status;
                 *answer.headers_mut() = end_to_end(&parts.headers);
                 answer.headers_mut().remove(header::CONTENT_LENGTH);
@@ -398,7 +408,7 @@
         body: Incoming,
         max: usize,
         deadline: Instant,
-    ) -> Result<(Bytes, Held), Refusal> {
+    ) -> Result<(Bytes, MemoryReservation), Refusal> {
         let until = deadline.min(Instant::now() + BODY_TIMEOUT);
         self.memory.collect(body, max, until).await.map_err(|e| {
             let message = e.to_string();
@@ -406,53 +416,55 @@
                 ReadError::TooLarge(_) => {
                     Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "too_large", message)
                 }
-                ReadError::NoRoom => Refusal::not_now("no_memory", message, COME_BACK),
-                ReadError::Broken(_) => {
+                ReadError::OutOfMemory => Refusal::retry_later("no_memory", message, RETRY_AFTER),
+                ReadError::Interrupted(_) => {
                     Refusal::new(StatusCode::BAD_REQUEST, "broken_body", message)
                 }
-                ReadError::Late => Refusal::new(StatusCode::REQUEST_TIMEOUT, "late_body", message),
+                ReadError::Timeout => {
+                    Refusal::new(StatusCode::REQUEST_TIMEOUT, "late_body", message)
+                }
             }
         })
     }
 
-    /// Hands on a stream.
+    /// Starts relaying a stream.
     fn stream(
         self: &Arc<Self>,
-        admitted: Admitted,
+        admitted: AdmittedCall,
         attempts: Attempts,
-        begun: Begun,
-        ending: Ending,
-    ) -> Response<AnswerBody> {
-        let Admitted { call, turn, keeping } = admitted;
+        started: StartedResponse,
+        record: CallRecord,
+    ) -> Response<ResponseBody> {
+        let AdmittedCall { call, turn, recording } = admitted;
         let mut answer = Response::new(());
-        *answer.status_mut() = begun.parts.status;
-        *answer.headers_mut() = end_to_end(&begun.parts.headers);
+        *answer.status_mut() = started.parts.status;
+        *answer.headers_mut() = end_to_end(&started.parts.headers);
         answer.headers_mut().remove(header::CONTENT_LENGTH);
-        let relaying = Relaying {
+        let relay = StreamRelay {
             attempts,
-            begun: Some(begun),
+            response: Some(started),
             reader: EventReader::default(),
             last_event: call.head.last_event.clone(),
             events: 0,
-            tokens_per_event: tokens_per_event(self, &call.want.service),
+            tokens_per_event: tokens_per_event(self, &call.placement.service),
             turn,
-            keeping,
-            ending,
+            recording,
+            record,
             is_done: false,
-            held: self.memory.hold(),
+            reservation: self.memory.reserve(),
         };
-        answer.map(|()| relaying.into_body())
+        answer.map(|()| relay.into_body())
     }
 }
 
-/// A call that may run.
-struct Admitted {
+/// A call that has been admitted.
+struct AdmittedCall {
     call: Arc<Call>,
     turn: Option<OpenTurn>,
-    keeping: Option<Keeping>,
+    recording: Option<TurnRecording>,
 }
 
-/// Headers of an answer without those that concern one connection only.
+/// Returns the headers of a response without the hop-by-hop ones.
 fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut headers = headers.clone();
     for name in &HOP_HEADERS {
@@ -462,7 +474,7 @@
     headers
 }
 
-/// The team whose key a call carries; none on open routes.
+/// The team whose key a call carries; `None` if no key is needed.
 fn team_of<'a>(
     publication: &'a Publication,
     route: &Route,
@@ -477,16 +489,17 @@
     publication.team_of(key).map(Some).ok_or_else(|| refusal("the key is unknown"))
 }
 
-/// What keeps calls together at an endpoint: the line of turns, or the object that they are about.
-fn line_of(head: &CallHead) -> Option<Name> {
-    let line = |p: &ProgramHead| p.line.clone().unwrap_or_else(|| p.id.clone());
+/// Key that keeps related calls at one endpoint: the conversation, or for plain services the
+/// affinity key.
+fn affinity_of(head: &CallHead) -> Option<Name> {
+    let conversation = |p: &ProgramHead| p.conversation.clone().unwrap_or_else(|| p.id.clone());
     if head.prompt.is_empty() {
         return head.affinity.clone();
     }
-    head.program.as_ref().map(line)
+    head.program.as_ref().map(conversation)
 }
 
-/// Estimated service, in generated tokens.
+/// Estimated service cost in generated tokens.
 fn cost(head: &CallHead) -> u64 {
     if head.prompt.is_empty() {
         return SERVICE_COST;
--- a/crates/relay/src/front/quarantine.rs
+++ b/crates/relay/src/front/quarantine.rs
@@ -1,14 +1,14 @@
-//! The front's part in the quarantine of requests under which endpoints end.
+//! The front's part of the quarantine of requests that endpoints terminate under.
 //!
-//! A front tells the leader of the control group when an endpoint has ended while it may have been
-//! running a request, and learns with its lease which requests are suspects and which are refused.
-//! A suspect runs only with the leader's word that it runs nowhere else. A request that was answered
-//! here a short time ago is no reason for the end of an endpoint, so that the same request of many
-//! callers is not suspected when several endpoints end.
+//! A front reports to the control leader when an endpoint terminated while it may have been running
+//! a request. With its lease it receives the lists of suspected and refused requests. A suspect
+//! only runs after the leader has confirmed that it runs nowhere else. A request that was recently
+//! answered through this front is not reported, so that a request sent by many callers is not
+//! suspected when several endpoints terminate for other reasons.
 //!
-//! Owner: the leader; a front only has the list of its last lease, and the events that it has not
-//! passed on yet. These are dropped when they cannot be passed on in time: a front that is cut off
-//! cannot tell an endpoint that has ended from one that it does not reach.
+//! The leader owns the quarantine. A front has the lists of its last heartbeat and the events that
+//! it has not delivered yet. Undelivered events are dropped after a while, because a partitioned
+//! front cannot tell a terminated endpoint from an unreachable one.
 
 use std::{
     net::SocketAddr,
@@ -30,38 +30,39 @@
     time::{Instant, sleep},
 };
 
-use super::{answered::Answered, attempt::Call, endpoints::Chosen};
-use crate::{board::write_fingerprint, fleet::Fleet};
+use super::{answered::AnsweredRequests, attempt::Call, endpoints::ChosenEndpoint};
+use crate::{control_state::write_fingerprint, fleet_client::FleetClient};
 
-/// A look that finds that an endpoint has ended serves all calls that are lost there within this time.
-const LOOK_VALID: Duration = Duration::from_secs(1);
-/// Looks at an endpoint after a trial, and the time between two. It has ended if it accepts no
-/// connection in any of them.
-const TRIAL_LOOKS: u32 = 3;
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// Events of calls that are lost together go to the leader together.
-const GATHERING: Duration = Duration::from_millis(20);
+/// How long the result of a probe that found an endpoint down is shared with other calls that
+/// failed there.
+const PROBE_TTL: Duration = Duration::from_secs(1);
+/// Number of probes of an endpoint after a trial, and the time between them. The endpoint has
+/// terminated if it accepts no connection in any of them.
+const TRIAL_PROBES: u32 = 3;
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay before events are sent, so that those of calls that fail together form one batch.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 const RULING_TIMEOUT: Duration = Duration::from_millis(300);
-const RETRY: Duration = Duration::from_millis(60);
-/// Events that no leader has taken for this long are dropped; longer than an election takes.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Undelivered events are dropped after this time, which is longer than an election.
 const DROP_AFTER: Duration = Duration::from_secs(2);
-/// Events that wait; further ones are dropped.
-const MAX_WAITING: usize = 4_096;
+/// Maximum number of undelivered events; further ones are dropped.
+const MAX_PENDING: usize = 4_096;
 
-/// Whether a call may be sent to an endpoint.
-pub(crate) enum Entry {
+/// Decision whether a call may be sent to an endpoint.
+pub(crate) enum Admission {
     Free,
     OnTrial(Trial),
     /// Another suspect runs at the endpoint.
     EndpointTaken,
     /// The endpoint accepts no connection.
-    EndpointAway,
-    /// The request runs elsewhere, or no leader answers.
-    NotNow,
+    EndpointUnreachable,
+    /// The request runs elsewhere, or the leader did not answer.
+    Busy,
     Refused,
 }
 
-/// A run on trial. Dropping it says that the trial has shown nothing.
+/// A run on trial. When it is dropped, the leader is told that the trial is over.
 pub(crate) struct Trial {
     quarantine: Arc<Quarantine>,
     request: Fingerprint,
@@ -75,102 +76,113 @@
     }
 }
 
-struct Waiting {
+struct PendingEvent {
     event: SuspectEvent,
     since: Instant,
 }
 
-struct Look {
+struct Probe {
     address: SocketAddr,
     at: Instant,
     is_accepting: Shared<BoxFuture<'static, bool>>,
 }
 
-/// Quarantine as a front sees it.
+/// A front's view of the quarantine.
 pub(crate) struct Quarantine {
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetClient>,
     client: PeerClient,
     pool: Arc<Pool>,
-    waiting: Mutex<Vec<Waiting>>,
-    is_waiting: Notify,
-    looks: Mutex<Vec<Look>>,
-    answered: Mutex<Answered>,
+    pending: Mutex<Vec<PendingEvent>>,
+    event_added: Notify,
+    probes: Mutex<Vec<Probe>>,
+    answered: Mutex<AnsweredRequests>,
 }
 
 impl Quarantine {
-    pub(crate) fn new(fleet: Arc<Fleet>, client: PeerClient, pool: Arc<Pool>) -> Arc<Self> {
+    pub(crate) fn new(fleet: Arc<FleetClient>, client: PeerClient, pool: Arc<Pool>) -> Arc<Self> {
         Arc::new(Self {
             fleet,
             client,
             pool,
-            waiting: Mutex::default(),
-            is_waiting: Notify::new(),
-            looks: Mutex::default(),
+            pending: Mutex::default(),
+            event_added: Notify::new(),
+            probes: Mutex::default(),
             answered: Mutex::default(),
         })
     }
 
     /// Whether the request of a call is refused.
     pub(crate) fn is_refused(&self, call: &Call) -> bool {
-        let list = &self.fleet.view().quarantined.refused;
+        let list = &self.fleet.view().quarantine_list.refused;
         !list.is_empty() && list.binary_search(&call.fingerprint()).is_ok()
     }
 
     fn is_suspect(&self, call: &Call) -> bool {
-        let list = &self.fleet.view().quarantined.suspects;
+        let list = &self.fleet.view().quarantine_list.suspects;
         !list.is_empty() && list.binary_search(&call.fingerprint()).is_ok()
     }
 
-    /// Asks whether a call may be sent to an endpoint.
-    pub(crate) async fn enter(self: &Arc<Self>, call: &Call, endpoint: &Chosen) -> Entry {
+    /// Decides whether a call may be sent to an endpoint, asking the leader if the request is a
+    /// suspect.
+    pub(crate) async fn admit(
+        self: &Arc<Self>,
+        call: &Call,
+        endpoint: &ChosenEndpoint,
+    ) -> Admission {
         if self.is_refused(call) {
-            return Entry::Refused;
+            return Admission::Refused;
         }
         if !self.is_suspect(call) {
-            return Entry::Free;
+            return Admission::Free;
         }
         let request = call.fingerprint();
         let run_ms = u64::try_from(call.time_left().as_millis()).unwrap_or(u64::MAX);
         let begin = event(SuspectEventKind::Begin, request, &endpoint.name);
-        let rulings = self.tell(vec![SuspectEvent { run_ms, ..begin }]).await;
+        let rulings = self.send_events(vec![SuspectEvent { run_ms, ..begin }]).await;
         match rulings.as_deref().and_then(|rulings| rulings.first()) {
-            Some(SuspectRuling::Free) => Entry::Free,
+            Some(SuspectRuling::Free) => Admission::Free,
             Some(SuspectRuling::OnTrial) => {
                 let (quarantine, name) = (self.clone(), endpoint.name.clone());
                 let trial = Trial { quarantine, request, endpoint: name };
-                // An endpoint that has ended before says nothing of this run.
+                // If the endpoint is already down, its state says nothing about this run.
                 match self.pool.is_accepting(endpoint.address).await {
-                    true => Entry::OnTrial(trial),
-                    false => Entry::EndpointAway,
+                    true => Admission::OnTrial(trial),
+                    false => Admission::EndpointUnreachable,
                 }
             }
-            Some(SuspectRuling::EndpointTaken) => Entry::EndpointTaken,
-            Some(SuspectRuling::Refused) => Entry::Refused,
-            Some(SuspectRuling::Busy | SuspectRuling::Unspecified) | None => Entry::NotNow,
+            Some(SuspectRuling::EndpointTaken) => Admission::EndpointTaken,
+            Some(SuspectRuling::Refused) => Admission::Refused,
+            Some(SuspectRuling::Busy | SuspectRuling::Unspecified) | None => Admission::Busy,
         }
     }
 
-    /// Takes note that an endpoint has given no whole answer to a call, and finds out meanwhile
-    /// whether it has ended.
-    pub(crate) fn lost(self: &Arc<Self>, call: &Call, endpoint: &Chosen, trial: Option<Trial>) {
+    /// Records that an endpoint did not complete its response to a call, and checks in the
+    /// background whether the endpoint has terminated.
+    pub(crate) fn note_incomplete(
+        self: &Arc<Self>,
+        call: &Call,
+        endpoint: &ChosenEndpoint,
+        trial: Option<Trial>,
+    ) {
         let (this, request, endpoint) = (self.clone(), call.fingerprint(), endpoint.clone());
         if self.answered_requests().contains(request, Instant::now()) {
             return;
         }
         tokio::spawn(async move {
             let has_ended = match &trial {
-                Some(_) => this.has_ended_for_good(&endpoint).await,
-                None => !this.look(endpoint.address).await,
+                Some(_) => this.stays_unreachable(&endpoint).await,
+                None => !this.probe(endpoint.address).await,
             };
             if has_ended {
                 this.push(event(SuspectEventKind::EndpointEnded, request, &endpoint.name));
             }
-            // The trial is over only after the leader has the event.
+            // The end of the trial is queued after the event, so that the leader handles the event
+            // first.
             drop(trial);
         });
     }
 
-    /// Takes note that a call has a whole answer.
+    /// Records that a call has a complete response.
     pub(crate) fn answered(&self, call: &Call, trial: Option<Trial>) {
         self.answered_requests().insert(call.fingerprint(), Instant::now());
         if trial.is_some() || self.is_suspect(call) || self.is_refused(call) {
@@ -178,81 +190,81 @@
         }
     }
 
-    fn answered_requests(&self) -> MutexGuard<'_, Answered> {
+    fn answered_requests(&self) -> MutexGuard<'_, AnsweredRequests> {
         self.answered.lock().expect("no panic while locked")
     }
 
-    /// Whether an endpoint accepts no connection, and goes on so for a while.
-    async fn has_ended_for_good(&self, endpoint: &Chosen) -> bool {
-        for _ in 0..TRIAL_LOOKS {
+    /// Whether an endpoint accepts no connection in several probes.
+    async fn stays_unreachable(&self, endpoint: &ChosenEndpoint) -> bool {
+        for _ in 0..TRIAL_PROBES {
             if self.pool.is_accepting(endpoint.address).await {
                 return false;
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(PROBE_INTERVAL).await;
         }
         true
     }
 
-    /// Whether an endpoint accepts connections. Calls that are lost together share a look.
-    fn look(&self, address: SocketAddr) -> Shared<BoxFuture<'static, bool>> {
+    /// Whether an endpoint accepts connections. Calls that fail together share a probe.
+    fn probe(&self, address: SocketAddr) -> Shared<BoxFuture<'static, bool>> {
         let now = Instant::now();
-        let mut looks = self.looks.lock().expect("no panic while locked");
-        // One that has found an endpoint up says nothing of what came after it.
-        looks.retain(|l| now < l.at + LOOK_VALID && l.is_accepting.peek() != Some(&true));
-        if let Some(look) = looks.iter().find(|look| look.address == address) {
-            return look.is_accepting.clone();
+        let mut probes = self.probes.lock().expect("no panic while locked");
+        // A probe that found the endpoint up says nothing about later failures.
+        probes.retain(|p| now < p.at + PROBE_TTL && p.is_accepting.peek() != Some(&true));
+        if let Some(probe) = probes.iter().find(|probe| probe.address == address) {
+            return probe.is_accepting.clone();
         }
         let pool = self.pool.clone();
         let is_accepting = async move { pool.is_accepting(address).await }.boxed().shared();
-        looks.push(Look { address, at: now, is_accepting: is_accepting.clone() });
+        probes.push(Probe { address, at: now, is_accepting: is_accepting.clone() });
         is_accepting
     }
 
-    fn waiting(&self) -> MutexGuard<'_, Vec<Waiting>> {
-        self.waiting.lock().expect("no panic while locked")
+    fn pending(&self) -> MutexGuard<'_, Vec<PendingEvent>> {
+        self.pending.lock().expect("no panic while locked")
     }
 
     fn push(&self, event: SuspectEvent) {
-        let mut waiting = self.waiting();
-        if waiting.len() >= MAX_WAITING {
-            log::warn!("too many events of suspects wait; one is dropped");
+        let mut pending = self.pending();
+        if pending.len() >= MAX_PENDING {
+            log::warn!("too many undelivered suspect events; dropped one");
             return;
         }
-        waiting.push(Waiting { event, since: Instant::now() });
-        drop(waiting);
-        self.is_waiting.notify_one();
+        pending.push(PendingEvent { event, since: Instant::now() });
+        drop(pending);
+        self.event_added.notify_one();
     }
 
-    /// Passes events on to the leader, until the task is ended.
+    /// Sends events to the leader until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         loop {
-            if self.waiting().is_empty() {
-                self.is_waiting.notified().await;
-                sleep(GATHERING).await;
+            if self.pending().is_empty() {
+                self.event_added.notified().await;
+                sleep(BATCH_DELAY).await;
             }
-            let events: Vec<_> = self.waiting().iter().map(|w| w.event.clone()).collect();
+            let events: Vec<_> = self.pending().iter().map(|w| w.event.clone()).collect();
             let count = events.len();
             if count == 0 {
                 continue;
             }
-            if self.tell(events).await.is_some() {
-                // Events are only added at the end meanwhile.
-                self.waiting().drain(..count);
+            if self.send_events(events).await.is_some() {
+                // Other tasks only append events in the meantime.
+                self.pending().drain(..count);
                 continue;
             }
-            sleep(RETRY).await;
-            let mut waiting = self.waiting();
-            let before = waiting.len();
-            waiting.retain(|w| w.since.elapsed() < DROP_AFTER);
-            let dropped = before - waiting.len();
+            sleep(RETRY_PAUSE).await;
+            let mut pending = self.pending();
+            let before = pending.len();
+            pending.retain(|w| w.since.elapsed() < DROP_AFTER);
+            let dropped = before - pending.len();
             if dropped > 0 {
-                log::warn!(dropped; "no leader takes the events of suspects; the oldest are dropped");
+                log::warn!(dropped; "dropped suspect events that no control leader accepted");
             }
         }
     }
 
-    /// Tells the leader of events. None when it does not answer.
-    async fn tell(&self, events: Vec<SuspectEvent>) -> Option<Vec<SuspectRuling>> {
+    /// Sends events to the leader. Returns `None` if it does not answer.
+    async fn send_events(&self, events: Vec<SuspectEvent>) -> Option<Vec<SuspectRuling>> {
         let leader = self.fleet.leader()?;
         let body = request::Body::Suspects(peer::SuspectEvents { events });
         match self.client.call(leader, body, RULING_TIMEOUT).await {
