--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -13,13 +13,13 @@
 #[derive(Debug)]
 pub struct BootClock {
     start: Instant,
-    suspended_before: Duration,
+    suspended_at_start: Duration,
 }
 
 impl BootClock {
     /// Starts a clock.
     pub fn new() -> Self {
-        Self { start: Instant::now(), suspended_before: suspended() }
+        Self { start: Instant::now(), suspended_at_start: suspended_time() }
     }
 }
 
@@ -31,17 +31,17 @@
 
 impl Clock for BootClock {
     fn now(&self) -> Duration {
-        self.start.elapsed() + suspended().saturating_sub(self.suspended_before)
+        self.start.elapsed() + suspended_time().saturating_sub(self.suspended_at_start)
     }
 }
 
 /// Time for which the machine was suspended since it was started; zero where the system has no
 /// clock that counts it.
-fn suspended() -> Duration {
+fn suspended_time() -> Duration {
     let read = |id| clock_gettime(id).map(Duration::from);
     // The steady clock is read last, so that the difference is never too large.
     match (read(ClockId::CLOCK_BOOTTIME), read(ClockId::CLOCK_MONOTONIC)) {
-        (Ok(boot), Ok(steady)) => boot.saturating_sub(steady),
+        (Ok(boot), Ok(monotonic)) => boot.saturating_sub(monotonic),
         _ => Duration::ZERO,
     }
 }
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -17,47 +17,47 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// Tells whether a request may be sent at this moment.
-pub type Permission = Arc<dyn Fn() -> bool + Send + Sync>;
+pub type SendPermission = Arc<dyn Fn() -> bool + Send + Sync>;
 
 /// Bytes in which the head of an answer must end; more than the largest head, and what is read of
 /// the body with it.
-const MAX_HEAD_BYTES: usize = 256 * 1024;
+const MAX_HEAD_READ_BYTES: usize = 256 * 1024;
 
 #[derive(Default)]
-struct Request {
-    permission: Option<Permission>,
+struct GateState {
+    permission: Option<SendPermission>,
     is_refused: bool,
     /// Bytes that may arrive until the head of the answer is complete.
-    head_left: Option<usize>,
+    head_bytes_left: Option<usize>,
 }
 
-/// The side of a [`Gated`] stream that the sender of requests holds.
+/// The side of a [`GatedStream`] stream that the sender of requests holds.
 #[derive(Clone, Default)]
 pub(crate) struct Gate {
-    request: Arc<Mutex<Request>>,
+    state: Arc<Mutex<GateState>>,
 }
 
 impl Gate {
     /// Asks `permission` before the first byte of the next request.
-    pub(crate) fn arm(&self, permission: Permission) {
+    pub(crate) fn arm(&self, permission: SendPermission) {
         let permission = Some(permission);
-        let head_left = Some(MAX_HEAD_BYTES);
-        *self.locked() = Request { permission, is_refused: false, head_left };
+        let head_bytes_left = Some(MAX_HEAD_READ_BYTES);
+        *self.lock() = GateState { permission, is_refused: false, head_bytes_left };
     }
 
     /// Whether the request was refused. No byte of it has left then.
     pub(crate) fn is_refused(&self) -> bool {
-        self.locked().is_refused
+        self.lock().is_refused
     }
 
     /// Takes note that the head of the answer is complete.
-    pub(crate) fn head_arrived(&self) {
-        self.locked().head_left = None;
+    pub(crate) fn head_received(&self) {
+        self.lock().head_bytes_left = None;
     }
 
-    fn note_read(&self, bytes: usize) -> io::Result<()> {
-        let mut request = self.locked();
-        let Some(left) = &mut request.head_left else { return Ok(()) };
+    fn count_read(&self, bytes: usize) -> io::Result<()> {
+        let mut state = self.lock();
+        let Some(left) = &mut state.head_bytes_left else { return Ok(()) };
         let message = "the head of the answer does not end";
         *left = left
             .checked_sub(bytes)
@@ -65,38 +65,38 @@
         Ok(())
     }
 
-    fn check(&self) -> io::Result<()> {
-        let mut request = self.locked();
-        if request.is_refused || request.permission.as_ref().is_some_and(|may_send| !may_send()) {
-            request.is_refused = true;
+    fn check_permission(&self) -> io::Result<()> {
+        let mut state = self.lock();
+        if state.is_refused || state.permission.as_ref().is_some_and(|may_send| !may_send()) {
+            state.is_refused = true;
             return Err(io::ErrorKind::PermissionDenied.into());
         }
         Ok(())
     }
 
     /// The rest of a request whose first bytes have left is sent in any case.
-    fn note_written(&self) {
-        self.locked().permission = None;
+    fn clear_permission(&self) {
+        self.lock().permission = None;
     }
 
-    fn locked(&self) -> MutexGuard<'_, Request> {
-        self.request.lock().expect("no panic while locked")
+    fn lock(&self) -> MutexGuard<'_, GateState> {
+        self.state.lock().expect("no panic while locked")
     }
 }
 
 /// A stream whose writes pass a [`Gate`].
-pub(crate) struct Gated<S> {
+pub(crate) struct GatedStream<S> {
     stream: S,
     gate: Gate,
 }
 
-impl<S> Gated<S> {
+impl<S> GatedStream<S> {
     pub(crate) fn new(stream: S, gate: Gate) -> Self {
         Self { stream, gate }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Gated<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for GatedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -105,22 +105,22 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if read.is_ready() {
-            self.gate.note_read(buf.filled().len() - before)?;
+            self.gate.count_read(buf.filled().len() - before)?;
         }
         read
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Gated<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for GatedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.gate.check()?;
+        self.gate.check_permission()?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         if matches!(written, Poll::Ready(Ok(1..))) {
-            self.gate.note_written();
+            self.gate.clear_permission();
         }
         written
     }
@@ -130,10 +130,10 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.gate.check()?;
+        self.gate.check_permission()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
         if matches!(written, Poll::Ready(Ok(1..))) {
-            self.gate.note_written();
+            self.gate.clear_permission();
         }
         written
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod supervisor;
 
 pub use clock::BootClock;
-pub use gate::Permission;
+pub use gate::SendPermission;
 pub use peer::{CallError, Credentials, PeerClient, TlsFiles};
 pub use probes::Readiness;
 pub use supervisor::Supervisor;
--- a/crates/node/src/peer/agreement.rs
+++ b/crates/node/src/peer/agreement.rs
@@ -15,72 +15,72 @@
 use super::{client::PeerClient, frame};
 
 /// Messages that may wait for one peer and group; more are dropped, as the log allows.
-const QUEUE: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 /// Messages that go into one batch.
-const MAX_BATCH: usize = 64;
+const MAX_BATCH_MESSAGES: usize = 64;
 /// Bytes of several messages in one frame.
 const MAX_BATCH_BYTES: usize = frame::MAX_FRAME_BYTES / 2;
 /// Time after which a peer that takes nothing is given up until the next message.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Finds the address of a control replica.
-pub type FindReplica = Arc<dyn Fn(u64) -> Option<SocketAddr> + Send + Sync>;
+pub type ReplicaLookup = Arc<dyn Fn(u64) -> Option<SocketAddr> + Send + Sync>;
 
-type Key = (ReplicaId, GroupId);
+type QueueKey = (ReplicaId, GroupId);
 
 /// Sends messages to the other replicas. It may lose them; it never blocks.
 pub struct AgreementTransport {
-    lane: Arc<LaneConfig>,
+    cfg: Arc<SenderConfig>,
     // Sorted by key.
-    lanes: Mutex<Vec<(Key, mpsc::Sender<PeerMessage>)>>,
+    queues: Mutex<Vec<(QueueKey, mpsc::Sender<PeerMessage>)>>,
 }
 
-struct LaneConfig {
-    me: ReplicaId,
+struct SenderConfig {
+    replica: ReplicaId,
     folder: FolderId,
-    /// Peer address of `me`, for replicas that do not know it yet.
+    /// Peer address of `replica`, for replicas that do not know it yet.
     address: String,
     client: PeerClient,
-    find: FindReplica,
+    lookup: ReplicaLookup,
 }
 
 impl AgreementTransport {
-    /// Returns a transport for the replica `me`, whose data folder is `folder`. With `address`, each
+    /// Returns a transport for `replica`, whose data folder is `folder`. With `address`, each
     /// batch says where the replica is.
     pub fn new(
-        me: ReplicaId,
+        replica: ReplicaId,
         folder: FolderId,
         address: Option<SocketAddr>,
         client: PeerClient,
-        find: FindReplica,
+        lookup: ReplicaLookup,
     ) -> Arc<Self> {
         let address = address.map(|a| a.to_string()).unwrap_or_default();
-        let lane = Arc::new(LaneConfig { me, folder, address, client, find });
-        Arc::new(Self { lane, lanes: Mutex::default() })
+        let cfg = Arc::new(SenderConfig { replica, folder, address, client, lookup });
+        Arc::new(Self { cfg, queues: Mutex::default() })
     }
 }
 
 impl Transport for AgreementTransport {
     fn send(&self, to: ReplicaId, message: PeerMessage) {
         let key = (to, message.group);
-        let mut lanes = self.lanes.lock().expect("no panic while locked");
-        let i = lanes.binary_search_by_key(&key, |(k, _)| *k).unwrap_or_else(|i| {
-            let (tx, rx) = mpsc::channel(QUEUE);
-            tokio::spawn(run_lane(self.lane.clone(), to, rx));
-            lanes.insert(i, (key, tx));
+        let mut queues = self.queues.lock().expect("no panic while locked");
+        let i = queues.binary_search_by_key(&key, |(k, _)| *k).unwrap_or_else(|i| {
+            let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
+            tokio::spawn(run_sender(self.cfg.clone(), to, rx));
+            queues.insert(i, (key, tx));
             i
         });
-        if lanes[i].1.try_send(message).is_err() {
+        if queues[i].1.try_send(message).is_err() {
             metrics::counter!("poplarspan_agreement_dropped_total").increment(1);
         }
     }
 }
 
 /// Sends the messages to one peer for one group until the transport is dropped.
-async fn run_lane(cfg: Arc<LaneConfig>, to: ReplicaId, mut rx: mpsc::Receiver<PeerMessage>) {
+async fn run_sender(cfg: Arc<SenderConfig>, to: ReplicaId, mut rx: mpsc::Receiver<PeerMessage>) {
     let mut stream = None;
-    let mut batch = Vec::with_capacity(MAX_BATCH);
-    while rx.recv_many(&mut batch, MAX_BATCH).await > 0 {
+    let mut batch = Vec::with_capacity(MAX_BATCH_MESSAGES);
+    while rx.recv_many(&mut batch, MAX_BATCH_MESSAGES).await > 0 {
         let sent = timeout(SEND_TIMEOUT, send_batch(&cfg, to, &mut stream, &batch)).await;
         if !matches!(sent, Ok(Ok(()))) {
             // A new stream starts at the next message; the log resends what was lost.
@@ -91,14 +91,14 @@
     }
 }
 
-fn new_frame(cfg: &LaneConfig) -> AgreementBatch {
+fn empty_batch(cfg: &SenderConfig) -> AgreementBatch {
     let folder = Bytes::copy_from_slice(&cfg.folder.0.to_be_bytes());
     let address = cfg.address.clone();
-    AgreementBatch { from: cfg.me.0, folder, messages: Vec::new(), address }
+    AgreementBatch { from: cfg.replica.0, folder, messages: Vec::new(), address }
 }
 
 async fn send_batch(
-    cfg: &LaneConfig,
+    cfg: &SenderConfig,
     to: ReplicaId,
     stream: &mut Option<quinn::SendStream>,
     batch: &[PeerMessage],
@@ -106,18 +106,18 @@
     let tx = match stream {
         Some(tx) => tx,
         None => {
-            let address = (cfg.find)(to.0).context("no address is known")?;
+            let address = (cfg.lookup)(to.0).context("no address is known")?;
             let connection = cfg.client.connection(address).await?;
             stream.insert(connection.open_uni().await?)
         }
     };
     metrics::counter!("poplarspan_agreement_messages_total").increment(batch.len() as u64);
-    let mut frame = new_frame(cfg);
+    let mut frame = empty_batch(cfg);
     let mut bytes = 0;
     for message in batch.iter().map(PeerMessage::encode) {
         // Several large messages together may not fit into one frame.
         if bytes + message.len() > MAX_BATCH_BYTES && !frame.messages.is_empty() {
-            frame::write(tx, &std::mem::replace(&mut frame, new_frame(cfg))).await?;
+            frame::write(tx, &std::mem::replace(&mut frame, empty_batch(cfg))).await?;
             bytes = 0;
         }
         bytes += message.len();
--- a/crates/node/src/peer/client.rs
+++ b/crates/node/src/peer/client.rs
@@ -90,12 +90,12 @@
         let answer = match tokio::time::timeout(timeout, exchange).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(e)) => {
-                self.forget(address, &connection);
+                self.remove_connection(address, &connection);
                 return Err(unknown(e.to_string()));
             }
             Err(_) => {
                 // The peer may have been restarted, in which case it does not know the connection.
-                self.forget(address, &connection);
+                self.remove_connection(address, &connection);
                 return Err(unknown(format!("nothing arrived within {timeout:?}")));
             }
         };
@@ -108,7 +108,7 @@
 
     /// Returns an open connection to the peer, making one if needed.
     pub async fn connection(&self, address: SocketAddr) -> Result<quinn::Connection, CallError> {
-        if let Some(connection) = self.open_connection(address) {
+        if let Some(connection) = self.cached_connection(address) {
             return Ok(connection);
         }
         let unreachable = |cause: String| CallError::Unreachable { address, cause };
@@ -128,7 +128,7 @@
         Ok(connection)
     }
 
-    fn open_connection(&self, address: SocketAddr) -> Option<quinn::Connection> {
+    fn cached_connection(&self, address: SocketAddr) -> Option<quinn::Connection> {
         let open = self.connections.lock().expect("no panic while locked");
         let i = open.binary_search_by_key(&address, |(a, _)| *a).ok()?;
         let connection = &open[i].1;
@@ -136,7 +136,7 @@
     }
 
     /// Makes the next call to the peer use a new connection instead of this one.
-    pub fn forget(&self, address: SocketAddr, connection: &quinn::Connection) {
+    pub fn remove_connection(&self, address: SocketAddr, connection: &quinn::Connection) {
         let mut open = self.connections.lock().expect("no panic while locked");
         if let Ok(i) = open.binary_search_by_key(&address, |(a, _)| *a)
             && open[i].1.stable_id() == connection.stable_id()
--- a/crates/node/src/peer/mod.rs
+++ b/crates/node/src/peer/mod.rs
@@ -9,7 +9,7 @@
 mod server;
 mod tls;
 
-pub use agreement::{AgreementTransport, FindReplica};
+pub use agreement::{AgreementTransport, ReplicaLookup};
 pub use client::{CallError, PeerClient};
 pub use server::{AgreementSink, PeerServer, PeerService, Role, failure};
 pub use tls::{Credentials, TlsFiles};
--- a/crates/node/src/peer/server.rs
+++ b/crates/node/src/peer/server.rs
@@ -66,12 +66,12 @@
     /// Accepts connections until the endpoint is closed.
     pub async fn run(self: Arc<Self>) -> Result<()> {
         while let Some(incoming) = self.endpoint.accept().await {
-            tokio::spawn(self.clone().serve(incoming));
+            tokio::spawn(self.clone().handle_connection(incoming));
         }
         Ok(())
     }
 
-    async fn serve(self: Arc<Self>, incoming: quinn::Incoming) {
+    async fn handle_connection(self: Arc<Self>, incoming: quinn::Incoming) {
         let remote = incoming.remote_address();
         let connection = match incoming.await {
             Ok(connection) => connection,
@@ -88,12 +88,12 @@
             tokio::spawn(receive_agreement(connection.clone(), sink));
         }
         while let Ok((tx, rx)) = connection.accept_bi().await {
-            tokio::spawn(answer(self.service.clone(), role, tx, rx));
+            tokio::spawn(handle_call(self.service.clone(), role, tx, rx));
         }
     }
 }
 
-async fn answer(
+async fn handle_call(
     service: Arc<dyn PeerService>,
     role: Role,
     mut tx: quinn::SendStream,
--- a/crates/node/src/peer/tls.rs
+++ b/crates/node/src/peer/tls.rs
@@ -19,11 +19,11 @@
 pub const INSTANCE_NAME: &str = "instance.poplarspan.internal";
 /// A connection on which nothing arrives for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-const KEEP_ALIVE: Duration = Duration::from_millis(800);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(800);
 /// Calls that a peer may have open on one connection.
-const MAX_OPEN_CALLS: u32 = 1024;
+const MAX_BIDI_STREAMS: u32 = 1024;
 /// Streams of the replicated log: one for each group.
-const MAX_OPEN_ONE_WAY: u32 = 256;
+const MAX_UNI_STREAMS: u32 = 256;
 
 /// PEM files of one side of a mutual TLS connection.
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
             .with_single_cert(self.chain.clone(), self.key.clone_key())?;
         tls.alpn_protocols = vec![PROTOCOL.to_vec()];
         let mut cfg = quinn::ServerConfig::with_crypto(Arc::new(QuicServerConfig::try_from(tls)?));
-        cfg.transport_config(transport());
+        cfg.transport_config(transport_config());
         Ok(cfg)
     }
 
@@ -93,7 +93,7 @@
             .with_client_auth_cert(self.chain.clone(), self.key.clone_key())?;
         tls.alpn_protocols = vec![PROTOCOL.to_vec()];
         let mut cfg = quinn::ClientConfig::new(Arc::new(QuicClientConfig::try_from(tls)?));
-        cfg.transport_config(transport());
+        cfg.transport_config(transport_config());
         Ok(cfg)
     }
 }
@@ -108,12 +108,12 @@
     Ok(chain)
 }
 
-fn transport() -> Arc<quinn::TransportConfig> {
+fn transport_config() -> Arc<quinn::TransportConfig> {
     let mut cfg = quinn::TransportConfig::default();
     cfg.max_idle_timeout(Some(IDLE_TIMEOUT.try_into().expect("a few seconds fit")));
-    cfg.keep_alive_interval(Some(KEEP_ALIVE));
-    cfg.max_concurrent_bidi_streams(MAX_OPEN_CALLS.into());
-    cfg.max_concurrent_uni_streams(MAX_OPEN_ONE_WAY.into());
+    cfg.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
+    cfg.max_concurrent_bidi_streams(MAX_BIDI_STREAMS.into());
+    cfg.max_concurrent_uni_streams(MAX_UNI_STREAMS.into());
     Arc::new(cfg)
 }
 
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -15,19 +15,19 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, task::AbortHandle, time::Instant};
 
-use crate::gate::{Gate, Gated, Permission};
+use crate::gate::{Gate, GatedStream, SendPermission};
 
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 3;
 /// A connection is not used again this long before its endpoint closes it, so that a call and the
 /// close do not cross.
-const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1000);
+const KEEP_ALIVE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1000);
 const MAX_IDLE_PER_ENDPOINT: usize = 64;
 /// A connection that is closed within this time was not accepted by the endpoint itself, but by
 /// something in front of it.
-const ACCEPTED_AFTER: Duration = Duration::from_millis(50);
-const MAX_ANSWER_HEAD_BYTES: usize = 64 * 1024;
+const ACCEPT_CHECK_DELAY: Duration = Duration::from_millis(50);
+const MAX_RESPONSE_HEAD_BYTES: usize = 64 * 1024;
 
 /// How a [`Pool`] treats its connections.
 #[derive(Clone, Debug)]
@@ -38,9 +38,9 @@
     pub connect_timeout: Duration,
     /// Something between the two ends may lose track of an idle connection, so idle ones are not
     /// kept for longer than this.
-    pub max_idle: Duration,
-    /// Longest time that sent data may stay unacknowledged.
-    pub unacknowledged: Duration,
+    pub idle_timeout: Duration,
+    /// Longest time that sent data may stay tcp_user_timeout.
+    pub tcp_user_timeout: Duration,
 }
 
 impl PoolConfig {
@@ -49,15 +49,15 @@
         Self {
             id_header,
             connect_timeout: Duration::from_secs(2),
-            max_idle: Duration::from_secs(5),
-            unacknowledged: Duration::from_secs(6),
+            idle_timeout: Duration::from_secs(5),
+            tcp_user_timeout: Duration::from_secs(6),
         }
     }
 }
 
 /// One end of a connection. Dropping it closes the connection at once, which cancels a call that is
 /// open on it.
-struct Sender {
+struct Connection {
     http: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
     gate: Gate,
@@ -65,7 +65,7 @@
     keep_alive: Option<Duration>,
 }
 
-impl Drop for Sender {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -85,17 +85,17 @@
     Lost(String),
     /// Nothing arrived within the time allowed.
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     /// Nothing arrived on a connection that had been used before, while there is time for another.
     #[error("no answer on a connection in use before")]
-    SilentReused,
+    ReusedTimeout,
     /// The answer belongs to another call.
     #[error("the answer carries the id of another call")]
-    Crossed,
+    IdMismatch,
 }
 
 struct Idle {
-    sender: Sender,
+    connection: Connection,
     since: Instant,
 }
 
@@ -107,9 +107,10 @@
 
 impl Idle {
     /// Whether the endpoint can be expected to still have the connection open.
-    fn is_fresh(&self, max_idle: Duration) -> bool {
-        let told = self.sender.keep_alive.map(|t| t.saturating_sub(KEEP_ALIVE_MARGIN));
-        self.since.elapsed() < told.map_or(max_idle, |t| t.min(max_idle))
+    fn is_usable(&self, idle_timeout: Duration) -> bool {
+        let announced =
+            self.connection.keep_alive.map(|t| t.saturating_sub(KEEP_ALIVE_TIMEOUT_MARGIN));
+        self.since.elapsed() < announced.map_or(idle_timeout, |t| t.min(idle_timeout))
     }
 }
 
@@ -125,30 +126,34 @@
 pub struct Exchange {
     /// Head of the answer, and its body, which is still arriving.
     pub response: Response<Incoming>,
-    sender: Sender,
+    connection: Connection,
     address: SocketAddr,
     pool: Arc<Pool>,
 }
 
 impl Exchange {
-    /// Splits the answer from its connection, which is given back with [`Reuse::finish`].
-    pub fn into_parts(self) -> (Response<Incoming>, Reuse) {
-        let reuse = Reuse { sender: self.sender, address: self.address, pool: self.pool };
+    /// Splits the answer from its connection, which is given back with [`PooledConnection::release`].
+    pub fn into_parts(self) -> (Response<Incoming>, PooledConnection) {
+        let reuse = PooledConnection {
+            connection: self.connection,
+            address: self.address,
+            pool: self.pool,
+        };
         (self.response, reuse)
     }
 }
 
 /// A connection that may be used again once its answer has been read whole. Dropping it closes it.
-pub struct Reuse {
-    sender: Sender,
+pub struct PooledConnection {
+    connection: Connection,
     address: SocketAddr,
     pool: Arc<Pool>,
 }
 
-impl Reuse {
+impl PooledConnection {
     /// Puts the connection back.
-    pub fn finish(self) {
-        self.pool.put(self.address, self.sender);
+    pub fn release(self) {
+        self.pool.put_idle(self.address, self.connection);
     }
 }
 
@@ -160,66 +165,70 @@
 
     /// Sends a call and waits for the head of its answer, at most until `deadline`.
     ///
-    /// With `fresh`, a new connection is made: a call that must not run twice cannot be repeated
+    /// With `new_connection`, a new connection is made: a call that must not run twice cannot be repeated
     /// when an old connection turns out to be silent.
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        fresh: bool,
+        new_connection: bool,
         deadline: Instant,
     ) -> Result<Exchange, SendError> {
-        let always: Permission = Arc::new(|| true);
-        self.send_watched(address, request, fresh, deadline, deadline, always).await
+        let always: SendPermission = Arc::new(|| true);
+        self.send_if_permitted(address, request, new_connection, deadline, deadline, always).await
     }
 
-    /// As [`Pool::send`], but waits for the head of the answer only until `reused_until` when the
+    /// As [`Pool::send`], but waits for the head of the answer only until `reused_deadline` when the
     /// connection has been used before: it may have gone silent since. `may_send` is asked when the
     /// first byte is about to leave; if it says no, the result is [`SendError::NotPermitted`].
-    pub async fn send_watched(
+    pub async fn send_if_permitted(
         self: &Arc<Self>,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        fresh: bool,
+        new_connection: bool,
         deadline: Instant,
-        reused_until: Instant,
-        may_send: Permission,
+        reused_deadline: Instant,
+        may_send: SendPermission,
     ) -> Result<Exchange, SendError> {
         let id = request.headers().get(&self.cfg.id_header).cloned();
         let mut request = request;
-        if !fresh {
-            while let Some(mut sender) = self.take(address) {
-                let until = deadline.min(reused_until);
-                sender.gate.arm(may_send.clone());
-                let sent = sender.try_send_request_until(request, until).await;
-                if matches!(sent, Err(SendError::Silent)) {
-                    self.discard(address);
+        if !new_connection {
+            while let Some(mut connection) = self.take_idle(address) {
+                let until = deadline.min(reused_deadline);
+                connection.gate.arm(may_send.clone());
+                let sent = connection.try_send_request_until(request, until).await;
+                if matches!(sent, Err(SendError::Timeout)) {
+                    self.close_idle(address);
                     if until < deadline {
-                        return Err(SendError::SilentReused);
+                        return Err(SendError::ReusedTimeout);
                     }
                 }
                 match sent? {
-                    Sent::Answer(response) => return self.check(response, sender, address, id),
-                    Sent::Returned(unsent) => request = unsent,
+                    SendOutcome::Response(response) => {
+                        return self.check_id(response, connection, address, id);
+                    }
+                    SendOutcome::Unsent(unsent) => request = unsent,
                 }
             }
         }
-        let mut sender = connect(address, deadline, &self.cfg).await?;
-        sender.gate.arm(may_send);
-        match sender.try_send_request_until(request, deadline).await? {
-            Sent::Answer(response) => self.check(response, sender, address, id),
-            Sent::Returned(_) => Err(SendError::NotSent("the endpoint closed at once".to_owned())),
+        let mut connection = connect(address, deadline, &self.cfg).await?;
+        connection.gate.arm(may_send);
+        match connection.try_send_request_until(request, deadline).await? {
+            SendOutcome::Response(response) => self.check_id(response, connection, address, id),
+            SendOutcome::Unsent(_) => {
+                Err(SendError::NotSent("the endpoint closed at once".to_owned()))
+            }
         }
     }
 
     /// Whether an endpoint accepts a new connection, which is kept for the next call.
-    pub async fn is_accepting(&self, address: SocketAddr) -> bool {
+    pub async fn accepts_connections(&self, address: SocketAddr) -> bool {
         let deadline = Instant::now() + self.cfg.connect_timeout;
         let error = match connect(address, deadline, &self.cfg).await {
-            Ok(sender) => {
-                tokio::time::sleep(ACCEPTED_AFTER).await;
-                if !sender.http.is_closed() {
-                    self.put(address, sender);
+            Ok(connection) => {
+                tokio::time::sleep(ACCEPT_CHECK_DELAY).await;
+                if !connection.http.is_closed() {
+                    self.put_idle(address, connection);
                     return true;
                 }
                 "closed at once".to_owned()
@@ -231,41 +240,43 @@
         false
     }
 
-    fn check(
+    fn check_id(
         self: &Arc<Self>,
         response: Response<Incoming>,
-        sender: Sender,
+        connection: Connection,
         address: SocketAddr,
         id: Option<HeaderValue>,
     ) -> Result<Exchange, SendError> {
-        let answered = response.headers().get(&self.cfg.id_header);
-        if answered.is_some() && answered != id.as_ref() {
+        let response_id = response.headers().get(&self.cfg.id_header);
+        if response_id.is_some() && response_id != id.as_ref() {
             metrics::counter!("poplarspan_crossed_answers_total").increment(1);
-            return Err(SendError::Crossed);
+            return Err(SendError::IdMismatch);
         }
-        let mut sender = sender;
-        sender.keep_alive = keep_alive(&response).or(sender.keep_alive);
-        Ok(Exchange { response, sender, address, pool: self.clone() })
+        let mut connection = connection;
+        connection.keep_alive = keep_alive(&response).or(connection.keep_alive);
+        Ok(Exchange { response, connection, address, pool: self.clone() })
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock().expect("no panic while locked");
         let i = idle.binary_search_by_key(&address, |(a, _)| *a).ok()?;
         while let Some(last) = idle[i].1.pop() {
-            if last.is_fresh(self.cfg.max_idle) && last.sender.http.is_ready() {
-                return Some(last.sender);
+            if last.is_usable(self.cfg.idle_timeout) && last.connection.http.is_ready() {
+                return Some(last.connection);
             }
         }
         None
     }
 
-    fn put(&self, address: SocketAddr, sender: Sender) {
-        let entry = Idle { sender, since: Instant::now() };
+    fn put_idle(&self, address: SocketAddr, connection: Connection) {
+        let entry = Idle { connection, since: Instant::now() };
         let mut idle = self.idle.lock().expect("no panic while locked");
         match idle.binary_search_by_key(&address, |(a, _)| *a) {
             Ok(i) => {
                 let list = &mut idle[i].1;
-                list.retain(|old| old.is_fresh(self.cfg.max_idle) && !old.sender.http.is_closed());
+                list.retain(|old| {
+                    old.is_usable(self.cfg.idle_timeout) && !old.connection.http.is_closed()
+                });
                 if list.len() < MAX_IDLE_PER_ENDPOINT {
                     list.push(entry);
                 }
@@ -275,7 +286,7 @@
     }
 
     /// Closes the idle connections to an endpoint, after one of them has gone silent.
-    pub fn discard(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         let mut idle = self.idle.lock().expect("no panic while locked");
         if let Ok(i) = idle.binary_search_by_key(&address, |(a, _)| *a) {
             idle.remove(i);
@@ -283,18 +294,20 @@
     }
 
     /// Endpoints to which there are idle connections that can be used, sorted.
-    pub fn connected(&self) -> Vec<SocketAddr> {
+    pub fn idle_endpoints(&self) -> Vec<SocketAddr> {
         let idle = self.idle.lock().expect("no panic while locked");
-        let usable = |i: &Idle| i.is_fresh(self.cfg.max_idle) && i.sender.http.is_ready();
+        let usable = |i: &Idle| i.is_usable(self.cfg.idle_timeout) && i.connection.http.is_ready();
         let connected = idle.iter().filter(|(_, list)| list.last().is_some_and(usable));
         connected.map(|(address, _)| *address).collect()
     }
 
     /// Closes idle connections that are too old; called now and then.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let mut idle = self.idle.lock().expect("no panic while locked");
         for (_, list) in idle.iter_mut() {
-            list.retain(|old| old.is_fresh(self.cfg.max_idle) && !old.sender.http.is_closed());
+            list.retain(|old| {
+                old.is_usable(self.cfg.idle_timeout) && !old.connection.http.is_closed()
+            });
         }
         idle.retain(|(_, list)| !list.is_empty());
     }
@@ -307,10 +320,10 @@
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
 
-enum Sent {
-    Answer(Response<Incoming>),
+enum SendOutcome {
+    Response(Response<Incoming>),
     /// The connection was closed before the request was sent.
-    Returned(Request<Full<Bytes>>),
+    Unsent(Request<Full<Bytes>>),
 }
 
 trait SendUntil {
@@ -318,32 +331,32 @@
         &mut self,
         request: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Sent, SendError>;
+    ) -> Result<SendOutcome, SendError>;
 }
 
-impl SendUntil for Sender {
+impl SendUntil for Connection {
     async fn try_send_request_until(
         &mut self,
         request: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Sent, SendError> {
+    ) -> Result<SendOutcome, SendError> {
         match tokio::time::timeout_at(deadline, self.http.try_send_request(request)).await {
             Ok(Ok(response)) => {
-                self.gate.head_arrived();
-                Ok(Sent::Answer(response))
+                self.gate.head_received();
+                Ok(SendOutcome::Response(response))
             }
             Ok(Err(mut e)) => match e.take_message() {
-                Some(request) => Ok(Sent::Returned(request)),
+                Some(request) => Ok(SendOutcome::Unsent(request)),
                 None if self.gate.is_refused() => Err(SendError::NotPermitted),
                 None => Err(SendError::Lost(e.into_error().to_string())),
             },
-            Err(_) => Err(SendError::Silent),
+            Err(_) => Err(SendError::Timeout),
         }
     }
 }
 
 /// Makes the kernel notice a peer that no longer acknowledges anything.
-fn watch(stream: &TcpStream, cfg: &PoolConfig) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream, cfg: &PoolConfig) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
@@ -352,7 +365,7 @@
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&probes)?;
     #[cfg(target_os = "linux")]
-    socket.set_tcp_user_timeout(Some(cfg.unacknowledged))?;
+    socket.set_tcp_user_timeout(Some(cfg.tcp_user_timeout))?;
     Ok(())
 }
 
@@ -360,20 +373,20 @@
     address: SocketAddr,
     deadline: Instant,
     cfg: &PoolConfig,
-) -> Result<Sender, SendError> {
+) -> Result<Connection, SendError> {
     let not_sent = |cause: String| SendError::NotSent(cause);
     let limit = deadline.min(Instant::now() + cfg.connect_timeout);
     let open = async {
         let stream = TcpStream::connect(address).await.map_err(|e| not_sent(e.to_string()))?;
-        watch(&stream, cfg).map_err(|e| not_sent(e.to_string()))?;
+        set_socket_options(&stream, cfg).map_err(|e| not_sent(e.to_string()))?;
         let gate = Gate::default();
-        let (sender, connection) = http1::Builder::new()
-            .max_buf_size(MAX_ANSWER_HEAD_BYTES)
-            .handshake(TokioIo::new(Gated::new(stream, gate.clone())))
+        let (http, driver) = http1::Builder::new()
+            .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
+            .handshake(TokioIo::new(GatedStream::new(stream, gate.clone())))
             .await
             .map_err(|e| not_sent(e.to_string()))?;
-        let task = tokio::spawn(connection).abort_handle();
-        Ok(Sender { http: sender, task, gate, keep_alive: None })
+        let task = tokio::spawn(driver).abort_handle();
+        Ok(Connection { http, task, gate, keep_alive: None })
     };
     tokio::time::timeout_at(limit, open)
         .await
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -16,7 +16,7 @@
 use tokio::{net::TcpListener, sync::Semaphore};
 
 /// Bounds of latency histograms, in seconds.
-const LATENCY_BUCKETS: [f64; 14] =
+const LATENCY_BUCKETS_SECONDS: [f64; 14] =
     [0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 5.0, 30.0, 120.0];
 const MAX_PROBE_CONNECTIONS: usize = 64;
 
@@ -27,13 +27,13 @@
 pub fn recorder() -> PrometheusHandle {
     static HANDLE: Mutex<Option<PrometheusHandle>> = Mutex::new(None);
     let mut handle = HANDLE.lock().expect("no panic while locked");
-    handle.get_or_insert_with(install).clone()
+    handle.get_or_insert_with(install_recorder).clone()
 }
 
-fn install() -> PrometheusHandle {
+fn install_recorder() -> PrometheusHandle {
     let seconds = Matcher::Suffix("_seconds".to_owned());
     PrometheusBuilder::new()
-        .set_buckets_for_metric(seconds, &LATENCY_BUCKETS)
+        .set_buckets_for_metric(seconds, &LATENCY_BUCKETS_SECONDS)
         .expect("the list of buckets is not empty")
         .install_recorder()
         .expect("no other recorder is installed in this process")
@@ -51,14 +51,14 @@
     readiness: Arc<dyn Readiness>,
     handle: PrometheusHandle,
 ) -> Result<()> {
-    let slots = Arc::new(Semaphore::new(MAX_PROBE_CONNECTIONS));
+    let connection_permits = Arc::new(Semaphore::new(MAX_PROBE_CONNECTIONS));
     loop {
-        let permit = slots.clone().acquire_owned().await?;
+        let permit = connection_permits.clone().acquire_owned().await?;
         let (stream, _) = socket.accept().await?;
         let (readiness, handle) = (readiness.clone(), handle.clone());
         let service = service_fn(move |request| {
             let answer: BoxFuture<'_, _> =
-                Box::pin(std::future::ready(Ok::<_, std::convert::Infallible>(probe(
+                Box::pin(std::future::ready(Ok::<_, std::convert::Infallible>(respond(
                     &request,
                     &*readiness,
                     &handle,
@@ -77,7 +77,7 @@
     }
 }
 
-fn probe(
+fn respond(
     request: &Request<Incoming>,
     readiness: &dyn Readiness,
     handle: &PrometheusHandle,
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -5,10 +5,10 @@
 use tokio::{task::JoinSet, time::Instant};
 use tokio_util::sync::CancellationToken;
 
-const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// A child that ran this long starts again without backoff.
-const STABLE_AFTER: Duration = Duration::from_secs(30);
+const BACKOFF_RESET_AFTER: Duration = Duration::from_secs(30);
 
 /// A group of supervised tasks. Dropping it ends them all.
 pub struct Supervisor {
@@ -30,7 +30,7 @@
     {
         let stop = self.stop.clone();
         self.children.spawn(async move {
-            let mut backoff = FIRST_BACKOFF;
+            let mut backoff = INITIAL_BACKOFF;
             loop {
                 let started = Instant::now();
                 let mut child = tokio::spawn(run());
@@ -46,13 +46,13 @@
                     Ok(Err(e)) => format!("{e:#}"),
                     Err(e) => e.to_string(),
                 };
-                if started.elapsed() > STABLE_AFTER {
-                    backoff = FIRST_BACKOFF;
+                if started.elapsed() > BACKOFF_RESET_AFTER {
+                    backoff = INITIAL_BACKOFF;
                 }
                 log::error!(task = name, error = error.as_str(); "task failed; restarting it");
                 metrics::counter!("poplarspan_task_restarts_total", "task" => name).increment(1);
                 tokio::time::sleep(backoff).await;
-                backoff = (backoff * 2).min(LONGEST_BACKOFF);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         });
     }
--- a/crates/node/tests/accepted_connections.rs
+++ b/crates/node/tests/accepted_connections.rs
@@ -21,8 +21,8 @@
     let (socket, address) = listener().await;
     let serving = tokio::spawn(async move { socket.accept().await.expect("a connection") });
     let pool = pool();
-    assert!(pool.is_accepting(address).await);
-    assert_eq!(pool.connected(), [address], "the connection is kept for a call");
+    assert!(pool.accepts_connections(address).await);
+    assert_eq!(pool.idle_endpoints(), [address], "the connection is kept for a call");
     serving.await.expect("no panic");
 }
 
@@ -30,7 +30,7 @@
 async fn nobody_listens() {
     let (socket, address) = listener().await;
     drop(socket);
-    assert!(!pool().is_accepting(address).await);
+    assert!(!pool().accepts_connections(address).await);
 }
 
 /// Guards against taking what stands in front of an endpoint for the endpoint.
@@ -43,6 +43,6 @@
         }
     });
     let pool = pool();
-    assert!(!pool.is_accepting(address).await);
-    assert!(pool.connected().is_empty());
+    assert!(!pool.accepts_connections(address).await);
+    assert!(pool.idle_endpoints().is_empty());
 }
--- a/crates/node/tests/send_permission.rs
+++ b/crates/node/tests/send_permission.rs
@@ -9,7 +9,7 @@
 use http::{HeaderName, Request};
 use http_body_util::{BodyExt, Full};
 use poplarspan_node::{
-    Permission,
+    SendPermission,
     pool::{Pool, PoolConfig, SendError},
 };
 use tokio::{
@@ -64,8 +64,9 @@
 async fn new_connection() {
     let (address, received) = endpoint().await;
     let deadline = Instant::now() + TIMEOUT;
-    let never: Permission = Arc::new(|| false);
-    let sent = pool().send_watched(address, request("/new"), true, deadline, deadline, never).await;
+    let never: SendPermission = Arc::new(|| false);
+    let sent =
+        pool().send_if_permitted(address, request("/new"), true, deadline, deadline, never).await;
     assert!(matches!(sent.map(|_| ()), Err(SendError::NotPermitted)));
     sleep(PERMITTED).await;
     assert!(received_nothing(&received));
@@ -81,15 +82,16 @@
     let first = pool.send(address, request("/first"), false, deadline).await.expect("an answer");
     let (response, reuse) = first.into_parts();
     response.into_body().collect().await.expect("a body");
-    reuse.finish();
+    reuse.release();
     // Lets the connection's task see the end of the answer.
     sleep(PERMITTED).await;
-    assert_eq!(pool.connected(), [address]);
+    assert_eq!(pool.idle_endpoints(), [address]);
     received.lock().expect("no panic while locked").clear();
 
     let until = std::time::Instant::now() + PERMITTED;
-    let may_send: Permission = Arc::new(move || std::time::Instant::now() < until);
-    let send = pool.send_watched(address, request("/late"), false, deadline, deadline, may_send);
+    let may_send: SendPermission = Arc::new(move || std::time::Instant::now() < until);
+    let send =
+        pool.send_if_permitted(address, request("/late"), false, deadline, deadline, may_send);
     // Blocks the runtime's only thread in the step in which the request was handed over.
     let suspension = async { std::thread::sleep(SUSPENDED) };
     let (sent, ()) = tokio::join!(send, suspension);
--- a/crates/relay/src/control/endpoint_list.rs
+++ b/crates/relay/src/control/endpoint_list.rs
@@ -108,7 +108,7 @@
         let body =
             tokio::time::timeout_at(deadline, body).await.context("timed out reading a page")?;
         let body = body.map_err(|e| anyhow::anyhow!(e))?.to_bytes();
-        reuse.finish();
+        reuse.release();
         ensure!(status.is_success(), "platform responded with status {status}");
         Ok(body)
     }
--- a/crates/relay/src/front/attempt.rs
+++ b/crates/relay/src/front/attempt.rs
@@ -10,8 +10,8 @@
 use http_body_util::Full;
 use hyper::body::Incoming;
 use poplarspan_node::{
-    Permission,
-    pool::{Reuse, SendError},
+    SendPermission,
+    pool::{PooledConnection, SendError},
 };
 use poplarspan_policy::{Name, containment::Fingerprint};
 use tokio::time::Instant;
@@ -80,7 +80,7 @@
 pub(crate) struct StartedResponse {
     pub(crate) parts: response::Parts,
     pub(crate) body: Incoming,
-    pub(crate) reuse: Reuse,
+    pub(crate) reuse: PooledConnection,
     pub(crate) slot: Slot,
 }
 
@@ -221,11 +221,18 @@
         }
         let request = self.request(&endpoint.name, last_event);
         let (front, chosen) = (self.front.clone(), endpoint.clone());
-        let may_send: Permission = Arc::new(move || front.may_send(&chosen));
+        let may_send: SendPermission = Arc::new(move || front.may_send(&chosen));
         let sent = self
             .front
             .pool
-            .send_watched(endpoint.address, request, false, call.deadline, call.deadline, may_send)
+            .send_if_permitted(
+                endpoint.address,
+                request,
+                false,
+                call.deadline,
+                call.deadline,
+                may_send,
+            )
             .await;
         let exchange = match sent {
             Ok(exchange) => exchange,
@@ -298,7 +305,7 @@
                 slot.finish(Outcome::Failed);
                 AttemptError::NotRun
             }
-            SendError::Silent if self.call.time_left().is_zero() => {
+            SendError::Timeout if self.call.time_left().is_zero() => {
                 // Running into the call's own deadline is not evidence against the endpoint.
                 slot.finish(Outcome::Abandoned);
                 AttemptError::Unknown
@@ -362,14 +369,14 @@
 
 /// Reads a short body to its end so that the connection can be reused. Runs in the background,
 /// because the body may never end.
-async fn drain(mut body: Incoming, reuse: Reuse) {
+async fn drain(mut body: Incoming, reuse: PooledConnection) {
     use http_body_util::BodyExt;
     const MAX_FRAMES: usize = 4;
     const TIMEOUT: Duration = Duration::from_millis(100);
     let until = Instant::now() + TIMEOUT;
     for _ in 0..MAX_FRAMES {
         match tokio::time::timeout_at(until, body.frame()).await {
-            Ok(None) => return reuse.finish(),
+            Ok(None) => return reuse.release(),
             Ok(Some(Ok(_))) => {}
             Ok(Some(Err(_))) | Err(_) => return,
         }
--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -330,7 +330,7 @@
     }
 
     fn note_connections(&mut self, service: &Name) {
-        let connected = self.pool.connected();
+        let connected = self.pool.idle_endpoints();
         for state in self.endpoints.iter().filter(|k| k.service == *service) {
             let is_connected = connected.binary_search(&state.address).is_ok();
             self.fleet.set_connected(state.id, is_connected);
--- a/crates/relay/src/front/handler.rs
+++ b/crates/relay/src/front/handler.rs
@@ -390,7 +390,7 @@
         let StartedResponse { parts, body, reuse, slot } = started;
         match self.memory.collect(body, MAX_ANSWER_BYTES, deadline).await {
             Ok((body, reservation)) => {
-                reuse.finish();
+                reuse.release();
                 slot.finish(Outcome::Answered);
                 let mut answer = Response::new(body::reserved(body, reservation));
                 *answer.status_mut() = parts.status;
--- a/crates/relay/src/front/mod.rs
+++ b/crates/relay/src/front/mod.rs
@@ -67,8 +67,8 @@
     pub(crate) fn pool(protocol: &dyn Protocol) -> Arc<Pool> {
         Pool::new(PoolConfig {
             connect_timeout: CONNECT_TIMEOUT,
-            max_idle: MAX_IDLE,
-            unacknowledged: UNACKNOWLEDGED,
+            idle_timeout: MAX_IDLE,
+            tcp_user_timeout: UNACKNOWLEDGED,
             ..PoolConfig::new(protocol.request_id_header())
         })
     }
@@ -84,7 +84,7 @@
         const INTERVAL: Duration = Duration::from_secs(1);
         loop {
             tokio::time::sleep(INTERVAL).await;
-            self.pool.sweep();
+            self.pool.close_expired();
             metrics::gauge!("poplarspan_relay_waiting_calls").set(self.schedule.waiting() as f64);
             let lease = self.fleet.lease_left().unwrap_or_default();
             metrics::gauge!("poplarspan_relay_lease_seconds").set(lease.as_secs_f64());
--- a/crates/relay/src/front/quarantine.rs
+++ b/crates/relay/src/front/quarantine.rs
@@ -145,7 +145,7 @@
                 let (quarantine, name) = (self.clone(), endpoint.name.clone());
                 let trial = Trial { quarantine, request, endpoint: name };
                 // If the endpoint is already down, its state says nothing about this run.
-                match self.pool.is_accepting(endpoint.address).await {
+                match self.pool.accepts_connections(endpoint.address).await {
                     true => Admission::OnTrial(trial),
                     false => Admission::EndpointUnreachable,
                 }
@@ -197,7 +197,7 @@
     /// Whether an endpoint accepts no connection in several probes.
     async fn stays_unreachable(&self, endpoint: &ChosenEndpoint) -> bool {
         for _ in 0..TRIAL_PROBES {
-            if self.pool.is_accepting(endpoint.address).await {
+            if self.pool.accepts_connections(endpoint.address).await {
                 return false;
             }
             sleep(PROBE_INTERVAL).await;
@@ -215,7 +215,7 @@
             return probe.is_accepting.clone();
         }
         let pool = self.pool.clone();
-        let is_accepting = async move { pool.is_accepting(address).await }.boxed().shared();
+        let is_accepting = async move { pool.accepts_connections(address).await }.boxed().shared();
         probes.push(Probe { address, at: now, is_accepting: is_accepting.clone() });
         is_accepting
     }
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -174,7 +174,7 @@
         }
         self.is_done = true;
         if let Some(response) = self.response.take() {
-            response.reuse.finish();
+            response.reuse.release();
             response.slot.finish(Outcome::Answered);
         }
         self.attempts.answered();
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -28,7 +28,7 @@
 };
 use poplarspan_node::{
     PeerClient,
-    peer::{AgreementSink, AgreementTransport, FindReplica},
+    peer::{AgreementSink, AgreementTransport, ReplicaLookup},
 };
 use poplarspan_proto::peer::{self, FailureCode, request, response};
 use tokio::time::{Instant, sleep};
@@ -266,7 +266,7 @@
         let store = folder.open_log_when_space(&initial_voters).await?;
         metrics::gauge!("poplarspan_store_disk_refuses").set(0.0);
         let id = folder.replica();
-        let find: FindReplica =
+        let find: ReplicaLookup =
             Arc::new(move |id| Some(SocketAddr::from((machine(ReplicaId(id)), peer_port))));
         let transport = AgreementTransport::new(id, folder.dir.folder(), None, client, find);
         let mut builder = Node::builder(id, Box::new(store), transport)
--- a/crates/server/src/control/orders.rs
+++ b/crates/server/src/control/orders.rs
@@ -56,7 +56,7 @@
                     self.deliver_all(group).await;
                 }
             }
-            self.pool.sweep();
+            self.pool.close_expired();
         }
     }
 
@@ -117,7 +117,7 @@
         let (response, reuse) = exchange.into_parts();
         let status = response.status();
         if collect(response.into_body(), MAX_ACKNOWLEDGEMENT_BYTES, deadline).await.is_ok() {
-            reuse.finish();
+            reuse.release();
         }
         // An endpoint without support for orders holds nothing that an order could release.
         status.is_success() || status == http::StatusCode::NOT_FOUND
--- a/crates/server/src/dispatch/mod.rs
+++ b/crates/server/src/dispatch/mod.rs
@@ -5,7 +5,7 @@
 
 mod response;
 
-pub(crate) use poplarspan_node::pool::{Exchange, Pool, PoolConfig, Reuse, SendError};
+pub(crate) use poplarspan_node::pool::{Exchange, Pool, PoolConfig, PooledConnection, SendError};
 pub(crate) use response::{
     RelayLimits, Relayed, ResponseError, StreamEnd, collect, is_delimited, relay_stream,
 };
--- a/crates/server/src/entry/attempt.rs
+++ b/crates/server/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, StatusCode, header};
 use http_body_util::Full;
 use hyper::body::Incoming;
-use poplarspan_node::Permission;
+use poplarspan_node::SendPermission;
 use poplarspan_objects::{Name, ZoneState};
 use poplarspan_policy::containment::{Admission, Fingerprint};
 use tokio::time::Instant;
@@ -24,7 +24,8 @@
 use crate::{
     crashes::{SuspectGuard, wait_admission},
     dispatch::{
-        Exchange, REQUEST_ID_HEADER, ResponseError, Reuse, SendError, collect, is_delimited,
+        Exchange, PooledConnection, REQUEST_ID_HEADER, ResponseError, SendError, collect,
+        is_delimited,
     },
     membership::{LEASE, Membership, Snapshot},
     schedule::{CallSpec, DispatchOutcome, EndpointRef, Slot},
@@ -151,7 +152,7 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
-    pub(crate) reuse: Reuse,
+    pub(crate) reuse: PooledConnection,
     pub(crate) slot: Slot,
     /// Time from the dispatch to the head of the response.
     pub(crate) first_byte: Duration,
@@ -182,13 +183,13 @@
         let (ran, outcome) = match error {
             SendError::NotPermitted => (Executed::No, DispatchOutcome::Abandoned),
             SendError::NotSent(_) => (Executed::No, DispatchOutcome::Failed),
-            SendError::Lost(_) | SendError::Silent => (Executed::Unknown, DispatchOutcome::Failed),
+            SendError::Lost(_) | SendError::Timeout => (Executed::Unknown, DispatchOutcome::Failed),
             // Only the connection has failed; the endpoint may be healthy.
-            SendError::SilentReused => (Executed::Unknown, DispatchOutcome::Abandoned),
-            SendError::Crossed => (Executed::Unknown, DispatchOutcome::Failed),
+            SendError::ReusedTimeout => (Executed::Unknown, DispatchOutcome::Abandoned),
+            SendError::IdMismatch => (Executed::Unknown, DispatchOutcome::Failed),
         };
         let may_have_crashed = matches!(error, SendError::Lost(_));
-        let same_endpoint_allowed = matches!(error, SendError::SilentReused);
+        let same_endpoint_allowed = matches!(error, SendError::ReusedTimeout);
         Self { ran, cause: error.to_string(), outcome, may_have_crashed, same_endpoint_allowed }
     }
 
@@ -338,7 +339,7 @@
         let until = halfway(deadline).min(Instant::now() + REUSED_HEAD_TIMEOUT);
         let pool = &self.entry.pool;
         let may_send = self.entry.permission(self.call, &slot.endpoint);
-        let sent = pool.send_watched(address, request, fresh, deadline, until, may_send).await;
+        let sent = pool.send_if_permitted(address, request, fresh, deadline, until, may_send).await;
         match sent {
             Ok(exchange) => self.handle_head(exchange, slot, run, suspect).await,
             Err(e) => {
@@ -404,7 +405,7 @@
         let max = self.entry.limits.max_response;
         match collect(pending.body, max, self.call.deadline).await {
             Ok(body) => {
-                pending.reuse.finish();
+                pending.reuse.release();
                 let tokens = completion_tokens(&body).map(|n| n + self.call.spec.prompt_tokens);
                 let first_byte = pending.first_byte;
                 pending.slot.finish(DispatchOutcome::Answered { first_byte, tokens });
@@ -503,7 +504,7 @@
     }
 
     /// Returns the same check as a closure, to be called right before the first byte is sent.
-    fn permission(&self, call: &PreparedCall, endpoint: &EndpointRef) -> Permission {
+    fn permission(&self, call: &PreparedCall, endpoint: &EndpointRef) -> SendPermission {
         let (membership, credential) = (self.membership.clone(), call.credential.clone());
         let endpoint = endpoint.clone();
         Arc::new(move || {
--- a/crates/server/src/entry/attempt/hedge.rs
+++ b/crates/server/src/entry/attempt/hedge.rs
@@ -46,7 +46,7 @@
             response = &mut first => response,
             response = &mut second => {
                 metrics::counter!("poplarspan_hedges_won_total").increment(1);
-                entry.pool.discard(address);
+                entry.pool.close_idle(address);
                 Ok(Some(response))
             }
         }
@@ -75,7 +75,7 @@
             self.entry.record_dispatch(&mut claim, &placement.slot).await?;
         }
         // Pooled connections are as old as the one that may be dead.
-        self.entry.pool.discard(placement.slot.endpoint.address);
+        self.entry.pool.close_idle(placement.slot.endpoint.address);
         match self.send(placement).await? {
             Some(pending) => self.collect(pending).await,
             None => Ok(None),
--- a/crates/server/src/entry/stream.rs
+++ b/crates/server/src/entry/stream.rs
@@ -82,7 +82,7 @@
         match &relayed.end {
             StreamEnd::Complete { .. } => {
                 if let Ok(None) = timeout(CLOSE_TIMEOUT, body.frame()).await {
-                    reuse.finish();
+                    reuse.release();
                 }
                 let tokens = Some(accepted.prepared.spec.prompt_tokens + relayed.events);
                 slot.finish(DispatchOutcome::Answered { first_byte, tokens });
--- a/crates/server/src/schedule/loads.rs
+++ b/crates/server/src/schedule/loads.rs
@@ -172,7 +172,7 @@
     let (response, reuse) = exchange.into_parts();
     let is_success = response.status().is_success();
     let buf = collect(response.into_body(), MAX_REPORT_BYTES, deadline).await.ok()?;
-    reuse.finish();
+    reuse.release();
     if !is_success {
         return None;
     }
