--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,4 +1,4 @@
-//! A steady clock that goes on while the machine is suspended.
+//! A monotonic clock that keeps running while the machine is suspended.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 use poplarspan_agreement::Clock;
 use tokio::time::Instant;
 
-/// Time since the clock was made: the runtime's clock, plus the time for which the machine was
-/// suspended since then, which the runtime's clock does not count.
+/// Measures the time since its creation, including time during which the machine was suspended.
 ///
-/// A lease that is measured with it has run out when a machine wakes from a long suspension.
+/// The clock of the tokio runtime does not advance during suspension, so that time is added to it.
+/// A lease measured with this clock has therefore expired when the machine resumes after a
+/// suspension longer than the lease.
 #[derive(Debug)]
 pub struct BootClock {
     start: Instant,
@@ -17,7 +18,7 @@
 }
 
 impl BootClock {
-    /// Starts a clock.
+    /// Returns a clock that starts at zero.
     pub fn new() -> Self {
         Self { start: Instant::now(), suspended_at_start: suspended_time() }
     }
@@ -35,11 +36,12 @@
     }
 }
 
-/// Time for which the machine was suspended since it was started; zero where the system has no
-/// clock that counts it.
+/// Total time the machine has been suspended since boot, or zero if the operating system has no
+/// clock that includes it.
 fn suspended_time() -> Duration {
     let read = |id| clock_gettime(id).map(Duration::from);
-    // The steady clock is read last, so that the difference is never too large.
+    // The monotonic clock is read last, so that the time between the two reads can only make the
+    // difference too small, never too large.
     match (read(ClockId::CLOCK_BOOTTIME), read(ClockId::CLOCK_MONOTONIC)) {
         (Ok(boot), Ok(monotonic)) => boot.saturating_sub(monotonic),
         _ => Duration::ZERO,
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/gate.rs
@@ -1,11 +1,11 @@
-//! A stream that asks, right before the first byte of a request leaves, whether the request may
-//! still be sent.
+//! A stream that checks, immediately before it writes the first byte of a request, whether the
+//! request may still be sent.
 //!
-//! It also bounds what is read before the head of the answer is complete: heads that announce a later
-//! one may follow one another without end.
+//! A check at the time of the decision to send is not enough. The request is first passed to the
+//! connection's task, and until that task runs, a lease can expire or the process can be suspended.
 //!
-//! Between the decision to send a request and the write lie the hand-over to the connection's task
-//! and its turn, in which a lease can end or the whole process be suspended.
+//! The stream also limits how many bytes it reads before the head of the response is complete,
+//! because a server can send an unlimited number of interim (1xx) responses.
 
 use std::{
     io,
@@ -16,49 +16,50 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Tells whether a request may be sent at this moment.
+/// Returns whether a request may be sent now.
 pub type SendPermission = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Bytes in which the head of an answer must end; more than the largest head, and what is read of
-/// the body with it.
+/// Maximum number of bytes read until the head of a response is complete. Larger than the largest
+/// accepted head together with the part of the body that is read with it.
 const MAX_HEAD_READ_BYTES: usize = 256 * 1024;
 
 #[derive(Default)]
 struct GateState {
     permission: Option<SendPermission>,
     is_refused: bool,
-    /// Bytes that may arrive until the head of the answer is complete.
+    /// Bytes that may still be read until the head of the response is complete; `None` once it is.
     head_bytes_left: Option<usize>,
 }
 
-/// The side of a [`GatedStream`] stream that the sender of requests holds.
+/// Handle with which the sender of requests controls its [`GatedStream`].
 #[derive(Clone, Default)]
 pub(crate) struct Gate {
     state: Arc<Mutex<GateState>>,
 }
 
 impl Gate {
-    /// Asks `permission` before the first byte of the next request.
+    /// Prepares for the next request: `permission` is checked before its first byte is written.
     pub(crate) fn arm(&self, permission: SendPermission) {
         let permission = Some(permission);
         let head_bytes_left = Some(MAX_HEAD_READ_BYTES);
         *self.lock() = GateState { permission, is_refused: false, head_bytes_left };
     }
 
-    /// Whether the request was refused. No byte of it has left then.
+    /// Whether `permission` denied the request. If so, no byte of it was written.
     pub(crate) fn is_refused(&self) -> bool {
         self.lock().is_refused
     }
 
-    /// Takes note that the head of the answer is complete.
+    /// Ends the limit on bytes read, because the head of the response is complete.
     pub(crate) fn head_received(&self) {
         self.lock().head_bytes_left = None;
     }
 
+    /// Counts bytes read, and fails if the head of the response exceeds the limit.
     fn count_read(&self, bytes: usize) -> io::Result<()> {
         let mut state = self.lock();
         let Some(left) = &mut state.head_bytes_left else { return Ok(()) };
-        let message = "the head of the answer does not end";
+        let message = "response head exceeds the size limit";
         *left = left
             .checked_sub(bytes)
             .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, message))?;
@@ -74,17 +75,17 @@
         Ok(())
     }
 
-    /// The rest of a request whose first bytes have left is sent in any case.
+    /// Skips the check from now on: once its first byte is written, a request is sent completely.
     fn clear_permission(&self) {
         self.lock().permission = None;
     }
 
     fn lock(&self) -> MutexGuard<'_, GateState> {
-        self.state.lock().expect("no panic while locked")
+        self.state.lock().expect("mutex is not poisoned")
     }
 }
 
-/// A stream whose writes pass a [`Gate`].
+/// A stream whose reads and writes are controlled by a [`Gate`].
 pub(crate) struct GatedStream<S> {
     stream: S,
     gate: Gate,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,9 @@
-//! What every process of Poplarspan is made of: the peer port between processes, supervised tasks,
-//! the port for metrics and probes, and a clock that also counts suspension.
+//! Building blocks shared by all Poplarspan processes: the peer port, the connection pool for
+//! endpoints, supervised tasks, the port for metrics and probes, and a clock that includes time
+//! spent suspended.
 //!
-//! Nothing here is durable. A lost connection loses the calls that are open on it; [`CallError`]
-//! says whether the peer may have carried one out. A failed task is restarted by its [`Supervisor`].
+//! No state is durable. When a connection is lost, its open calls fail, and [`CallError`] says
+//! whether the peer may have executed them. A failed task is restarted by its [`Supervisor`].
 
 pub mod clock;
 mod gate;
--- a/crates/node/src/peer/agreement.rs
+++ b/crates/node/src/peer/agreement.rs
@@ -1,4 +1,4 @@
-//! Carries messages of the replicated log, on one stream for each peer and group.
+//! Transport for messages of the replicated log, with one stream per peer and group.
 
 use std::{
     net::SocketAddr,
@@ -14,21 +14,24 @@
 
 use super::{client::PeerClient, frame};
 
-/// Messages that may wait for one peer and group; more are dropped, as the log allows.
+/// Maximum number of messages queued for one peer and group. Further ones are dropped; the
+/// replicated log tolerates lost messages.
 const QUEUE_CAPACITY: usize = 1024;
-/// Messages that go into one batch.
+/// Maximum number of messages that are sent together.
 const MAX_BATCH_MESSAGES: usize = 64;
-/// Bytes of several messages in one frame.
+/// Maximum size of a frame that holds several messages, in bytes. A larger message gets a frame of
+/// its own.
 const MAX_BATCH_BYTES: usize = frame::MAX_FRAME_BYTES / 2;
-/// Time after which a peer that takes nothing is given up until the next message.
+/// Time limit for sending a batch, including the connection setup. After it, the batch is dropped
+/// and the next message opens a new stream.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Finds the address of a control replica.
+/// Returns the peer address of a replica, given its number, if it is known.
 pub type ReplicaLookup = Arc<dyn Fn(u64) -> Option<SocketAddr> + Send + Sync>;
 
 type QueueKey = (ReplicaId, GroupId);
 
-/// Sends messages to the other replicas. It may lose them; it never blocks.
+/// Sends messages to the other replicas. Sending never blocks, and messages may be lost.
 pub struct AgreementTransport {
     cfg: Arc<SenderConfig>,
     // Sorted by key.
@@ -38,15 +41,15 @@
 struct SenderConfig {
     replica: ReplicaId,
     folder: FolderId,
-    /// Peer address of `replica`, for replicas that do not know it yet.
+    /// Peer address of `replica`, for peers that do not know it yet. Empty if it is not announced.
     address: String,
     client: PeerClient,
     lookup: ReplicaLookup,
 }
 
 impl AgreementTransport {
-    /// Returns a transport for `replica`, whose data folder is `folder`. With `address`, each
-    /// batch says where the replica is.
+    /// Returns a transport for `replica`, whose data folder is `folder`. If `address` is set, each
+    /// batch announces it as the peer address of the replica.
     pub fn new(
         replica: ReplicaId,
         folder: FolderId,
@@ -63,7 +66,7 @@
 impl Transport for AgreementTransport {
     fn send(&self, to: ReplicaId, message: PeerMessage) {
         let key = (to, message.group);
-        let mut queues = self.queues.lock().expect("no panic while locked");
+        let mut queues = self.queues.lock().expect("mutex is not poisoned");
         let i = queues.binary_search_by_key(&key, |(k, _)| *k).unwrap_or_else(|i| {
             let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
             tokio::spawn(run_sender(self.cfg.clone(), to, rx));
@@ -76,14 +79,14 @@
     }
 }
 
-/// Sends the messages to one peer for one group until the transport is dropped.
+/// Sends the queued messages for one peer and group until the transport is dropped.
 async fn run_sender(cfg: Arc<SenderConfig>, to: ReplicaId, mut rx: mpsc::Receiver<PeerMessage>) {
     let mut stream = None;
     let mut batch = Vec::with_capacity(MAX_BATCH_MESSAGES);
     while rx.recv_many(&mut batch, MAX_BATCH_MESSAGES).await > 0 {
         let sent = timeout(SEND_TIMEOUT, send_batch(&cfg, to, &mut stream, &batch)).await;
         if !matches!(sent, Ok(Ok(()))) {
-            // A new stream starts at the next message; the log resends what was lost.
+            // The next message opens a new stream. The replicated log resends lost messages.
             stream = None;
             metrics::counter!("poplarspan_agreement_dropped_total").increment(batch.len() as u64);
         }
@@ -106,7 +109,7 @@
     let tx = match stream {
         Some(tx) => tx,
         None => {
-            let address = (cfg.lookup)(to.0).context("no address is known")?;
+            let address = (cfg.lookup)(to.0).context("address of the replica is unknown")?;
             let connection = cfg.client.connection(address).await?;
             stream.insert(connection.open_uni().await?)
         }
@@ -115,7 +118,7 @@
     let mut frame = empty_batch(cfg);
     let mut bytes = 0;
     for message in batch.iter().map(PeerMessage::encode) {
-        // Several large messages together may not fit into one frame.
+        // Several large messages together can exceed the maximum frame size.
         if bytes + message.len() > MAX_BATCH_BYTES && !frame.messages.is_empty() {
             frame::write(tx, &std::mem::replace(&mut frame, empty_batch(cfg))).await?;
             bytes = 0;
--- a/crates/node/src/peer/client.rs
+++ b/crates/node/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other instances.
+//! Client for calls to other instances.
 
 use std::{
     net::SocketAddr,
@@ -14,33 +14,34 @@
     tls::{Credentials, INSTANCE_NAME},
 };
 
+/// Time limit for the connection setup, including the TLS handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a call to a peer got no answer.
+/// Why a call to a peer failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The call was not sent.
+    /// No connection could be opened, so the call was not sent.
     #[error("cannot reach {address}: {cause}")]
     Unreachable {
         /// Address of the peer.
         address: SocketAddr,
-        /// What went wrong.
+        /// Description of the error.
         cause: String,
     },
-    /// The call may have been carried out.
+    /// No valid response arrived. The peer may have executed the call.
     #[error("no answer from {address}: {cause}")]
     Unknown {
         /// Address of the peer.
         address: SocketAddr,
-        /// What went wrong.
+        /// Description of the error.
         cause: String,
     },
-    /// The peer answered that it cannot carry out the call.
+    /// The peer responded with a failure.
     #[error("{}", .0.message)]
     Failed(peer::Failure),
 }
 
-/// Sends calls to peers, over one connection to each.
+/// Sends calls to peers over one connection per peer. Clones share the connections.
 #[derive(Clone)]
 pub struct PeerClient {
     endpoint: quinn::Endpoint,
@@ -49,31 +50,33 @@
 }
 
 impl PeerClient {
-    /// Creates a client with a socket of its own, for operators.
+    /// Creates a client with its own socket, bound to `local`. Used by operators.
     ///
     /// # Errors
     ///
-    /// Fails when no socket can be opened or the certificates cannot be used.
+    /// Fails when the socket cannot be opened or the certificates are not usable.
     pub fn new(credentials: &Credentials, local: SocketAddr) -> Result<Self> {
         let endpoint = quinn::Endpoint::client(local)?;
         Self::with_endpoint(endpoint, credentials)
     }
 
-    /// Creates a client that shares the socket of the peer port.
+    /// Creates a client that shares the socket of `endpoint`, the peer port.
     ///
     /// # Errors
     ///
-    /// Fails when the certificates cannot be used.
+    /// Fails when the certificates are not usable.
     pub fn with_endpoint(mut endpoint: quinn::Endpoint, credentials: &Credentials) -> Result<Self> {
         endpoint.set_default_client_config(credentials.client_config()?);
         Ok(Self { endpoint, connections: Arc::default() })
     }
 
-    /// Sends one call and waits for its answer, at most `timeout`.
+    /// Sends one call and waits at most `timeout` for the response, including the time to connect.
     ///
     /// # Errors
     ///
-    /// See [`CallError`]: only `Unreachable` means that the call was certainly not carried out.
+    /// Fails with [`CallError::Unreachable`] if the call was not sent, with [`CallError::Unknown`]
+    /// if the peer may have executed it, and with [`CallError::Failed`] if the peer responded with
+    /// a failure, whose code tells whether the call was executed.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -94,7 +97,7 @@
                 return Err(unknown(e.to_string()));
             }
             Err(_) => {
-                // The peer may have been restarted, in which case it does not know the connection.
+                // The peer may have restarted, in which case it no longer knows the connection.
                 self.remove_connection(address, &connection);
                 return Err(unknown(format!("nothing arrived within {timeout:?}")));
             }
@@ -106,7 +109,11 @@
         }
     }
 
-    /// Returns an open connection to the peer, making one if needed.
+    /// Returns an open connection to the peer, or opens one if there is none.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`CallError::Unreachable`] when the connection cannot be opened.
     pub async fn connection(&self, address: SocketAddr) -> Result<quinn::Connection, CallError> {
         if let Some(connection) = self.cached_connection(address) {
             return Ok(connection);
@@ -120,7 +127,7 @@
             .await
             .map_err(|_| unreachable("timed out".to_owned()))?
             .map_err(|e| unreachable(e.to_string()))?;
-        let mut open = self.connections.lock().expect("no panic while locked");
+        let mut open = self.connections.lock().expect("mutex is not poisoned");
         match open.binary_search_by_key(&address, |(a, _)| *a) {
             Ok(i) => open[i].1 = connection.clone(),
             Err(i) => open.insert(i, (address, connection.clone())),
@@ -129,15 +136,16 @@
     }
 
     fn cached_connection(&self, address: SocketAddr) -> Option<quinn::Connection> {
-        let open = self.connections.lock().expect("no panic while locked");
+        let open = self.connections.lock().expect("mutex is not poisoned");
         let i = open.binary_search_by_key(&address, |(a, _)| *a).ok()?;
         let connection = &open[i].1;
         connection.close_reason().is_none().then(|| connection.clone())
     }
 
-    /// Makes the next call to the peer use a new connection instead of this one.
+    /// Removes a connection, so that the next call to the peer opens a new one. Does nothing if the
+    /// connection was already replaced.
     pub fn remove_connection(&self, address: SocketAddr, connection: &quinn::Connection) {
-        let mut open = self.connections.lock().expect("no panic while locked");
+        let mut open = self.connections.lock().expect("mutex is not poisoned");
         if let Ok(i) = open.binary_search_by_key(&address, |(a, _)| *a)
             && open[i].1.stable_id() == connection.stable_id()
         {
@@ -145,13 +153,14 @@
         }
     }
 
-    /// Closes every connection and waits until the peers have been told.
+    /// Closes all connections of the endpoint and waits until the peers have been notified.
     pub async fn close(&self) {
         self.endpoint.close(0u32.into(), b"done");
         self.endpoint.wait_idle().await;
     }
 }
 
+/// Sends a request on a new stream and reads the response.
 async fn exchange(
     connection: &quinn::Connection,
     request: peer::Request,
--- a/crates/node/src/peer/frame.rs
+++ b/crates/node/src/peer/frame.rs
@@ -3,11 +3,11 @@
 use bytes::Bytes;
 use prost::Message;
 
-/// Largest frame, in bytes.
+/// Maximum length of an encoded message, in bytes, without the length prefix.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 const PREFIX_BYTES: usize = 4;
 
-/// A frame that cannot be read or written.
+/// Why a frame cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     #[error("frame of {0} bytes is larger than the limit of {MAX_FRAME_BYTES}")]
@@ -20,7 +20,7 @@
     Write(#[from] quinn::WriteError),
 }
 
-/// Writes one message with its length in front.
+/// Writes one message, preceded by its length as a 4-byte big-endian integer.
 pub async fn write<M: Message>(
     stream: &mut quinn::SendStream,
     message: &M,
@@ -31,12 +31,12 @@
     }
     let mut buf = Vec::with_capacity(PREFIX_BYTES + len);
     buf.extend_from_slice(&(len as u32).to_be_bytes());
-    message.encode(&mut buf).expect("a Vec grows as needed");
+    message.encode(&mut buf).expect("encoding into a Vec does not run out of space");
     stream.write_chunk(Bytes::from(buf)).await?;
     Ok(())
 }
 
-/// Reads one message.
+/// Reads one message that was written by [`write`].
 pub async fn read<M: Message + Default>(stream: &mut quinn::RecvStream) -> Result<M, FrameError> {
     let mut prefix = [0; PREFIX_BYTES];
     stream.read_exact(&mut prefix).await?;
--- a/crates/node/src/peer/mod.rs
+++ b/crates/node/src/peer/mod.rs
@@ -1,7 +1,7 @@
 //! QUIC connections with mutual TLS between instances, and from operators to instances.
 //!
-//! This module owns the connections only. A lost connection loses the calls that are open on it;
-//! their senders see [`CallError::Unknown`] and decide whether they may send again.
+//! The module manages connections but does not retry calls. When a connection is lost, its open
+//! calls fail with [`CallError::Unknown`], and their senders decide whether to send them again.
 
 mod agreement;
 mod client;
--- a/crates/node/src/peer/server.rs
+++ b/crates/node/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The peer port: accepts connections and hands calls to the instance.
+//! Server of the peer port: accepts connections and passes calls to a [`PeerService`].
 
 use std::sync::Arc;
 
@@ -9,24 +9,25 @@
 
 use super::{frame, tls};
 
-/// What the certificate of a peer allows it to ask for.
+/// Role of a peer, taken from its TLS certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Another instance of the fleet.
     Instance,
-    /// An operator; each call carries the operator's key as well.
+    /// An operator. Each call also carries the operator's key.
     Operator,
 }
 
-/// Answers the calls of peers.
+/// Handles the calls of peers.
 pub trait PeerService: Send + Sync {
-    /// Carries out one call.
+    /// Executes one call of a peer that has the given role, and returns the response.
     fn call(&self, role: Role, body: request::Body) -> BoxFuture<'_, response::Body>;
 }
 
 /// Receives messages of the replicated log.
 pub trait AgreementSink: Send + Sync {
-    /// Takes one batch; it may be dropped.
+    /// Takes one batch. Implementations may drop it, because the replicated log tolerates lost
+    /// messages.
     fn deliver(&self, batch: AgreementBatch);
 }
 
@@ -39,14 +40,14 @@
                 Ok(message) => Self::deliver(self, ReplicaId(batch.from), folder, message),
                 Err(e) => {
                     let (from, error) = (batch.from, e.to_string());
-                    log::warn!(from, error = error.as_str(); "malformed message of a replica");
+                    log::warn!(from, error = error.as_str(); "dropped a malformed message from a replica");
                 }
             }
         }
     }
 }
 
-/// Accepts the connections of peers.
+/// Accepts connections on the peer port.
 pub struct PeerServer {
     endpoint: quinn::Endpoint,
     service: Arc<dyn PeerService>,
@@ -54,7 +55,8 @@
 }
 
 impl PeerServer {
-    /// Returns a server for the peer port.
+    /// Returns a server that accepts connections on `endpoint`. Without `agreement`, messages of
+    /// the replicated log are not read.
     pub fn new(
         endpoint: quinn::Endpoint,
         service: Arc<dyn PeerService>,
@@ -63,7 +65,7 @@
         Self { endpoint, service, agreement }
     }
 
-    /// Accepts connections until the endpoint is closed.
+    /// Accepts connections until the endpoint is closed. Never fails.
     pub async fn run(self: Arc<Self>) -> Result<()> {
         while let Some(incoming) = self.endpoint.accept().await {
             tokio::spawn(self.clone().handle_connection(incoming));
@@ -77,7 +79,7 @@
             Ok(connection) => connection,
             Err(e) => {
                 let (error, remote) = (e.to_string(), remote.to_string());
-                log::warn!(remote = remote.as_str(), error = error.as_str(); "peer handshake failed");
+                log::warn!(remote = remote.as_str(), error = error.as_str(); "handshake with a peer failed");
                 return;
             }
         };
@@ -106,7 +108,8 @@
     };
     let sent = frame::write(&mut tx, &peer::Response { body: Some(body) }).await;
     if sent.is_ok() {
-        // Fails only when the peer has reset the stream and no longer waits.
+        // Fails only if the stream is already stopped, and then the peer no longer waits for the
+        // response.
         let _ = tx.finish();
     }
 }
@@ -122,7 +125,7 @@
     }
 }
 
-/// Builds the answer to a call that could not be carried out.
+/// Builds the response to a call that failed, without the address of a leader.
 pub fn failure(code: FailureCode, message: &str) -> response::Body {
     response::Body::Failure(peer::Failure {
         code: code.into(),
--- a/crates/node/src/peer/tls.rs
+++ b/crates/node/src/peer/tls.rs
@@ -1,7 +1,7 @@
-//! TLS settings of the peer port.
+//! TLS configuration of the peer port.
 //!
-//! One authority signs every certificate. The name in a certificate says whether its holder is an
-//! instance or an operator.
+//! One authority signs all certificates. A peer whose certificate is valid for [`INSTANCE_NAME`] is
+//! an instance; any other peer is an operator.
 
 use std::{path::PathBuf, sync::Arc, time::Duration};
 
@@ -13,22 +13,23 @@
     server::WebPkiClientVerifier,
 };
 
-/// Version of the protocol between instances, agreed in the TLS handshake.
+/// ALPN protocol name, which includes the version of the peer protocol.
 const PROTOCOL: &[u8] = b"poplarspan/1";
-/// Subject name in the certificates of instances.
+/// Subject name in the certificates of instances. Clients use it as the server name.
 pub const INSTANCE_NAME: &str = "instance.poplarspan.internal";
-/// A connection on which nothing arrives for this long is closed.
+/// A connection on which no packet arrives for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval of keep-alive packets, several per idle timeout.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(800);
-/// Calls that a peer may have open on one connection.
+/// Maximum number of calls that a peer may have open on one connection.
 const MAX_BIDI_STREAMS: u32 = 1024;
-/// Streams of the replicated log: one for each group.
+/// Maximum number of streams for the replicated log on one connection; there is one per group.
 const MAX_UNI_STREAMS: u32 = 256;
 
 /// PEM files of one side of a mutual TLS connection.
 #[derive(Clone, Debug)]
 pub struct TlsFiles {
-    /// Certificates of the authority that signs all instances and operators.
+    /// Certificates of the authority that signs the certificates of all instances and operators.
     pub authority: PathBuf,
     /// Certificate chain of this process.
     pub certificate: PathBuf,
@@ -36,7 +37,7 @@
     pub key: PathBuf,
 }
 
-/// Certificates and key of one process, read from files.
+/// Certificates and private key of one process.
 pub struct Credentials {
     roots: Arc<RootCertStore>,
     chain: Vec<CertificateDer<'static>>,
@@ -44,11 +45,12 @@
 }
 
 impl Credentials {
-    /// Reads the files.
+    /// Reads the certificates and the private key from PEM files.
     ///
     /// # Errors
     ///
-    /// Fails when a file cannot be read or holds no certificate or key; the error names the file.
+    /// Fails when a file cannot be read or does not contain a certificate or key. The error names
+    /// the file.
     pub fn load(files: &TlsFiles) -> Result<Self> {
         let mut roots = RootCertStore::empty();
         for certificate in read_certificates(&files.authority)? {
@@ -60,11 +62,11 @@
         Ok(Self { roots: Arc::new(roots), chain, key })
     }
 
-    /// Settings for accepting connections.
+    /// Returns the QUIC configuration for accepting connections.
     ///
     /// # Errors
     ///
-    /// Fails when the certificates cannot be used.
+    /// Fails when the certificates are not usable.
     pub fn server_config(&self) -> Result<quinn::ServerConfig> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let verifier =
@@ -80,11 +82,11 @@
         Ok(cfg)
     }
 
-    /// Settings for opening connections.
+    /// Returns the QUIC configuration for opening connections.
     ///
     /// # Errors
     ///
-    /// Fails when the certificates cannot be used.
+    /// Fails when the certificates are not usable.
     pub fn client_config(&self) -> Result<quinn::ClientConfig> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let mut tls = rustls::ClientConfig::builder_with_provider(provider)
@@ -104,25 +106,27 @@
     };
     let chain =
         read().with_context(|| format!("cannot read certificates from {}", path.display()))?;
-    anyhow::ensure!(!chain.is_empty(), "{} holds no certificate", path.display());
+    anyhow::ensure!(!chain.is_empty(), "{} contains no certificate", path.display());
     Ok(chain)
 }
 
 fn transport_config() -> Arc<quinn::TransportConfig> {
     let mut cfg = quinn::TransportConfig::default();
-    cfg.max_idle_timeout(Some(IDLE_TIMEOUT.try_into().expect("a few seconds fit")));
+    cfg.max_idle_timeout(Some(
+        IDLE_TIMEOUT.try_into().expect("idle timeout is within the range of QUIC"),
+    ));
     cfg.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     cfg.max_concurrent_bidi_streams(MAX_BIDI_STREAMS.into());
     cfg.max_concurrent_uni_streams(MAX_UNI_STREAMS.into());
     Arc::new(cfg)
 }
 
-/// Whether the certificate that the peer presented belongs to an instance.
+/// Returns whether the certificate of the peer belongs to an instance.
 pub fn is_instance(connection: &quinn::Connection) -> bool {
     let Some(identity) = connection.peer_identity() else { return false };
     let Ok(chain) = identity.downcast::<Vec<CertificateDer<'static>>>() else { return false };
     let Some(certificate) = chain.first() else { return false };
     let Ok(end_entity) = webpki::EndEntityCert::try_from(certificate) else { return false };
-    let name = ServerName::try_from(INSTANCE_NAME).expect("a valid name");
+    let name = ServerName::try_from(INSTANCE_NAME).expect("INSTANCE_NAME is a valid DNS name");
     end_entity.verify_is_valid_for_subject_name(&name).is_ok()
 }
--- a/crates/node/src/pool.rs
+++ b/crates/node/src/pool.rs
@@ -1,5 +1,7 @@
-//! Connections to endpoints: one call at a time on each, so that a connection that goes silent or
-//! delivers a foreign answer affects one call only.
+//! Pool of HTTP connections to endpoints.
+//!
+//! A connection carries one call at a time, so that one that stops responding, or that returns the
+//! response to another call, affects only a single call.
 
 use std::{
     net::SocketAddr,
@@ -17,34 +19,39 @@
 
 use crate::gate::{Gate, GatedStream, SendPermission};
 
+// TCP keepalive: the first probe after this idle time, then one per interval. The connection fails
+// when this many probes in a row are not acknowledged.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 3;
-/// A connection is not used again this long before its endpoint closes it, so that a call and the
-/// close do not cross.
+/// A connection is no longer reused when its endpoint is due to close it within this time, so that
+/// a call is not sent while the endpoint closes the connection.
 const KEEP_ALIVE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1000);
+/// Further idle connections to an endpoint are closed.
 const MAX_IDLE_PER_ENDPOINT: usize = 64;
-/// A connection that is closed within this time was not accepted by the endpoint itself, but by
-/// something in front of it.
+/// A connection that is closed within this time was accepted by a proxy in front of the endpoint,
+/// not by the endpoint itself.
 const ACCEPT_CHECK_DELAY: Duration = Duration::from_millis(50);
+/// Size of the read buffer, which limits the head of a response.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 * 1024;
 
-/// How a [`Pool`] treats its connections.
+/// Configuration of a [`Pool`].
 #[derive(Clone, Debug)]
 pub struct PoolConfig {
-    /// Header that ties an answer to its call.
+    /// Header whose value in a response must equal the one in the request, if the response has it.
     pub id_header: HeaderName,
-    /// Time after which an attempt to connect is given up.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// Something between the two ends may lose track of an idle connection, so idle ones are not
-    /// kept for longer than this.
+    /// Connections that have been idle for this long are not reused, because a firewall or a proxy
+    /// on the path may have dropped their state.
     pub idle_timeout: Duration,
-    /// Longest time that sent data may stay tcp_user_timeout.
+    /// Maximum time that sent data may stay unacknowledged before the kernel closes the connection
+    /// (`TCP_USER_TIMEOUT`). Only has an effect on Linux.
     pub tcp_user_timeout: Duration,
 }
 
 impl PoolConfig {
-    /// Returns the defaults for a header.
+    /// Returns a configuration with the given header and default timeouts.
     pub fn new(id_header: HeaderName) -> Self {
         Self {
             id_header,
@@ -55,13 +62,13 @@
     }
 }
 
-/// One end of a connection. Dropping it closes the connection at once, which cancels a call that is
-/// open on it.
+/// A connection to an endpoint. Dropping it closes the connection immediately, which cancels its
+/// open call.
 struct Connection {
     http: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
     gate: Gate,
-    /// Time for which the endpoint keeps the connection open while it is idle, as far as it has said.
+    /// Idle timeout of the endpoint, if it announced one in a `Keep-Alive` header.
     keep_alive: Option<Duration>,
 }
 
@@ -71,25 +78,26 @@
     }
 }
 
-/// Why an endpoint gave no answer.
+/// Why a call to an endpoint failed before the head of a response arrived.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// Not a byte of the call has left this process.
+    /// No byte of the request was written.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The permission to send has ended. Not a byte of the call has left this process.
+    /// The permission to send was denied. No byte of the request was written.
     #[error("not sent: the permission to send has ended")]
     NotPermitted,
-    /// The call was sent, or may have been.
+    /// The connection failed after the request was sent, or may have been sent.
     #[error("connection lost: {0}")]
     Lost(String),
-    /// Nothing arrived within the time allowed.
+    /// The head of the response did not arrive before the deadline.
     #[error("no answer in time")]
     Timeout,
-    /// Nothing arrived on a connection that had been used before, while there is time for another.
+    /// The head of the response did not arrive in time on a reused connection, but there is time
+    /// left to try another connection.
     #[error("no answer on a connection in use before")]
     ReusedTimeout,
-    /// The answer belongs to another call.
+    /// The response carries the id of another call.
     #[error("the answer carries the id of another call")]
     IdMismatch,
 }
@@ -106,7 +114,7 @@
 }
 
 impl Idle {
-    /// Whether the endpoint can be expected to still have the connection open.
+    /// Whether the endpoint is expected to still have the connection open.
     fn is_usable(&self, idle_timeout: Duration) -> bool {
         let announced =
             self.connection.keep_alive.map(|t| t.saturating_sub(KEEP_ALIVE_TIMEOUT_MARGIN));
@@ -114,7 +122,7 @@
     }
 }
 
-/// Idle connections, by endpoint.
+/// Idle connections to endpoints, by address.
 #[derive(Debug)]
 pub struct Pool {
     cfg: PoolConfig,
@@ -122,9 +130,9 @@
     idle: Mutex<Vec<(SocketAddr, Vec<Idle>)>>,
 }
 
-/// An answer whose body is still to be read, and the connection that it arrives on.
+/// A response whose body has not been read yet, and its connection.
 pub struct Exchange {
-    /// Head of the answer, and its body, which is still arriving.
+    /// Head of the response, and its body, which may still be arriving.
     pub response: Response<Incoming>,
     connection: Connection,
     address: SocketAddr,
@@ -132,18 +140,20 @@
 }
 
 impl Exchange {
-    /// Splits the answer from its connection, which is given back with [`PooledConnection::release`].
+    /// Separates the response from its connection, which goes back to the pool with
+    /// [`PooledConnection::release`].
     pub fn into_parts(self) -> (Response<Incoming>, PooledConnection) {
-        let reuse = PooledConnection {
+        let pooled = PooledConnection {
             connection: self.connection,
             address: self.address,
             pool: self.pool,
         };
-        (self.response, reuse)
+        (self.response, pooled)
     }
 }
 
-/// A connection that may be used again once its answer has been read whole. Dropping it closes it.
+/// A connection that can be reused once the body of its response has been read completely. Dropping
+/// it closes the connection.
 pub struct PooledConnection {
     connection: Connection,
     address: SocketAddr,
@@ -151,7 +161,7 @@
 }
 
 impl PooledConnection {
-    /// Puts the connection back.
+    /// Returns the connection to the pool. Call it only after the body has been read to its end.
     pub fn release(self) {
         self.pool.put_idle(self.address, self.connection);
     }
@@ -163,10 +173,14 @@
         Arc::new(Self { cfg, idle: Mutex::default() })
     }
 
-    /// Sends a call and waits for the head of its answer, at most until `deadline`.
+    /// Sends a request and waits for the head of the response, at most until `deadline`.
     ///
-    /// With `new_connection`, a new connection is made: a call that must not run twice cannot be repeated
-    /// when an old connection turns out to be silent.
+    /// If `new_connection` is set, no idle connection is used. This is for calls that must not run
+    /// twice: they cannot be repeated when a reused connection does not respond.
+    ///
+    /// # Errors
+    ///
+    /// See [`SendError`]. Only `NotSent` and `NotPermitted` mean that the call did not run.
     pub async fn send(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -178,9 +192,17 @@
         self.send_if_permitted(address, request, new_connection, deadline, deadline, always).await
     }
 
-    /// As [`Pool::send`], but waits for the head of the answer only until `reused_deadline` when the
-    /// connection has been used before: it may have gone silent since. `may_send` is asked when the
-    /// first byte is about to leave; if it says no, the result is [`SendError::NotPermitted`].
+    /// Like [`Pool::send`], with an earlier deadline for reused connections and a permission to
+    /// send.
+    ///
+    /// On a reused connection, which may be broken without notice, it waits for the head of the
+    /// response only until `reused_deadline`. `may_send` is called immediately before the first
+    /// byte of the request is written.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Pool::send`]. Fails with [`SendError::NotPermitted`] if `may_send` returns false,
+    /// and with [`SendError::ReusedTimeout`] if `reused_deadline` passes before `deadline`.
     pub async fn send_if_permitted(
         self: &Arc<Self>,
         address: SocketAddr,
@@ -221,7 +243,8 @@
         }
     }
 
-    /// Whether an endpoint accepts a new connection, which is kept for the next call.
+    /// Returns whether an endpoint accepts a new connection. If so, the connection is kept for the
+    /// next call.
     pub async fn accepts_connections(&self, address: SocketAddr) -> bool {
         let deadline = Instant::now() + self.cfg.connect_timeout;
         let error = match connect(address, deadline, &self.cfg).await {
@@ -231,15 +254,17 @@
                     self.put_idle(address, connection);
                     return true;
                 }
-                "closed at once".to_owned()
+                "connection closed immediately".to_owned()
             }
             Err(e) => e.to_string(),
         };
         let address = address.to_string();
-        log::info!(address = address.as_str(), error = error.as_str(); "endpoint accepts no connection");
+        log::info!(address = address.as_str(), error = error.as_str(); "endpoint does not accept connections");
         false
     }
 
+    /// Checks that the response belongs to the call with the given id. A response without the id
+    /// header is accepted.
     fn check_id(
         self: &Arc<Self>,
         response: Response<Incoming>,
@@ -257,8 +282,9 @@
         Ok(Exchange { response, connection, address, pool: self.clone() })
     }
 
+    /// Removes the most recently used idle connection to an endpoint that is still usable.
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
-        let mut idle = self.idle.lock().expect("no panic while locked");
+        let mut idle = self.idle.lock().expect("mutex is not poisoned");
         let i = idle.binary_search_by_key(&address, |(a, _)| *a).ok()?;
         while let Some(last) = idle[i].1.pop() {
             if last.is_usable(self.cfg.idle_timeout) && last.connection.http.is_ready() {
@@ -268,9 +294,10 @@
         None
     }
 
+    /// Adds an idle connection, unless there are [`MAX_IDLE_PER_ENDPOINT`] to the endpoint already.
     fn put_idle(&self, address: SocketAddr, connection: Connection) {
         let entry = Idle { connection, since: Instant::now() };
-        let mut idle = self.idle.lock().expect("no panic while locked");
+        let mut idle = self.idle.lock().expect("mutex is not poisoned");
         match idle.binary_search_by_key(&address, |(a, _)| *a) {
             Ok(i) => {
                 let list = &mut idle[i].1;
@@ -285,25 +312,26 @@
         }
     }
 
-    /// Closes the idle connections to an endpoint, after one of them has gone silent.
+    /// Closes all idle connections to an endpoint. Called when one of them does not respond,
+    /// because the others are probably broken as well.
     pub fn close_idle(&self, address: SocketAddr) {
-        let mut idle = self.idle.lock().expect("no panic while locked");
+        let mut idle = self.idle.lock().expect("mutex is not poisoned");
         if let Ok(i) = idle.binary_search_by_key(&address, |(a, _)| *a) {
             idle.remove(i);
         }
     }
 
-    /// Endpoints to which there are idle connections that can be used, sorted.
+    /// Returns the addresses of the endpoints with usable idle connections, sorted.
     pub fn idle_endpoints(&self) -> Vec<SocketAddr> {
-        let idle = self.idle.lock().expect("no panic while locked");
+        let idle = self.idle.lock().expect("mutex is not poisoned");
         let usable = |i: &Idle| i.is_usable(self.cfg.idle_timeout) && i.connection.http.is_ready();
         let connected = idle.iter().filter(|(_, list)| list.last().is_some_and(usable));
         connected.map(|(address, _)| *address).collect()
     }
 
-    /// Closes idle connections that are too old; called now and then.
+    /// Closes idle connections that can no longer be reused. Must be called periodically.
     pub fn close_expired(&self) {
-        let mut idle = self.idle.lock().expect("no panic while locked");
+        let mut idle = self.idle.lock().expect("mutex is not poisoned");
         for (_, list) in idle.iter_mut() {
             list.retain(|old| {
                 old.is_usable(self.cfg.idle_timeout) && !old.connection.http.is_closed()
@@ -313,7 +341,7 @@
     }
 }
 
-/// Time for which the endpoint says that it keeps an idle connection.
+/// Returns the `timeout` parameter of the `Keep-Alive` header, which has a resolution of seconds.
 fn keep_alive(response: &Response<Incoming>) -> Option<Duration> {
     let value = response.headers().get("keep-alive")?.to_str().ok()?;
     let timeout = value.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
@@ -322,7 +350,7 @@
 
 enum SendOutcome {
     Response(Response<Incoming>),
-    /// The connection was closed before the request was sent.
+    /// The connection was closed before any part of the request was written.
     Unsent(Request<Full<Bytes>>),
 }
 
@@ -355,7 +383,8 @@
     }
 }
 
-/// Makes the kernel notice a peer that no longer acknowledges anything.
+/// Disables Nagle's algorithm, and makes the kernel close the connection when the peer no longer
+/// acknowledges data or keepalive probes.
 fn set_socket_options(stream: &TcpStream, cfg: &PoolConfig) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/node/src/probes.rs
+++ b/crates/node/src/probes.rs
@@ -1,4 +1,4 @@
-//! Metrics, and the port that serves them beside health and readiness.
+//! Metrics recorder, and the HTTP server for metrics, liveness and readiness.
 
 use std::{
     sync::{Arc, Mutex},
@@ -15,18 +15,23 @@
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
 use tokio::{net::TcpListener, sync::Semaphore};
 
-/// Bounds of latency histograms, in seconds.
+/// Upper bounds of the buckets of latency histograms, in seconds.
 const LATENCY_BUCKETS_SECONDS: [f64; 14] =
     [0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 5.0, 30.0, 120.0];
 const MAX_PROBE_CONNECTIONS: usize = 64;
 
-/// Access to the metrics of this process.
+/// Handle that renders the metrics of this process.
 pub type Metrics = PrometheusHandle;
 
-/// Installs the metrics recorder of this process, once.
+/// Returns the handle of the metrics recorder of this process. The first call installs the
+/// recorder.
+///
+/// # Panics
+///
+/// Panics if another metrics recorder is already installed.
 pub fn recorder() -> PrometheusHandle {
     static HANDLE: Mutex<Option<PrometheusHandle>> = Mutex::new(None);
-    let mut handle = HANDLE.lock().expect("no panic while locked");
+    let mut handle = HANDLE.lock().expect("mutex is not poisoned");
     handle.get_or_insert_with(install_recorder).clone()
 }
 
@@ -34,18 +39,23 @@
     let seconds = Matcher::Suffix("_seconds".to_owned());
     PrometheusBuilder::new()
         .set_buckets_for_metric(seconds, &LATENCY_BUCKETS_SECONDS)
-        .expect("the list of buckets is not empty")
+        .expect("list of buckets is not empty")
         .install_recorder()
-        .expect("no other recorder is installed in this process")
+        .expect("no other metrics recorder is installed")
 }
 
-/// Says whether the instance can serve.
+/// Reports whether the instance can serve requests.
 pub trait Readiness: Send + Sync {
-    /// None when ready, or the reason why not.
+    /// Returns `None` if the instance is ready, or the reason why it is not. `/readyz` responds
+    /// with this reason.
     fn not_ready(&self) -> Option<&'static str>;
 }
 
 /// Serves `/metrics`, `/healthz` and `/readyz`.
+///
+/// # Errors
+///
+/// Fails when the socket cannot accept a connection.
 pub async fn serve(
     socket: Arc<TcpListener>,
     readiness: Arc<dyn Readiness>,
@@ -70,7 +80,7 @@
             .header_read_timeout(Duration::from_secs(5))
             .serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            // A probe that hangs up early needs no report.
+            // A client that disconnects early is not an error.
             let _ = connection.await;
             drop(permit);
         });
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Runs the long-lived tasks of an instance and restarts those that fail.
+//! Runs the long-lived tasks of an instance and restarts the ones that fail.
 
 use std::{future::Future, time::Duration};
 
@@ -7,22 +7,28 @@
 
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// A child that ran this long starts again without backoff.
+/// A child that ran for longer than this restarts with the initial backoff.
 const BACKOFF_RESET_AFTER: Duration = Duration::from_secs(30);
 
-/// A group of supervised tasks. Dropping it ends them all.
+/// A group of supervised tasks.
+///
+/// Dropping it ends the supervision only: running tasks continue, are not restarted when they fail,
+/// and no longer react to the token.
 pub struct Supervisor {
     children: JoinSet<()>,
     stop: CancellationToken,
 }
 
 impl Supervisor {
-    /// Creates a supervisor whose children end when `stop` is cancelled.
+    /// Creates a supervisor whose children are aborted when `stop` is cancelled.
     pub fn new(stop: CancellationToken) -> Self {
         Self { children: JoinSet::new(), stop }
     }
 
-    /// Starts a child. `run` is called again, after a backoff, each time its future fails or panics.
+    /// Starts a child named `name` in logs and metrics.
+    ///
+    /// `run` is called again, after a backoff, each time its future fails or panics. The child ends
+    /// when the future returns `Ok`.
     pub fn start<F, Fut>(&mut self, name: &'static str, mut run: F)
     where
         F: FnMut() -> Fut + Send + 'static,
@@ -57,7 +63,7 @@
         });
     }
 
-    /// Waits until every child has ended.
+    /// Waits until all children have ended.
     pub async fn join(mut self) {
         while self.children.join_next().await.is_some() {}
     }
--- a/crates/node/tests/accepted_connections.rs
+++ b/crates/node/tests/accepted_connections.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint accepts connections.
+//! Tests the check whether an endpoint accepts connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -7,8 +7,8 @@
 use tokio::net::TcpListener;
 
 async fn listener() -> (TcpListener, SocketAddr) {
-    let socket = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
-    let address = socket.local_addr().expect("an address");
+    let socket = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("cannot bind a port");
+    let address = socket.local_addr().expect("socket has no address");
     (socket, address)
 }
 
@@ -19,11 +19,12 @@
 #[tokio::test]
 async fn kept_open() {
     let (socket, address) = listener().await;
-    let serving = tokio::spawn(async move { socket.accept().await.expect("a connection") });
+    let serving =
+        tokio::spawn(async move { socket.accept().await.expect("cannot accept a connection") });
     let pool = pool();
     assert!(pool.accepts_connections(address).await);
-    assert_eq!(pool.idle_endpoints(), [address], "the connection is kept for a call");
-    serving.await.expect("no panic");
+    assert_eq!(pool.idle_endpoints(), [address], "the pool keeps the connection for the next call");
+    serving.await.expect("accepting task panicked");
 }
 
 #[tokio::test]
@@ -33,7 +34,8 @@
     assert!(!pool().accepts_connections(address).await);
 }
 
-/// Guards against taking what stands in front of an endpoint for the endpoint.
+/// A proxy in front of a terminated endpoint accepts a connection and closes it immediately. Guards
+/// against reporting such an endpoint as accepting connections.
 #[tokio::test]
 async fn closed_at_once() {
     let (socket, address) = listener().await;
--- a/crates/node/tests/send_permission.rs
+++ b/crates/node/tests/send_permission.rs
@@ -1,4 +1,4 @@
-//! Guards against requests that leave after the permission to send them has ended.
+//! Guards against requests that are written after the permission to send them has expired.
 
 use std::{
     sync::{Arc, Mutex},
@@ -20,10 +20,10 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An endpoint that answers each request, and keeps what it has received.
+/// Starts an endpoint that responds to each read of request data and records the received bytes.
 async fn endpoint() -> (std::net::SocketAddr, Arc<Mutex<Vec<u8>>>) {
-    let socket = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
-    let address = socket.local_addr().expect("an address");
+    let socket = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a socket");
+    let address = socket.local_addr().expect("socket has no address");
     let received = Arc::new(Mutex::new(Vec::new()));
     let seen = received.clone();
     tokio::spawn(async move {
@@ -32,9 +32,9 @@
             tokio::spawn(async move {
                 let mut buf = [0; 4096];
                 while let Ok(len @ 1..) = stream.read(&mut buf).await {
-                    seen.lock().expect("no panic while locked").extend_from_slice(&buf[..len]);
+                    seen.lock().expect("mutex is poisoned").extend_from_slice(&buf[..len]);
                     let answer = b"HTTP/1.1 200 OK\r\nx-id: 1\r\ncontent-length: 2\r\n\r\nok";
-                    stream.write_all(answer).await.expect("a caller");
+                    stream.write_all(answer).await.expect("cannot write the response");
                 }
             });
         }
@@ -48,18 +48,20 @@
 
 fn request(path: &str) -> Request<Full<Bytes>> {
     let request = Request::post(path).header("host", "h").header("x-id", "1");
-    request.body(Full::new(Bytes::from_static(b"body"))).expect("a request")
+    request.body(Full::new(Bytes::from_static(b"body"))).expect("request is invalid")
 }
 
-/// Time of the permission, and a suspension that outlasts it.
+/// How long the permission to send is valid. Also the time that the tests wait for written data to
+/// arrive.
 const PERMITTED: Duration = Duration::from_millis(50);
+/// Duration of the simulated suspension, longer than [`PERMITTED`].
 const SUSPENDED: Duration = Duration::from_millis(100);
 
 fn received_nothing(received: &Mutex<Vec<u8>>) -> bool {
-    received.lock().expect("no panic while locked").is_empty()
+    received.lock().expect("mutex is poisoned").is_empty()
 }
 
-/// The permission ends while the connection is made.
+/// The permission expires while a new connection is opened.
 #[tokio::test]
 async fn new_connection() {
     let (address, received) = endpoint().await;
@@ -72,27 +74,29 @@
     assert!(received_nothing(&received));
 }
 
-/// The process is suspended between the hand-over of a request and the turn of the task that writes
-/// it on a connection that was used before.
+/// The process is suspended after a request has been passed to the task of a reused connection, and
+/// before that task runs to write it.
 #[tokio::test]
 async fn suspended_before_write() {
     let (address, received) = endpoint().await;
     let pool = pool();
     let deadline = Instant::now() + TIMEOUT;
-    let first = pool.send(address, request("/first"), false, deadline).await.expect("an answer");
+    let first =
+        pool.send(address, request("/first"), false, deadline).await.expect("first call failed");
     let (response, reuse) = first.into_parts();
-    response.into_body().collect().await.expect("a body");
+    response.into_body().collect().await.expect("cannot read the body");
     reuse.release();
-    // Lets the connection's task see the end of the answer.
+    // Lets the task of the connection process the end of the response.
     sleep(PERMITTED).await;
     assert_eq!(pool.idle_endpoints(), [address]);
-    received.lock().expect("no panic while locked").clear();
+    received.lock().expect("mutex is poisoned").clear();
 
     let until = std::time::Instant::now() + PERMITTED;
     let may_send: SendPermission = Arc::new(move || std::time::Instant::now() < until);
     let send =
         pool.send_if_permitted(address, request("/late"), false, deadline, deadline, may_send);
-    // Blocks the runtime's only thread in the step in which the request was handed over.
+    // Blocks the only thread of the runtime, in the same poll in which the request is passed to the
+    // task of the connection.
     let suspension = async { std::thread::sleep(SUSPENDED) };
     let (sent, ()) = tokio::join!(send, suspension);
     assert!(matches!(sent.map(|_| ()), Err(SendError::NotPermitted)));
