--- a/crates/proto/examples/generate.rs
+++ b/crates/proto/examples/generate.rs
@@ -1,4 +1,4 @@
-//! Writes the Rust types for `proto/*.proto` to `src/gen`, or to the folder given as argument.
+//! Generates the Rust types for `proto/*.proto` in `src/gen`, or in the folder given as argument.
 
 use std::path::{Path, PathBuf};
 
@@ -10,8 +10,9 @@
 
 fn generate(root: &Path, out: &Path) {
     let files = ["agreement.proto", "ledger.proto", "peer.proto", "relay.proto"];
-    let set = protox::compile(files, [root.join("proto")]).expect("the .proto files compile");
+    let set =
+        protox::compile(files, [root.join("proto")]).expect("cannot compile the .proto files");
     let mut cfg = prost_build::Config::new();
     cfg.bytes(["."]).out_dir(out);
-    cfg.compile_fds(set).expect("the types are written");
+    cfg.compile_fds(set).expect("cannot write the generated types");
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,11 +1,11 @@
-//! Protobuf types of all messages between the processes of Poplarspan.
+//! Protobuf types of the messages between Poplarspan processes and of the data that they store.
 //!
-//! The types are generated from `proto/*.proto` and committed, so that a build needs no generator.
-//! After a change run `cargo run -p poplarspan-proto --example generate`. The `.proto` files state
-//! what the names leave open; units are part of field names (`_ms`, `_bytes`, `_tokens`).
+//! The types are generated from `proto/*.proto` and committed, so that a build does not need a
+//! protobuf compiler. After a change, run `cargo run -p poplarspan-proto --example generate`. The
+//! comments in the `.proto` files document the fields; units are part of the field names (`_ms`,
+//! `_bytes`, `_tokens`).
 //!
-//! The crate holds no state. The types check only the encoding; whoever receives a message checks
-//! its content.
+//! The types only check the encoding. The receiver of a message must validate its content.
 //!
 //! ```
 //! use poplarspan_proto::ledger::Claimant;
@@ -16,13 +16,13 @@
 //! # Ok::<(), prost::DecodeError>(())
 //! ```
 
-/// Messages and log records of the replicated log.
+/// Messages between replicas, and records of the write-ahead log.
 #[allow(missing_docs, clippy::all)]
 pub mod agreement {
     include!("gen/poplarspan.agreement.v1.rs");
 }
 
-/// Commands and answers of the replicated state machines.
+/// Commands, queries, answers and snapshots of the catalog and the program groups.
 #[allow(missing_docs, clippy::all)]
 pub mod ledger {
     include!("gen/poplarspan.ledger.v1.rs");
@@ -34,7 +34,7 @@
     include!("gen/poplarspan.peer.v1.rs");
 }
 
-/// Commands and snapshots of the state machines of a relay fleet.
+/// Commands and snapshots of the replicated state machines of a relay fleet.
 #[allow(missing_docs, clippy::all)]
 pub mod relay {
     include!("gen/poplarspan.relay.v1.rs");
