--- a/crates/proto/src/gen/poplarspan.relay.v1.rs
+++ b/crates/proto/src/gen/poplarspan.relay.v1.rs
@@ -23,7 +23,7 @@
         Acquit(super::Acquit),
     }
 }
-/// Takes effect if its version is the highest so far.
+/// Replaces the publication if its version is higher than the version in force.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Publish {
     #[prost(uint64, tag = "1")]
@@ -31,6 +31,7 @@
     #[prost(bytes = "bytes", tag = "2")]
     pub body: ::prost::bytes::Bytes,
 }
+/// Takes a zone out of service, or puts it back into service.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct SetZone {
     #[prost(string, tag = "1")]
@@ -38,47 +39,50 @@
     #[prost(bool, tag = "2")]
     pub out: bool,
 }
-/// Decides once into how many groups programs are divided, and which stores found them.
+/// Sets the number of groups that programs are divided into, and the stores that form them. Only the
+/// first command takes effect.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct FormStore {
-    /// The stores in the order in which groups take their first voters from them.
+    /// Replica numbers of the stores, in the order in which groups take their first voters from them.
     #[prost(uint64, repeated, tag = "1")]
     pub ring: ::prost::alloc::vec::Vec<u64>,
     #[prost(uint32, tag = "2")]
     pub groups: u32,
 }
+/// Marks an instance as retiring.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Retire {
     #[prost(string, tag = "1")]
     pub instance: ::prost::alloc::string::String,
 }
-/// Refuses a request under which endpoints end.
+/// Blocks a request during which endpoints terminated. The block expires after a time that grows
+/// with the number of blocks.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Condemn {
     /// Digest of the request.
     #[prost(bytes = "bytes", tag = "1")]
     pub request: ::prost::bytes::Bytes,
-    /// Milliseconds since the epoch at the proposer.
+    /// Wall-clock time of the proposer, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "2")]
     pub at_ms: u64,
-    /// How often it was condemned; in snapshots only.
+    /// How often the request was blocked. Only set in snapshots.
     #[prost(uint32, tag = "3")]
     pub times: u32,
 }
-/// Lets a request run again.
+/// Removes the block of a request.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Acquit {
     #[prost(bytes = "bytes", tag = "1")]
     pub request: ::prost::bytes::Bytes,
 }
-/// Result of a command.
+/// Result of a `BoardCommand`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct BoardResult {
-    /// Version in force after the command.
+    /// Version of the publication in force after the command.
     #[prost(uint64, tag = "1")]
     pub version: u64,
 }
-/// Whole state of the control group.
+/// Complete state of the control group.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct BoardSnapshot {
     #[prost(uint64, tag = "1")]
@@ -97,10 +101,12 @@
     #[prost(message, repeated, tag = "6")]
     pub condemned: ::prost::alloc::vec::Vec<Condemn>,
 }
-/// A command of a group that keeps programs and their turns.
+/// A command of a group that stores the budgets and turns of programs. Settlements are applied
+/// before reservations.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct TurnCommand {
-    /// Milliseconds since the epoch at the proposer. Time in the log never goes back.
+    /// Wall-clock time of the proposer, in milliseconds since the Unix epoch. The group's time is the
+    /// maximum over all commands, so that it never decreases.
     #[prost(uint64, tag = "1")]
     pub now_ms: u64,
     #[prost(message, repeated, tag = "2")]
@@ -108,32 +114,34 @@
     #[prost(message, repeated, tag = "3")]
     pub settle: ::prost::alloc::vec::Vec<Settle>,
 }
-/// Reserves tokens of a program's budget under a name.
+/// Reserves tokens of the budget of a program.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Reserve {
     #[prost(string, tag = "1")]
     pub team: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
     pub program: ::prost::alloc::string::String,
+    /// Name of the reservation, unique within the program.
     #[prost(string, tag = "3")]
     pub name: ::prost::alloc::string::String,
-    /// As many as the budget holds, up to this number.
+    /// Maximum number of tokens to reserve. Fewer are reserved if fewer remain in the budget.
     #[prost(uint64, tag = "4")]
     pub most: u64,
+    /// Total tokens of the program.
     #[prost(uint64, tag = "5")]
     pub budget: u64,
-    /// Nothing is reserved if the budget holds fewer.
+    /// Nothing is reserved if fewer tokens than this remain, or if it is 0.
     #[prost(uint64, tag = "6")]
     pub least: u64,
 }
-/// Replaces what was reserved under a name by what was used of it, and keeps a turn.
+/// Closes a reservation, charges the tokens that were used, and stores a turn.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Settle {
     #[prost(string, tag = "1")]
     pub team: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
     pub program: ::prost::alloc::string::String,
-    /// Empty when only a turn is kept.
+    /// Name of the reservation. Empty to only store a turn.
     #[prost(string, tag = "3")]
     pub name: ::prost::alloc::string::String,
     #[prost(uint64, tag = "4")]
@@ -141,22 +149,26 @@
     #[prost(message, optional, tag = "5")]
     pub kept: ::core::option::Option<Turn>,
 }
+/// Input and output of a turn, stored so that a later turn can continue it.
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Turn {
     #[prost(string, tag = "1")]
     pub team: ::prost::alloc::string::String,
     #[prost(string, tag = "2")]
     pub turn: ::prost::alloc::string::String,
+    /// Turn that this one continues.
     #[prost(string, optional, tag = "3")]
     pub previous: ::core::option::Option<::prost::alloc::string::String>,
     #[prost(bytes = "bytes", tag = "4")]
     pub input: ::prost::bytes::Bytes,
     #[prost(bytes = "bytes", tag = "5")]
     pub output: ::prost::bytes::Bytes,
+    /// The turn is kept at least until this time, in milliseconds since the Unix epoch. Settling a
+    /// turn that continues it can extend the time.
     #[prost(uint64, tag = "6")]
     pub expires_ms: u64,
 }
-/// Result of a command: one entry for each reservation.
+/// Result of a `TurnCommand`, with one entry for each of its reservations.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct TurnResult {
     #[prost(message, repeated, tag = "1")]
@@ -164,13 +176,14 @@
 }
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct Reserved {
-    /// 0 if the budget does not hold what was asked for.
+    /// Reserved tokens. 0 if the budget was not sufficient.
     #[prost(uint64, tag = "1")]
     pub amount: u64,
+    /// Tokens of the budget that remain.
     #[prost(uint64, tag = "2")]
     pub remaining: u64,
 }
-/// Whole state of the group.
+/// Complete state of a store group.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct TurnSnapshot {
     #[prost(uint64, tag = "1")]
@@ -180,7 +193,7 @@
     #[prost(message, repeated, tag = "3")]
     pub turns: ::prost::alloc::vec::Vec<Turn>,
 }
-/// What a program has used of its budget.
+/// Token account of a program.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Account {
     #[prost(string, tag = "1")]
@@ -189,8 +202,10 @@
     pub program: ::prost::alloc::string::String,
     #[prost(uint64, tag = "3")]
     pub used: u64,
+    /// Open reservations.
     #[prost(message, repeated, tag = "4")]
     pub open: ::prost::alloc::vec::Vec<Reservation>,
+    /// When the account was last used, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "5")]
     pub touched_ms: u64,
 }
