--- a/crates/relay/src/front/listener.rs
+++ b/crates/relay/src/front/listener.rs
@@ -16,8 +16,8 @@
 /// Maximum number of connections from callers. Together with those to endpoints it stays below the
 /// platform's file descriptor limit.
 const MAX_CONNECTIONS: usize = 2_500;
-/// Time for the first request of a new connection, also while connections are being closed, because
-/// the caller may have sent it before it could notice.
+/// Time for the first request of a new connection. It also applies while connections are being
+/// closed, because the caller may have sent the request before it noticed the shutdown.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The id of a replica contains the address of its machine and a random part that is drawn for each
 //! new data folder. A replica that lost its disk therefore returns with a new id and never votes
-//! under the old one. The founders of the control group have 0 as the random part, so that all of
-//! them know the initial voters. All replicas on a machine have the same id in every group.
+//! under the old one. The bootstrap members of the control group have 0 as the random part, so that
+//! all of them know the initial voters. All replicas on a machine have the same id in every group.
 //!
 //! The durable state is the folder with the replicated logs. Join requests are only kept in the
 //! leader's memory; replicas repeat them.
@@ -48,7 +48,8 @@
 const LAGGING_PAUSE: Duration = Duration::from_millis(300);
 /// Pause before the next attempt to start while the disk is full.
 const DISK_FULL_PAUSE: Duration = Duration::from_millis(200);
-/// Bytes preallocated in the log; the disks of control replicas are small.
+/// Bytes of zeros written ahead of the log. Kept small because the disks of control replicas are
+/// small.
 const PREALLOCATE_BYTES: usize = 256 * 1024;
 const SEGMENT_BYTES: u64 = 8 << 20;
 
@@ -74,7 +75,7 @@
 
 impl ReplicaFolder {
     /// Opens the folder. A folder without an identity has never voted: it is cleared and gets the
-    /// id of a founder or a new random one. Blocks.
+    /// id of a bootstrap member or a new random one. Blocks.
     pub(crate) fn open(path: &Path, ip: Ipv4Addr, is_bootstrap_member: bool) -> Result<Self> {
         let dir = match DataDir::open(path) {
             Err(IdentityError::Missing(_)) => {
@@ -194,7 +195,7 @@
 
 /// Initial state of a group.
 pub(crate) struct GroupStart {
-    /// Initial voters of a new group; empty if this replica is not one of them.
+    /// Initial voters of a new group. May be empty if this replica is not one of them.
     pub(crate) initial_voters: Vec<ReplicaId>,
     pub(crate) state: Box<dyn StateMachine>,
 }
@@ -218,13 +219,13 @@
     Ok(())
 }
 
-/// Id of the founder on a machine.
+/// Id of the bootstrap member on a machine.
 pub(crate) fn bootstrap_id(ip: Ipv4Addr) -> ReplicaId {
     replica_id(ip, 0)
 }
 
-/// Id of a replica on a machine. `nonce` is 0 for founders of the control group and random for all
-/// others.
+/// Id of a replica on a machine. `nonce` is 0 for the bootstrap members of the control group and
+/// random for all others.
 pub fn replica_id(ip: Ipv4Addr, nonce: u32) -> ReplicaId {
     ReplicaId(u64::from(u32::from(ip)) << 32 | u64::from(nonce))
 }
