--- a/crates/agreement/src/storage/file.rs
+++ b/crates/agreement/src/storage/file.rs
@@ -172,7 +172,7 @@
         metrics::gauge!("poplarspan_store_disk_refuses").set(1.0);
         if !std::mem::replace(&mut self.0, true) {
             let error = e.to_string();
-            log::error!(error = error.as_str(); "disk is full; writes wait until space is available");
+            log::error!(error = error.as_str(); "disk is full; writes wait for free space");
         }
     }
 
--- a/crates/agreement/tests/peer_messages.rs
+++ b/crates/agreement/tests/peer_messages.rs
@@ -87,7 +87,8 @@
 
     #[test]
     fn messages_round_trip(
-        group in any::<u32>(), message in prop_oneof![append(), chunk(), small_message(), small_message()],
+        group in any::<u32>(),
+        message in prop_oneof![append(), chunk(), small_message(), small_message()],
     ) {
         let message = PeerMessage { group: GroupId(group), message };
         prop_assert_eq!(PeerMessage::decode(message.encode()), Ok(message));
