--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -1,8 +1,7 @@
-//! What the front knows of endpoints: load, cached prompts, failures, cold starts.
+//! State of the endpoints as seen by a front: load, cached prompts, failures and cold starts.
 //!
-//! It answers uneven load and shared prompts on calm days, and crashes, restarts and releases on the
-//! others. Owner: each front for itself; rebuilt after a restart from the list of endpoints and from
-//! answers.
+//! Each front keeps its own state. After a restart it is rebuilt from the endpoint list and from
+//! responses.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,24 +16,24 @@
     },
 };
 
-use super::schedule::Want;
-use crate::{ListedEndpoint, Load, PromptPart, Publication, fleet::View};
+use super::schedule::PlacementRequest;
+use crate::{ListedEndpoint, Load, PromptPart, Publication, fleet_client::View};
 
-/// Tokens of one block of a prompt in the index of cached prompts.
+/// Block size of the index of cached prompts, in tokens.
 const BLOCK_TOKENS: u32 = 256;
-/// Blocks that the index holds: some 8 million tokens.
+/// Maximum number of blocks in the index, about 8 million tokens.
 const MAX_BLOCKS: usize = 32_768;
-/// Prefill speed that is assumed for engines, in tokens a second; of the order of what a large
-/// accelerator reads of a mixture-of-experts model.
+/// Assumed prefill speed of engines in tokens per second, of the order that a large accelerator
+/// reaches with a mixture-of-experts model.
 const PREFILL_PER_SECOND: f64 = 300_000.0;
-/// Service time that is assumed until one has been measured, in seconds.
-const SERVICE_S: f64 = 0.2;
-/// A load report of an answer counts half after this time, which is about that of one answer.
+/// Assumed service time until one has been measured, in seconds.
+const INITIAL_SERVICE_S: f64 = 0.2;
+/// Half-life of a reported load, about the duration of one response.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(600);
-/// Costs of an endpoint. What a call adds to the time of the others in the batch counts as much as
-/// what it waits itself: one more call in a full batch slows each of them by some 3 percent, and all
-/// of them wait while its prompt is read. A new connection takes both sides some milliseconds, and
-/// costs about as much as one more call in a batch of 16.
+/// Cost model for choosing an endpoint. The delay that a call causes for others in the batch weighs
+/// as much as its own waiting time: one more call in a full batch slows each of them by about 3
+/// percent, and all of them wait while its prompt is prefilled. A new connection takes both sides a
+/// few milliseconds and costs about as much as one more call in a batch of 16.
 const COSTS: CostConfig = CostConfig {
     cross_zone_s: 0.006,
     prefill_weight: 6.0,
@@ -47,83 +46,85 @@
     stay_gain_fraction: 0.1,
     connect_s: 0.012,
 };
-/// First pause after a failure, doubled with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Calls that an endpoint gets at a time after it has failed, until it has answered one.
-const TRIAL_CALLS: u32 = 1;
-/// Longest life of what is known of a line's last endpoint.
-const FORGET_LINE: Duration = Duration::from_secs(30);
-const MAX_LINES: usize = 8_192;
-/// A part counts as shared once this many lines have used it.
-const SHARED_BY: u32 = 8;
-/// Parts whose use is remembered; beyond, the one that was used longest ago is forgotten.
+/// Pause after the first failure, doubled with each further one.
+const MIN_PAUSE: Duration = Duration::from_millis(250);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
+/// Concurrent calls to an endpoint after a failure, until it has answered one.
+const PROBE_CALLS: u32 = 1;
+/// How long the last endpoint of a conversation is remembered.
+const CONVERSATION_TTL: Duration = Duration::from_secs(30);
+const MAX_CONVERSATIONS: usize = 8_192;
+/// A prompt part counts as shared once this many conversations have used it.
+const MIN_SHARING_CONVERSATIONS: u32 = 8;
+/// Maximum number of tracked parts; the least recently used one is evicted.
 const MAX_SHARED_PARTS: usize = 512;
 
-struct Known {
+struct EndpointState {
     name: Name,
     service: Name,
     id: EndpointId,
     address: SocketAddr,
     started_ms: Option<u64>,
-    /// Until when the endpoint counts as cold.
+    /// When the cold start phase ends.
     cold_until: Duration,
     gate: StartLimiter,
     failures: u32,
-    /// No calls until then, and few until an answer has come.
+    /// No calls are sent until then; afterwards `PROBE_CALLS` at a time until one is answered.
     paused_until: Option<Duration>,
 }
 
-/// A chosen endpoint.
+/// An endpoint chosen for a call.
 #[derive(Clone, Debug)]
-pub(crate) struct Chosen {
+pub(crate) struct ChosenEndpoint {
     pub(crate) name: Name,
     pub(crate) address: SocketAddr,
 }
 
-/// How a call at an endpoint has ended.
+/// Result of a call at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// A whole answer has arrived.
+    /// The response is complete.
     Answered,
-    /// The endpoint has refused the call and works.
+    /// The endpoint refused the call but is healthy.
     Refused,
-    /// The caller has gone, or the call was not sent.
+    /// The caller disconnected, or the call was not sent.
     Abandoned,
-    /// No connection, a lost one, or an answer that is not the endpoint's.
+    /// The connection failed, or the response did not come from the endpoint.
     Failed,
 }
 
-/// Parts of prompts that lines share.
+/// Tracks prompt parts that many conversations share.
 ///
-/// Each front knows only of the calls it sent itself, but a part that many lines share is cached at
-/// every endpoint that has been up for a while, whichever front sent it there. So it says nothing for
-/// or against an endpoint.
+/// A front only sees its own calls, but a part shared by many conversations is cached at every
+/// endpoint that has been up for a while, whichever front sent it there. Such parts are therefore
+/// ignored when an endpoint is chosen.
 #[derive(Default)]
 struct SharedParts {
-    /// Sorted by part.
+    /// Sorted by id.
     parts: Vec<PartUse>,
 }
 
 struct PartUse {
     id: u64,
-    /// Lines that used the part, as far as they followed one another.
-    lines: u32,
-    last_line: Option<Name>,
+    /// Number of conversations that used the part; only consecutive uses by the same one are
+    /// recognized.
+    conversations: u32,
+    last_conversation: Option<Name>,
     at: Duration,
 }
 
 impl SharedParts {
-    /// Takes note of the parts of a line's prompt. The last one is the line's own.
-    fn note(&mut self, want: &Want, now: Duration) {
-        let shared = want.parts.len().saturating_sub(1);
-        for part in &want.parts[..shared] {
+    /// Records the parts of a prompt, except the last one, which is specific to the conversation.
+    fn note(&mut self, placement: &PlacementRequest, now: Duration) {
+        let shared = placement.parts.len().saturating_sub(1);
+        for part in &placement.parts[..shared] {
             let at = match self.parts.binary_search_by_key(&part.id, |p| p.id) {
                 Ok(at) => at,
                 Err(at) => {
                     self.make_room();
                     let at = at.min(self.parts.len());
-                    let new = PartUse { id: part.id, lines: 0, last_line: None, at: now };
+                    let new =
+                        PartUse { id: part.id, conversations: 0, last_conversation: None, at: now };
                     self.parts.insert(at, new);
                     self.parts.sort_unstable_by_key(|p| p.id);
                     self.parts.binary_search_by_key(&part.id, |p| p.id).unwrap_or(at)
@@ -131,20 +132,20 @@
             };
             let part = &mut self.parts[at];
             part.at = now;
-            if part.last_line != want.line {
-                part.last_line.clone_from(&want.line);
-                part.lines = part.lines.saturating_add(1);
+            if part.last_conversation != placement.conversation {
+                part.last_conversation.clone_from(&placement.conversation);
+                part.conversations = part.conversations.saturating_add(1);
             }
         }
     }
 
-    /// Number of leading parts that many lines share.
-    fn leading(&self, want: &Want) -> usize {
+    /// Number of leading parts that are shared.
+    fn leading(&self, placement: &PlacementRequest) -> usize {
         let is_shared = |part: &&PromptPart| {
             let found = self.parts.binary_search_by_key(&part.id, |p| p.id);
-            found.is_ok_and(|at| self.parts[at].lines >= SHARED_BY)
+            found.is_ok_and(|at| self.parts[at].conversations >= MIN_SHARING_CONVERSATIONS)
         };
-        want.parts.iter().take_while(is_shared).count()
+        placement.parts.iter().take_while(is_shared).count()
     }
 
     fn make_room(&mut self) {
@@ -156,25 +157,25 @@
     }
 }
 
-struct Line {
-    name: Name,
+struct LastEndpoint {
+    conversation: Name,
     id: EndpointId,
     at: Duration,
 }
 
-/// The endpoints of the list in force.
+/// The endpoints of the current list.
 pub(crate) struct Endpoints {
     pool: Arc<Pool>,
     fleet: Fleet,
     prefixes: PrefixIndex,
     chooser: CostChooser,
     // Sorted by name.
-    known: Vec<Known>,
+    endpoints: Vec<EndpointState>,
     // Sorted by name.
-    lines: Vec<Line>,
+    last_endpoints: Vec<LastEndpoint>,
     shared: SharedParts,
     departures: Departures,
-    place: InstanceRank,
+    rank: InstanceRank,
     directory: u64,
     version: u64,
     zones_out: Vec<Name>,
@@ -187,26 +188,26 @@
             fleet: Fleet::new(),
             prefixes: PrefixIndex::new(MAX_BLOCKS),
             chooser: CostChooser::new(zone, COSTS),
-            known: Vec::new(),
-            lines: Vec::new(),
+            endpoints: Vec::new(),
+            last_endpoints: Vec::new(),
             shared: SharedParts::default(),
             departures: Departures::default(),
-            place: InstanceRank { rank: 0, count: 1 },
+            rank: InstanceRank { rank: 0, count: 1 },
             directory: 0,
             version: 0,
             zones_out: Vec::new(),
         }
     }
 
-    /// Follows changes of the list, the publication and the zones.
+    /// Applies changes of the endpoint list, the publication and the zones.
     pub(crate) fn observe(&mut self, view: &View, now: Duration) {
-        self.place = view.place;
+        self.rank = view.rank;
         let version = view.publication.as_ref().map_or(0, |p| p.version);
         let is_new_list = view.directory.number != self.directory;
         if is_new_list || version != self.version {
             self.directory = view.directory.number;
             self.version = version;
-            self.follow(view, now);
+            self.apply_list(view, now);
         }
         if view.zones_out != self.zones_out {
             for zone in view.zones_out.iter().chain(&self.zones_out) {
@@ -216,12 +217,12 @@
         }
     }
 
-    fn follow(&mut self, view: &View, now: Duration) {
+    fn apply_list(&mut self, view: &View, now: Duration) {
         let listed = &view.directory.endpoints;
         let starts: Vec<_> = listed.iter().map(start_of).collect();
         self.departures.reconcile(&starts);
-        let Self { known, fleet, .. } = self;
-        known.retain(|k| {
+        let Self { endpoints, fleet, .. } = self;
+        endpoints.retain(|k| {
             let stays = listed.iter().any(|e| e.name == k.name && e.address == k.address);
             if !stays {
                 fleet.remove(&k.name);
@@ -253,20 +254,20 @@
             groups: vec![endpoint.service.clone()],
             capacity,
             prefill_per_second: engine.map_or(f64::INFINITY, |_| PREFILL_PER_SECOND),
-            service_s: SERVICE_S,
+            service_s: INITIAL_SERVICE_S,
             leaving: endpoint.leaving || self.departures.contains(start_of(endpoint)),
         });
         let cold_until = now + endpoint.cold_left.saturating_sub(age);
-        match self.known.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
+        match self.endpoints.binary_search_by(|k| k.name.cmp(&endpoint.name)) {
             Ok(at) => {
-                let known = &mut self.known[at];
-                known.cold_until = known.cold_until.max(cold_until);
-                known.started_ms = endpoint.started_ms;
+                let state = &mut self.endpoints[at];
+                state.cold_until = state.cold_until.max(cold_until);
+                state.started_ms = endpoint.started_ms;
             }
             Err(at) => {
                 let blocks = engine.map_or(0, |e| e.cache_tokens / u64::from(BLOCK_TOKENS));
                 self.prefixes.register(id, u32::try_from(blocks).unwrap_or(u32::MAX));
-                let known = Known {
+                let state = EndpointState {
                     name: endpoint.name.clone(),
                     service: endpoint.service.clone(),
                     id,
@@ -277,175 +278,190 @@
                     failures: 0,
                     paused_until: None,
                 };
-                self.known.insert(at, known);
+                self.endpoints.insert(at, state);
             }
         }
     }
 
-    /// Lets reported loads fade, and tries endpoints again that have failed.
+    /// Decays reported loads, and ends the pauses of endpoints that have failed.
     pub(crate) fn tick(&mut self, now: Duration) {
         self.fleet.decay_reports(LOAD_HALF_LIFE, now);
-        for known in &mut self.known {
-            if known.paused_until.is_some_and(|until| now >= until) {
-                known.paused_until = None;
-                self.fleet.set_healthy(known.id, true);
-                self.fleet.set_cap(known.id, Some(TRIAL_CALLS));
+        for state in &mut self.endpoints {
+            if state.paused_until.is_some_and(|until| now >= until) {
+                state.paused_until = None;
+                self.fleet.set_healthy(state.id, true);
+                self.fleet.set_cap(state.id, Some(PROBE_CALLS));
             }
         }
-        if self.lines.len() > MAX_LINES {
-            self.lines.retain(|l| now < l.at + FORGET_LINE / 10);
+        if self.last_endpoints.len() > MAX_CONVERSATIONS {
+            self.last_endpoints.retain(|l| now < l.at + CONVERSATION_TTL / 10);
         }
-        self.lines.retain(|l| now < l.at + FORGET_LINE);
+        self.last_endpoints.retain(|l| now < l.at + CONVERSATION_TTL);
     }
 
-    /// Chooses an endpoint and counts the call there.
+    /// Chooses an endpoint and counts the call as running there.
     pub(crate) fn place(
         &mut self,
-        want: &Want,
+        placement: &PlacementRequest,
         tried: &[Name],
         publication: Option<&Publication>,
         now: Duration,
-    ) -> Result<Chosen, NoRoute> {
-        let cold_rate =
-            publication.and_then(|p| p.service(&want.service)).map_or(0.0, |s| s.cold_per_second);
-        let avoid = self.avoid(want, tried, cold_rate, now);
-        self.note_connections(&want.service);
-        let (blocks, prompt_tokens) = self.own_blocks(want);
+    ) -> Result<ChosenEndpoint, NoRoute> {
+        let cold_rate = publication
+            .and_then(|p| p.service(&placement.service))
+            .map_or(0.0, |s| s.cold_per_second);
+        let excluded = self.excluded(placement, tried, cold_rate, now);
+        self.note_connections(&placement.service);
+        let (blocks, prompt_tokens) = self.own_blocks(placement);
         let request = RouteRequest {
-            group: &want.service,
+            group: &placement.service,
             blocks,
             block_tokens: BLOCK_TOKENS,
             prompt_tokens,
-            last_endpoint: want.line.as_ref().and_then(|line| self.last_of(line)),
-            excluded: &avoid,
+            last_endpoint: placement
+                .conversation
+                .as_ref()
+                .and_then(|conversation| self.last_of(conversation)),
+            excluded: &excluded,
         };
         let mut rng = rand::rng();
         let choice = self.chooser.choose(&self.fleet, &self.prefixes, &request, &mut rng)?;
-        Ok(self.count(want, &choice, now))
+        Ok(self.record_dispatch(placement, &choice, now))
     }
 
     fn note_connections(&mut self, service: &Name) {
         let connected = self.pool.connected();
-        for known in self.known.iter().filter(|k| k.service == *service) {
-            let is_connected = connected.binary_search(&known.address).is_ok();
-            self.fleet.set_connected(known.id, is_connected);
+        for state in self.endpoints.iter().filter(|k| k.service == *service) {
+            let is_connected = connected.binary_search(&state.address).is_ok();
+            self.fleet.set_connected(state.id, is_connected);
         }
     }
 
-    /// Blocks and tokens of a prompt without the leading parts that many lines share.
-    fn own_blocks<'a>(&self, want: &'a Want) -> (&'a [u64], u32) {
-        let leading = &want.parts[..self.shared.leading(want)];
+    /// Blocks and tokens of a prompt without its leading shared parts.
+    fn own_blocks<'a>(&self, placement: &'a PlacementRequest) -> (&'a [u64], u32) {
+        let leading = &placement.parts[..self.shared.leading(placement)];
         let tokens: u32 = leading.iter().map(|p| p.tokens).sum();
         let blocks: usize = leading.iter().map(|p| (p.tokens / BLOCK_TOKENS) as usize).sum();
-        (&want.blocks[blocks..], want.prompt_tokens - tokens)
+        (&placement.blocks[blocks..], placement.prompt_tokens - tokens)
     }
 
-    /// Endpoints that must not get the call: those that were tried, and cold ones that have had as
-    /// many calls in this second as they bear from this front.
-    fn avoid(&mut self, want: &Want, tried: &[Name], rate: f64, now: Duration) -> Vec<EndpointId> {
-        let place = self.place;
-        let mut avoid = Vec::new();
-        for known in self.known.iter_mut().filter(|k| k.service == want.service) {
-            let is_cold = rate > 0.0 && now < known.cold_until;
-            let is_tried = tried.contains(&known.name);
-            if is_tried || (is_cold && !known.gate.allows(rate, place, offset(&known.name), now)) {
-                avoid.push(known.id);
+    /// Endpoints that must not get the call: those already tried, and cold ones that have had as
+    /// many calls in this second as this front may send them.
+    fn excluded(
+        &mut self,
+        placement: &PlacementRequest,
+        tried: &[Name],
+        rate: f64,
+        now: Duration,
+    ) -> Vec<EndpointId> {
+        let rank = self.rank;
+        let mut excluded = Vec::new();
+        for state in self.endpoints.iter_mut().filter(|k| k.service == placement.service) {
+            let is_cold = rate > 0.0 && now < state.cold_until;
+            let is_tried = tried.contains(&state.name);
+            if is_tried || (is_cold && !state.gate.allows(rate, rank, offset(&state.name), now)) {
+                excluded.push(state.id);
             }
         }
-        avoid
+        excluded
     }
 
-    fn count(&mut self, want: &Want, choice: &Choice, now: Duration) -> Chosen {
+    fn record_dispatch(
+        &mut self,
+        placement: &PlacementRequest,
+        choice: &Choice,
+        now: Duration,
+    ) -> ChosenEndpoint {
         let id = choice.endpoint;
         self.fleet.call_started(id, now);
-        let (blocks, prompt_tokens) = self.own_blocks(want);
+        let (blocks, prompt_tokens) = self.own_blocks(placement);
         self.prefixes.record_dispatch(id, blocks, now);
-        self.shared.note(want, now);
+        self.shared.note(placement, now);
         let cached = u64::from(choice.cached_blocks) * u64::from(BLOCK_TOKENS);
         let prompt_tokens = u64::from(prompt_tokens);
         metrics::counter!("poplarspan_relay_own_prompt_tokens_total").increment(prompt_tokens);
         metrics::counter!("poplarspan_relay_cached_prompt_tokens_total")
             .increment(cached.min(prompt_tokens));
-        if let Some(line) = &want.line {
-            let entry = Line { name: line.clone(), id, at: now };
-            match self.lines.binary_search_by(|l| l.name.cmp(line)) {
-                Ok(at) => self.lines[at] = entry,
-                Err(at) => self.lines.insert(at, entry),
+        if let Some(conversation) = &placement.conversation {
+            let entry = LastEndpoint { conversation: conversation.clone(), id, at: now };
+            match self.last_endpoints.binary_search_by(|l| l.conversation.cmp(conversation)) {
+                Ok(at) => self.last_endpoints[at] = entry,
+                Err(at) => self.last_endpoints.insert(at, entry),
             }
         }
         let name = self.fleet.spec(id).name.clone();
-        let at = self.position(&name).expect("the fleet holds known endpoints");
-        let known = &mut self.known[at];
-        if now < known.cold_until {
-            known.gate.record_start(now);
+        let at = self.position(&name).expect("every endpoint in the fleet has state");
+        let state = &mut self.endpoints[at];
+        if now < state.cold_until {
+            state.gate.record_start(now);
         }
-        Chosen { name, address: known.address }
+        ChosenEndpoint { name, address: state.address }
     }
 
-    fn last_of(&self, line: &Name) -> Option<EndpointId> {
-        let at = self.lines.binary_search_by(|l| l.name.cmp(line)).ok()?;
-        Some(self.lines[at].id)
+    fn last_of(&self, conversation: &Name) -> Option<EndpointId> {
+        let at = self.last_endpoints.binary_search_by(|l| l.conversation.cmp(conversation)).ok()?;
+        Some(self.last_endpoints[at].id)
     }
 
-    /// Takes a call back from its endpoint.
-    pub(crate) fn end(&mut self, name: &Name, outcome: Outcome, held: Duration, now: Duration) {
+    /// Records the end of a call at an endpoint.
+    pub(crate) fn end(&mut self, name: &Name, outcome: Outcome, took: Duration, now: Duration) {
         let Ok(at) = self.position(name) else { return };
-        let known = &mut self.known[at];
-        let id = known.id;
-        self.fleet.call_ended(id, (outcome == Outcome::Answered).then_some(held), now);
+        let state = &mut self.endpoints[at];
+        let id = state.id;
+        self.fleet.call_ended(id, (outcome == Outcome::Answered).then_some(took), now);
         match outcome {
             Outcome::Answered | Outcome::Refused => {
-                if known.failures > 0 {
-                    log::info!(endpoint = &**name; "endpoint answers again");
-                    known.failures = 0;
+                if state.failures > 0 {
+                    log::info!(endpoint = &**name; "endpoint recovered");
+                    state.failures = 0;
                     self.fleet.set_cap(id, None);
                 }
             }
             Outcome::Failed => {
-                let pause = (FIRST_PAUSE * 2u32.pow(known.failures.min(8))).min(LONGEST_PAUSE);
-                known.failures += 1;
-                if known.paused_until.is_none() {
-                    let failures = known.failures;
-                    log::warn!(endpoint = &**name, failures; "endpoint fails; no calls for a while");
+                let pause = (MIN_PAUSE * 2u32.pow(state.failures.min(8))).min(MAX_PAUSE);
+                state.failures += 1;
+                if state.paused_until.is_none() {
+                    let failures = state.failures;
+                    log::warn!(endpoint = &**name, failures; "endpoint failed; pausing calls to it");
                     metrics::counter!("poplarspan_relay_endpoint_failures_total").increment(1);
                 }
-                known.paused_until = Some(now + pause);
+                state.paused_until = Some(now + pause);
                 self.fleet.set_healthy(id, false);
             }
             Outcome::Abandoned => {}
         }
     }
 
-    /// Takes note of the load that an answer reports.
+    /// Records a load report from a response.
     pub(crate) fn report(&mut self, name: &Name, load: Load, now: Duration) {
         if let Ok(at) = self.position(name) {
             let report =
                 LoadReport { running: load.running, queued: load.waiting, measured_at: now };
-            self.fleet.report(self.known[at].id, &report);
+            self.fleet.report(self.endpoints[at].id, &report);
         }
     }
 
-    /// Takes note that an endpoint has said that it is about to stop: it gets no more calls, whatever
-    /// the list says, until its next start is known.
+    /// Records that an endpoint announced its stop. It gets no further calls until its next start
+    /// is in the list, even if the list still shows it as available.
     pub(crate) fn note_leaving(&mut self, name: &Name) {
         let Ok(at) = self.position(name) else { return };
-        let known = &self.known[at];
-        if !self.fleet.spec(known.id).leaving {
-            log::info!(endpoint = &**name; "endpoint says that it is leaving");
+        let state = &self.endpoints[at];
+        if !self.fleet.spec(state.id).leaving {
+            log::info!(endpoint = &**name; "endpoint announced its stop");
         }
-        self.departures.record(name, known.started_ms);
-        self.fleet.set_leaving(known.id);
+        self.departures.record(name, state.started_ms);
+        self.fleet.set_leaving(state.id);
     }
 
-    /// Whether an endpoint that was chosen may still be sent the call.
-    pub(crate) fn may_receive(&self, chosen: &Chosen) -> bool {
+    /// Whether the call may still be sent to the chosen endpoint.
+    pub(crate) fn may_receive(&self, chosen: &ChosenEndpoint) -> bool {
         self.position(&chosen.name).is_ok_and(|at| {
-            let known = &self.known[at];
-            known.address == chosen.address && self.fleet.accepts_calls(known.id)
+            let state = &self.endpoints[at];
+            state.address == chosen.address && self.fleet.accepts_calls(state.id)
         })
     }
 
-    /// Calls that the open endpoints of a service run at once.
+    /// Number of concurrent calls that the available endpoints of a service can run.
     pub(crate) fn capacity(&self, service: &str) -> u32 {
         let members = self.fleet.members(service).unwrap_or(&[]);
         let open = members.iter().filter(|id| self.fleet.is_available(**id));
@@ -453,7 +469,7 @@
     }
 
     fn position(&self, name: &str) -> Result<usize, usize> {
-        self.known.binary_search_by(|k| (*k.name).cmp(name))
+        self.endpoints.binary_search_by(|k| (*k.name).cmp(name))
     }
 }
 
@@ -461,13 +477,13 @@
     EndpointRun { name: &endpoint.name, started_ms: endpoint.started_ms }
 }
 
-/// A number that is the same for an endpoint at all fronts.
+/// A number derived from the name of an endpoint, equal at all fronts.
 fn offset(name: &str) -> u32 {
     let digest = blake3::hash(name.as_bytes());
     u32::from_le_bytes(*digest.as_bytes().first_chunk().expect("a digest has 32 bytes"))
 }
 
-/// Splits a prompt into blocks, each named by its part and by all that is before it.
+/// Splits a prompt into blocks. Each is identified by its part and all blocks before it.
 pub(crate) fn blocks(parts: &[PromptPart]) -> Vec<u64> {
     const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
     let mut blocks = Vec::new();
--- a/crates/relay/src/front/memory.rs
+++ b/crates/relay/src/front/memory.rs
@@ -1,7 +1,8 @@
-//! Memory that the bodies of all calls of a front hold together.
+//! Limits the memory that the bodies of all calls of a front use together.
 //!
-//! A single body may be large, and a front has thousands of connections, so each body asks for its
-//! share as it arrives. One that finds none left is given up, instead of the whole process.
+//! A single body may be large and a front has thousands of connections, so each body reserves
+//! memory as it arrives. A body that does not fit is refused, so that the process does not run out
+//! of memory.
 
 use std::sync::Arc;
 
@@ -13,74 +14,75 @@
     time::{Instant, timeout_at},
 };
 
-/// Bytes that all bodies may hold; the smallest fronts have some 88 MB for everything.
-const MAX_HELD_BYTES: usize = 32 << 20;
-/// Bytes of one permit.
+/// Limit for all bodies together, in bytes. The smallest fronts have about 88 MB for the whole
+/// process.
+const MAX_RESERVED_BYTES: usize = 32 << 20;
+/// Bytes per semaphore permit.
 const UNIT_BYTES: usize = 1 << 10;
 
-/// Why a body was not read to its end.
+/// Why a body could not be read completely.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ReadError {
-    /// It is larger than one body may be.
+    /// The body exceeds the size limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
-    /// The bodies of other calls leave no room for it.
+    /// The bodies of other calls leave no room.
     #[error("no memory is left for the body")]
-    NoRoom,
-    /// It broke off.
+    OutOfMemory,
+    /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
-    Broken(hyper::Error),
-    /// It did not arrive in time.
+    Interrupted(hyper::Error),
+    /// The body did not arrive before the deadline.
     #[error("the body did not arrive in time")]
-    Late,
+    Timeout,
 }
 
-/// The memory of a front for bodies.
+/// Memory budget of a front for bodies.
 pub(crate) struct BodyMemory {
     units: Arc<Semaphore>,
 }
 
 impl Default for BodyMemory {
     fn default() -> Self {
-        Self { units: Arc::new(Semaphore::new(MAX_HELD_BYTES / UNIT_BYTES)) }
+        Self { units: Arc::new(Semaphore::new(MAX_RESERVED_BYTES / UNIT_BYTES)) }
     }
 }
 
-/// Memory of one body, given back when dropped.
-pub(crate) struct Held {
+/// Memory reserved for one body; released when dropped.
+pub(crate) struct MemoryReservation {
     units: Arc<Semaphore>,
     permit: Option<OwnedSemaphorePermit>,
     bytes: usize,
 }
 
 impl BodyMemory {
-    /// A body that holds nothing yet.
-    pub(crate) fn hold(&self) -> Held {
-        Held { units: self.units.clone(), permit: None, bytes: 0 }
+    /// Creates an empty reservation.
+    pub(crate) fn reserve(&self) -> MemoryReservation {
+        MemoryReservation { units: self.units.clone(), permit: None, bytes: 0 }
     }
 
-    /// Reads a body whole.
+    /// Reads a complete body of up to `max` bytes until the deadline `until`.
     pub(crate) async fn collect(
         &self,
         mut body: Incoming,
         max: usize,
         until: Instant,
-    ) -> Result<(Bytes, Held), ReadError> {
-        let mut held = self.hold();
-        // Most bodies arrive in one piece, which is not copied then.
+    ) -> Result<(Bytes, MemoryReservation), ReadError> {
+        let mut reservation = self.reserve();
+        // Most bodies arrive in one chunk and are not copied.
         let mut first: Option<Bytes> = None;
         let mut rest = BytesMut::new();
         loop {
             let frame = match timeout_at(until, body.frame()).await {
-                Err(_) => return Err(ReadError::Late),
+                Err(_) => return Err(ReadError::Timeout),
                 Ok(None) => break,
-                Ok(Some(frame)) => frame.map_err(ReadError::Broken)?,
+                Ok(Some(frame)) => frame.map_err(ReadError::Interrupted)?,
             };
             let Ok(data) = frame.into_data() else { continue };
-            if data.len() > max - held.bytes {
+            if data.len() > max - reservation.bytes {
                 return Err(ReadError::TooLarge(max));
             }
-            held.resize(held.bytes + data.len())?;
+            reservation.resize(reservation.bytes + data.len())?;
             match &first {
                 None => first = Some(data),
                 Some(start) => {
@@ -91,28 +93,28 @@
                 }
             }
         }
-        let whole = if rest.is_empty() { first.unwrap_or_default() } else { rest.freeze() };
-        Ok((whole, held))
+        let body_bytes = if rest.is_empty() { first.unwrap_or_default() } else { rest.freeze() };
+        Ok((body_bytes, reservation))
     }
 }
 
-impl Held {
-    /// Holds so many bytes from now on.
+impl MemoryReservation {
+    /// Changes the size of the reservation.
     pub(crate) fn resize(&mut self, bytes: usize) -> Result<(), ReadError> {
         let (old, new) = (self.bytes.div_ceil(UNIT_BYTES), bytes.div_ceil(UNIT_BYTES));
         if new > old {
-            let more = u32::try_from(new - old).map_err(|_| ReadError::NoRoom)?;
+            let more = u32::try_from(new - old).map_err(|_| ReadError::OutOfMemory)?;
             let permit = self.units.clone().try_acquire_many_owned(more);
             let permit = permit.map_err(|_| {
                 metrics::counter!("poplarspan_relay_bodies_without_room_total").increment(1);
-                ReadError::NoRoom
+                ReadError::OutOfMemory
             })?;
             match &mut self.permit {
-                Some(held) => held.merge(permit),
+                Some(reservation) => reservation.merge(permit),
                 None => self.permit = Some(permit),
             }
-        } else if let Some(held) = &mut self.permit {
-            drop(held.split(old - new));
+        } else if let Some(reservation) = &mut self.permit {
+            drop(reservation.split(old - new));
         }
         self.bytes = bytes;
         Ok(())
--- a/crates/relay/src/front/schedule.rs
+++ b/crates/relay/src/front/schedule.rs
@@ -1,10 +1,11 @@
-//! Decides which call goes next, and to which endpoint.
+//! Schedules calls on endpoints.
 //!
-//! It answers bursts: while a service is full, calls wait in a queue that is fair between teams and,
-//! within a team, puts the call first whose program has least time left. A call that cannot be
-//! served before its deadline is refused at once, with the time after which there will be room.
+//! While a service is at capacity, its calls wait in a queue that is fair between teams. Within a
+//! team, calls of the program with the least time left go first. A call that cannot be served
+//! before its deadline is refused immediately, with the time after which to retry.
 //!
-//! Owner: each front for itself. Its queue is lost with it, and with it the callers' connections.
+//! Each front has its own queues. They are lost with it, as are the connections of the waiting
+//! callers.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, Weak},
@@ -23,63 +24,63 @@
     time::{MissedTickBehavior, interval},
 };
 
-use super::endpoints::{Chosen, Endpoints, Outcome};
-use crate::{Load, PromptPart, fleet::Fleet};
+use super::endpoints::{ChosenEndpoint, Endpoints, Outcome};
+use crate::{Load, PromptPart, fleet_client::FleetClient};
 
 const TICK: Duration = Duration::from_millis(100);
-/// Calls that may wait at one front.
+/// Maximum number of waiting calls per service.
 const MAX_WAITING: usize = 2_048;
-/// Weight of a new measurement in the average time that a call holds its place.
-const HELD_GAIN: f64 = 0.05;
-/// Time that a call is assumed to hold its place until one has been measured, in seconds.
-const HELD_S: f64 = 0.2;
-/// Come back when no endpoint of a service is open.
-const COME_BACK: Duration = Duration::from_millis(400);
-/// A call waits this long for an endpoint to open before it is refused.
-const OUTAGE_PATIENCE: Duration = Duration::from_millis(500);
-
-/// What the scheduler needs to know of a call.
+/// Weight of a new sample in the moving average of the time that a call occupies its slot.
+const HOLD_TIME_GAIN: f64 = 0.05;
+/// Assumed time that a call occupies its slot until one has been measured, in seconds.
+const INITIAL_HOLD_TIME_S: f64 = 0.2;
+/// When to retry while no endpoint of a service is available.
+const RETRY_AFTER: Duration = Duration::from_millis(400);
+/// How long a call waits for an endpoint to become available before it is refused.
+const OUTAGE_WAIT: Duration = Duration::from_millis(500);
+
+/// The properties of a call that determine its scheduling.
 #[derive(Clone, Debug)]
-pub(crate) struct Want {
+pub(crate) struct PlacementRequest {
     pub(crate) service: Name,
     /// Empty on open routes.
     pub(crate) team: Name,
     pub(crate) program: Option<Name>,
-    /// Line of turns that the call continues.
-    pub(crate) line: Option<Name>,
+    /// Conversation that the call continues.
+    pub(crate) conversation: Option<Name>,
     /// Parts of the prompt, in order.
     pub(crate) parts: Arc<[PromptPart]>,
-    /// Blocks of the whole prompt.
+    /// Block ids of the whole prompt.
     pub(crate) blocks: Arc<[u64]>,
     pub(crate) prompt_tokens: u32,
-    /// Estimated service, in tokens.
+    /// Estimated service cost in tokens.
     pub(crate) cost: u64,
-    /// When the caller gives up, by the front's clock.
+    /// When the caller stops waiting, by the front's clock.
     pub(crate) deadline: Duration,
 }
 
-/// Why a call gets no place.
+/// Why a call gets no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoPlace {
-    /// There is no endpoint that may take it.
-    NoneOpen { come_back: Duration },
-    /// It cannot be served in time.
-    TooLate { come_back: Duration },
+pub(crate) enum PlacementError {
+    /// No suitable endpoint is available.
+    NoEndpoint { retry_after: Duration },
+    /// The call cannot be served before its deadline.
+    TooLate { retry_after: Duration },
 }
 
-struct Waiting {
-    want: Arc<Want>,
+struct WaitingCall {
+    placement: Arc<PlacementRequest>,
     tried: Vec<Name>,
     since: Duration,
-    tx: oneshot::Sender<Result<Chosen, NoPlace>>,
+    tx: oneshot::Sender<Result<ChosenEndpoint, PlacementError>>,
 }
 
 struct ServiceQueue {
     service: Name,
-    queue: FairQueue<Waiting>,
-    /// Average time that a call holds its place, in seconds.
-    held_s: f64,
-    /// Calls of this front that hold a place.
+    queue: FairQueue<WaitingCall>,
+    /// Moving average of the time that a call occupies its slot, in seconds.
+    hold_time_s: f64,
+    /// Calls of this front that occupy a slot.
     in_flight: usize,
 }
 
@@ -89,39 +90,39 @@
     queues: Vec<ServiceQueue>,
 }
 
-/// Queues and endpoints of a front.
+/// Queues and endpoint state of a front.
 pub(crate) struct Schedule {
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetClient>,
     clock: Arc<dyn Clock>,
     state: Mutex<State>,
     this: Weak<Self>,
 }
 
-/// A place at an endpoint. Dropping it gives the place back.
+/// A slot at an endpoint; released when dropped.
 pub(crate) struct Slot {
-    pub(crate) endpoint: Chosen,
-    want: Arc<Want>,
+    pub(crate) endpoint: ChosenEndpoint,
+    placement: Arc<PlacementRequest>,
     schedule: Arc<Schedule>,
     since: Duration,
     outcome: Outcome,
 }
 
 impl Slot {
-    /// Ends the call.
+    /// Releases the slot and records the outcome of the call.
     pub(crate) fn finish(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Takes note of the load that the endpoint reports.
+    /// Records the load that the endpoint reports.
     pub(crate) fn report(&self, load: Load) {
         let schedule = &self.schedule;
         let now = schedule.clock.now();
-        schedule.locked().endpoints.report(&self.endpoint.name, load, now);
+        schedule.lock().endpoints.report(&self.endpoint.name, load, now);
     }
 
-    /// Takes note that the endpoint has said that it is about to stop.
+    /// Records that the endpoint announced its stop.
     pub(crate) fn note_leaving(&self) {
-        self.schedule.locked().endpoints.note_leaving(&self.endpoint.name);
+        self.schedule.lock().endpoints.note_leaving(&self.endpoint.name);
     }
 }
 
@@ -131,15 +132,16 @@
     }
 }
 
-/// Whether the queue may hand out a call, as decided before.
-struct Room;
+/// Concurrency limit that always has room. The endpoints enforce their own limits when a call is
+/// placed.
+struct AlwaysRoom;
 
-impl InFlightLimit for Room {
+impl InFlightLimit for AlwaysRoom {
     fn has_room(&self, _now: Duration) -> bool {
         true
     }
 
-    // The endpoints count the calls themselves.
+    // Calls are counted per endpoint instead.
     fn acquire(&mut self, _cost: u64) {}
     fn release(&mut self, _cost: u64) {}
 }
@@ -147,7 +149,7 @@
 impl Schedule {
     pub(crate) fn new(
         zone: Name,
-        fleet: Arc<Fleet>,
+        fleet: Arc<FleetClient>,
         pool: Arc<Pool>,
         clock: Arc<dyn Clock>,
     ) -> Arc<Self> {
@@ -155,11 +157,11 @@
         Arc::new_cyclic(|this| Self { fleet, clock, state: Mutex::new(state), this: this.clone() })
     }
 
-    fn locked(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("no panic while locked")
     }
 
-    /// Follows changes of the fleet and the passing of time, until the task is ended.
+    /// Follows changes of the fleet view and handles timeouts, until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>) -> anyhow::Result<()> {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -171,236 +173,257 @@
             }
             let now = self.clock.now();
             let view = self.fleet.view();
-            let decided = {
-                let mut state = self.locked();
+            let placed = {
+                let mut state = self.lock();
                 state.endpoints.observe(&view, now);
                 state.endpoints.tick(now);
-                state.give_up(now);
+                state.refuse_expired(now);
                 state.serve_all(&self.fleet, now)
             };
-            self.tell(decided);
+            self.notify_placed(placed);
         }
     }
 
-    /// Waits for a place at an endpoint that is not in `tried`.
+    /// Waits for a slot at an endpoint that is not in `tried`.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
-        want: &Arc<Want>,
+        placement: &Arc<PlacementRequest>,
         tried: &[Name],
-    ) -> Result<Slot, NoPlace> {
+    ) -> Result<Slot, PlacementError> {
         let now = self.clock.now();
         let (id, rx) = {
             let view = self.fleet.view();
-            let mut state = self.locked();
+            let mut state = self.lock();
             state.endpoints.observe(&view, now);
-            let at = state.queue(&want.service);
+            let at = state.queue(&placement.service);
             if state.queues[at].queue.is_empty() {
                 let publication = view.publication.as_deref();
-                match state.endpoints.place(want, tried, publication, now) {
+                match state.endpoints.place(placement, tried, publication, now) {
                     Ok(endpoint) => {
                         state.queues[at].in_flight += 1;
                         drop(state);
-                        return Ok(self.slot(endpoint, want));
+                        return Ok(self.slot(endpoint, placement));
                     }
                     Err(NoRoute::Full) => {}
                     Err(NoRoute::NoneAvailable) if tried.is_empty() => {}
                     Err(NoRoute::NoneAvailable) => {
-                        return Err(NoPlace::NoneOpen { come_back: COME_BACK });
+                        return Err(PlacementError::NoEndpoint { retry_after: RETRY_AFTER });
                     }
                 }
             }
-            state.push(at, want, tried, now)?
+            state.push(at, placement, tried, now)?
         };
-        let mut guard = LeaveOnDrop { schedule: self, service: &want.service, id: Some(id) };
+        let mut guard = DequeueOnDrop { schedule: self, service: &placement.service, id: Some(id) };
         let result = rx.await;
         guard.id = None;
         match result {
-            Ok(Ok(endpoint)) => Ok(self.slot(endpoint, want)),
+            Ok(Ok(endpoint)) => Ok(self.slot(endpoint, placement)),
             Ok(Err(e)) => Err(e),
-            // The queue was dropped, which only happens at the end of the process.
-            Err(_) => Err(NoPlace::NoneOpen { come_back: COME_BACK }),
+            // The queue is only dropped at the end of the process.
+            Err(_) => Err(PlacementError::NoEndpoint { retry_after: RETRY_AFTER }),
         }
     }
 
-    fn slot(self: &Arc<Self>, endpoint: Chosen, want: &Arc<Want>) -> Slot {
-        let (want, schedule) = (want.clone(), self.clone());
-        Slot { endpoint, want, since: self.clock.now(), schedule, outcome: Outcome::Abandoned }
+    fn slot(self: &Arc<Self>, endpoint: ChosenEndpoint, placement: &Arc<PlacementRequest>) -> Slot {
+        let (placement, schedule) = (placement.clone(), self.clone());
+        Slot { endpoint, placement, since: self.clock.now(), schedule, outcome: Outcome::Abandoned }
     }
 
     fn release(&self, slot: &Slot) {
         let now = self.clock.now();
-        let held = now.saturating_sub(slot.since);
-        let decided = {
-            let mut state = self.locked();
-            state.endpoints.end(&slot.endpoint.name, slot.outcome, held, now);
-            let at = state.queue(&slot.want.service);
+        let occupied = now.saturating_sub(slot.since);
+        let placed = {
+            let mut state = self.lock();
+            state.endpoints.end(&slot.endpoint.name, slot.outcome, occupied, now);
+            let at = state.queue(&slot.placement.service);
             let queue = &mut state.queues[at];
             queue.in_flight = queue.in_flight.saturating_sub(1);
             if slot.outcome == Outcome::Answered {
-                queue.held_s += HELD_GAIN * (held.as_secs_f64() - queue.held_s);
+                queue.hold_time_s += HOLD_TIME_GAIN * (occupied.as_secs_f64() - queue.hold_time_s);
             }
             state.serve(at, &self.fleet, now)
         };
-        self.tell(decided);
+        self.notify_placed(placed);
     }
 
-    /// Tells waiting calls of their places. Not under the lock, since a place that nobody takes is
-    /// given back, which takes the lock.
-    fn tell(&self, decided: Vec<(Waiting, Chosen)>) {
-        for (waiting, endpoint) in decided {
-            let Waiting { want, tx, .. } = waiting;
+    /// Notifies waiting calls of their slots. Must not be called with the lock held: a slot whose
+    /// caller is gone is released, which takes the lock.
+    fn notify_placed(&self, placed: Vec<(WaitingCall, ChosenEndpoint)>) {
+        for (waiting, endpoint) in placed {
+            let WaitingCall { placement, tx, .. } = waiting;
             if let Err(Ok(endpoint)) = tx.send(Ok(endpoint))
                 && let Some(this) = self.this.upgrade()
             {
-                drop(this.slot(endpoint, &want));
+                drop(this.slot(endpoint, &placement));
             }
         }
     }
 
-    /// Whether an endpoint that was chosen may still be sent a call.
-    pub(crate) fn may_receive(&self, chosen: &Chosen) -> bool {
+    /// Whether a call may still be sent to its chosen endpoint.
+    pub(crate) fn may_receive(&self, chosen: &ChosenEndpoint) -> bool {
         let view = self.fleet.view();
-        let mut state = self.locked();
+        let mut state = self.lock();
         state.endpoints.observe(&view, self.clock.now());
         state.endpoints.may_receive(chosen)
     }
 
-    /// Calls that wait, for metrics.
+    /// Number of waiting calls.
     pub(crate) fn waiting(&self) -> usize {
-        self.locked().queues.iter().map(|q| q.queue.len()).sum()
+        self.lock().queues.iter().map(|q| q.queue.len()).sum()
     }
 }
 
 impl State {
-    /// Position of a service's queue.
+    /// Index of a service's queue, which is created if necessary.
     fn queue(&mut self, service: &Name) -> usize {
         self.queues.binary_search_by(|q| q.service.cmp(service)).unwrap_or_else(|at| {
             let cfg = QueueConfig { max_total: MAX_WAITING, ..QueueConfig::default() };
             let queue = FairQueue::new(cfg, Box::new(LasDeadline::default()));
             self.queues.insert(
                 at,
-                ServiceQueue { service: service.clone(), queue, held_s: HELD_S, in_flight: 0 },
+                ServiceQueue {
+                    service: service.clone(),
+                    queue,
+                    hold_time_s: INITIAL_HOLD_TIME_S,
+                    in_flight: 0,
+                },
             );
             at
         })
     }
 
-    /// Queues a call, unless it could not be served in time.
+    /// Queues a call, unless it cannot be served in time.
     fn push(
         &mut self,
         at: usize,
-        want: &Arc<Want>,
+        placement: &Arc<PlacementRequest>,
         tried: &[Name],
         now: Duration,
-    ) -> Result<(QueueId, oneshot::Receiver<Result<Chosen, NoPlace>>), NoPlace> {
+    ) -> Result<(QueueId, oneshot::Receiver<Result<ChosenEndpoint, PlacementError>>), PlacementError>
+    {
         let queue = &mut self.queues[at];
         let wait = queue.expected_wait();
-        let needed = Duration::from_secs_f64(queue.held_s / 2.0);
-        if now + wait + needed > want.deadline {
-            return Err(NoPlace::TooLate { come_back: wait.max(COME_BACK) });
+        let needed = Duration::from_secs_f64(queue.hold_time_s / 2.0);
+        if now + wait + needed > placement.deadline {
+            return Err(PlacementError::TooLate { retry_after: wait.max(RETRY_AFTER) });
         }
         let (tx, rx) = oneshot::channel();
         let call = Call {
-            team: want.team.clone(),
+            team: placement.team.clone(),
             weight: 1,
-            program: want.program.clone(),
-            cost: want.cost,
-            deadline: want.deadline,
-            payload: Waiting { want: want.clone(), tried: tried.to_vec(), since: now, tx },
+            program: placement.program.clone(),
+            cost: placement.cost,
+            deadline: placement.deadline,
+            payload: WaitingCall {
+                placement: placement.clone(),
+                tried: tried.to_vec(),
+                since: now,
+                tx,
+            },
         };
         match queue.queue.push(call, now) {
             Ok(id) => Ok((id, rx)),
-            Err(_) => Err(NoPlace::TooLate { come_back: wait.max(COME_BACK) }),
+            Err(_) => Err(PlacementError::TooLate { retry_after: wait.max(RETRY_AFTER) }),
         }
     }
 
-    /// Gives free places to waiting calls.
-    fn serve(&mut self, at: usize, fleet: &Fleet, now: Duration) -> Vec<(Waiting, Chosen)> {
+    /// Assigns free slots to waiting calls.
+    fn serve(
+        &mut self,
+        at: usize,
+        fleet: &FleetClient,
+        now: Duration,
+    ) -> Vec<(WaitingCall, ChosenEndpoint)> {
         let Self { endpoints, queues } = self;
         let ServiceQueue { queue, in_flight, .. } = &mut queues[at];
-        let mut decided = Vec::new();
+        let mut placed = Vec::new();
         if queue.is_empty() {
-            return decided;
+            return placed;
         }
         let view = fleet.view();
         let publication = view.publication.as_deref();
-        let mut passed = Vec::new();
-        while let Some(entry) = queue.pop(&mut Room, now) {
+        let mut skipped = Vec::new();
+        while let Some(entry) = queue.pop(&mut AlwaysRoom, now) {
             let waiting = &entry.call.payload;
             if waiting.tx.is_closed() {
                 continue;
             }
-            match endpoints.place(&waiting.want, &waiting.tried, publication, now) {
+            match endpoints.place(&waiting.placement, &waiting.tried, publication, now) {
                 Ok(endpoint) => {
                     *in_flight += 1;
-                    decided.push((entry.call.payload, endpoint));
+                    placed.push((entry.call.payload, endpoint));
                 }
                 Err(_) => {
-                    // A call that was tried elsewhere may find nothing although others would.
+                    // A call that has already tried some endpoints may find no slot while others
+                    // could.
                     let is_first = waiting.tried.is_empty();
-                    passed.push(entry);
+                    skipped.push(entry);
                     if is_first {
                         break;
                     }
                 }
             }
         }
-        for entry in passed {
-            queue.put_back(entry, &mut Room, now);
+        for entry in skipped {
+            queue.put_back(entry, &mut AlwaysRoom, now);
         }
-        decided
+        placed
     }
 
-    fn serve_all(&mut self, fleet: &Fleet, now: Duration) -> Vec<(Waiting, Chosen)> {
+    fn serve_all(
+        &mut self,
+        fleet: &FleetClient,
+        now: Duration,
+    ) -> Vec<(WaitingCall, ChosenEndpoint)> {
         (0..self.queues.len()).flat_map(|at| self.serve(at, fleet, now)).collect()
     }
 
-    /// Refuses the calls that cannot be served in time any more.
-    fn give_up(&mut self, now: Duration) {
+    /// Refuses calls that can no longer be served in time.
+    fn refuse_expired(&mut self, now: Duration) {
         for queue in &mut self.queues {
             let is_open = self.endpoints.capacity(&queue.service) > 0;
-            let needed = Duration::from_secs_f64(queue.held_s / 4.0);
+            let needed = Duration::from_secs_f64(queue.hold_time_s / 4.0);
             let expired = queue.queue.expire(now);
-            let hopeless = queue.queue.remove_where(|call| {
+            let too_late = queue.queue.remove_where(|call| {
                 let w = &call.payload;
-                let is_late = now + needed > w.want.deadline;
-                is_late || (!is_open && now > w.since + OUTAGE_PATIENCE)
+                let is_late = now + needed > w.placement.deadline;
+                is_late || (!is_open && now > w.since + OUTAGE_WAIT)
             });
-            for entry in expired.into_iter().chain(hopeless) {
-                let come_back = COME_BACK;
-                let why = if is_open {
-                    NoPlace::TooLate { come_back }
+            for entry in expired.into_iter().chain(too_late) {
+                let retry_after = RETRY_AFTER;
+                let error = if is_open {
+                    PlacementError::TooLate { retry_after }
                 } else {
-                    NoPlace::NoneOpen { come_back }
+                    PlacementError::NoEndpoint { retry_after }
                 };
-                // Fails when the caller has gone.
-                let _ = entry.call.payload.tx.send(Err(why));
+                // Fails if the caller has disconnected.
+                let _ = entry.call.payload.tx.send(Err(error));
             }
         }
     }
 }
 
 impl ServiceQueue {
-    /// Time until a call that is queued now gets a place, if the calls of this front go on to end as
-    /// often as they do.
+    /// Expected time until a call queued now gets a slot, assuming that the calls of this front
+    /// keep completing at the current rate.
     fn expected_wait(&self) -> Duration {
         let ahead = (self.queue.len() + 1) as f64;
-        let per_second = self.in_flight.max(1) as f64 / self.held_s;
+        let per_second = self.in_flight.max(1) as f64 / self.hold_time_s;
         Duration::from_secs_f64((ahead / per_second).min(3600.0))
     }
 }
 
-/// Leaves the queue when the caller goes away.
-struct LeaveOnDrop<'a> {
+/// Removes a call from the queue if its caller disconnects.
+struct DequeueOnDrop<'a> {
     schedule: &'a Schedule,
     service: &'a Name,
     id: Option<QueueId>,
 }
 
-impl Drop for LeaveOnDrop<'_> {
+impl Drop for DequeueOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id {
-            let mut state = self.schedule.locked();
+            let mut state = self.schedule.lock();
             let at = state.queue(self.service);
             state.queues[at].queue.remove(id);
         }
--- a/crates/relay/src/front/stream.rs
+++ b/crates/relay/src/front/stream.rs
@@ -1,4 +1,4 @@
-//! Streamed answers, handed on event by event.
+//! Relays streamed responses event by event.
 
 use std::sync::Arc;
 
@@ -11,20 +11,20 @@
 
 use super::{
     Front,
-    attempt::{Attempts, Begun},
-    body::{AnswerBody, Cut, pieces},
+    attempt::{Attempts, StartedResponse},
+    body::{ResponseBody, TruncatedBody, streamed},
     endpoints::Outcome,
     events::EventReader,
-    handler::Ending,
-    memory::Held,
+    handler::CallRecord,
+    memory::MemoryReservation,
     programs::{KeptTurn, OpenTurn},
 };
 
-/// Largest event, and largest rest without an end, in bytes.
+/// Maximum size of an event and of a trailing incomplete event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// What is kept of a turn.
-pub(crate) struct Keeping {
+/// Data of a turn that is to be kept.
+pub(crate) struct TurnRecording {
     /// Inputs and outputs of the turns before.
     pub(crate) history: Bytes,
     pub(crate) input: Bytes,
@@ -32,100 +32,102 @@
     pub(crate) output: BytesMut,
 }
 
-/// A stream on its way from an endpoint to a caller. Dropping it cancels the call at the endpoint.
-pub(crate) struct Relaying {
+/// A stream that is being relayed to a caller. Dropping it cancels the call at the endpoint.
+pub(crate) struct StreamRelay {
     pub(crate) attempts: Attempts,
-    pub(crate) begun: Option<Begun>,
+    pub(crate) response: Option<StartedResponse>,
     pub(crate) reader: EventReader,
     pub(crate) last_event: Option<Name>,
     pub(crate) events: u64,
     pub(crate) tokens_per_event: u64,
     pub(crate) turn: Option<OpenTurn>,
-    pub(crate) keeping: Option<Keeping>,
-    pub(crate) ending: Ending,
+    pub(crate) recording: Option<TurnRecording>,
+    pub(crate) record: CallRecord,
     pub(crate) is_done: bool,
-    /// Memory of what has arrived of the next event, and of the output that is kept.
-    pub(crate) held: Held,
+    /// Memory reserved for the incomplete event and the recorded output.
+    pub(crate) reservation: MemoryReservation,
 }
 
-/// What came next from the endpoint.
-enum Next {
+/// Result of reading from the endpoint.
+enum ReadOutcome {
     Bytes(Bytes),
     End,
     Broken(String),
     Late,
 }
 
-impl Relaying {
-    /// The body of the answer.
-    pub(crate) fn into_body(self) -> AnswerBody {
-        // Boxed, since the state of a step is large and most of the time is spent between steps.
-        pieces(stream::unfold(Box::new(self), |mut relaying| async move {
-            let piece = relaying.step().await?;
-            Some((piece, relaying))
+impl StreamRelay {
+    /// Returns the body of the response to the caller.
+    pub(crate) fn into_body(self) -> ResponseBody {
+        // Boxed because the state is large and mostly lives between two chunks.
+        streamed(stream::unfold(Box::new(self), |mut relay| async move {
+            let chunk = relay.next_chunk().await?;
+            Some((chunk, relay))
         }))
     }
 
-    /// The next piece for the caller: all events that have arrived whole.
-    async fn step(&mut self) -> Option<Result<Bytes, Cut>> {
+    /// Returns the next chunk for the caller, made of all events that have arrived completely.
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
         if self.is_done {
             return None;
         }
         loop {
-            let piece = self.take_events();
-            if !piece.is_empty() {
-                return Some(Ok(piece));
+            let chunk = self.take_events();
+            if !chunk.is_empty() {
+                return Some(Ok(chunk));
             }
             match self.read().await {
-                Next::Bytes(bytes) => {
-                    let kept = self.keeping.as_ref().map_or(0, |k| k.output.len());
-                    let bytes_held = kept + self.reader.pending() + bytes.len();
-                    if let Err(e) = self.held.resize(bytes_held) {
-                        if let Err(cut) = self.go_on_elsewhere(&e.to_string()).await {
+                ReadOutcome::Bytes(bytes) => {
+                    let kept = self.recording.as_ref().map_or(0, |k| k.output.len());
+                    let needed_bytes = kept + self.reader.pending() + bytes.len();
+                    if let Err(e) = self.reservation.resize(needed_bytes) {
+                        if let Err(cut) = self.resume_elsewhere(&e.to_string()).await {
                             return Some(Err(cut));
                         }
                         continue;
                     }
                     self.reader.push(&bytes);
                 }
-                Next::End => return self.end().await,
-                Next::Broken(cause) => {
-                    if let Err(cut) = self.go_on_elsewhere(&cause).await {
+                ReadOutcome::End => return self.end().await,
+                ReadOutcome::Broken(cause) => {
+                    if let Err(cut) = self.resume_elsewhere(&cause).await {
                         return Some(Err(cut));
                     }
                 }
-                Next::Late => {
+                ReadOutcome::Late => {
                     self.is_done = true;
-                    self.ending.finish("late");
-                    return Some(Err(Cut("its time is over")));
+                    self.record.finish("late");
+                    return Some(Err(TruncatedBody("deadline exceeded")));
                 }
             }
         }
     }
 
-    async fn read(&mut self) -> Next {
+    async fn read(&mut self) -> ReadOutcome {
         let deadline = self.attempts.call.deadline;
-        let Some(begun) = &mut self.begun else { return Next::Broken("no answer".to_owned()) };
+        let Some(response) = &mut self.response else {
+            return ReadOutcome::Broken("no response".to_owned());
+        };
         loop {
-            return match timeout_at(deadline, begun.body.frame()).await {
-                Err(_) => Next::Late,
-                Ok(None) => Next::End,
-                Ok(Some(Err(e))) => Next::Broken(e.to_string()),
+            return match timeout_at(deadline, response.body.frame()).await {
+                Err(_) => ReadOutcome::Late,
+                Ok(None) => ReadOutcome::End,
+                Ok(Some(Err(e))) => ReadOutcome::Broken(e.to_string()),
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(_) if self.reader.pending() > MAX_EVENT_BYTES => {
-                        Next::Broken("an event is too large".to_owned())
+                        ReadOutcome::Broken("event exceeds the size limit".to_owned())
                     }
-                    Ok(bytes) => Next::Bytes(bytes),
+                    Ok(bytes) => ReadOutcome::Bytes(bytes),
                     Err(_) => continue,
                 },
             };
         }
     }
 
-    /// Takes the whole events, as one piece.
+    /// Takes the complete events as one chunk.
     fn take_events(&mut self) -> Bytes {
         let Some(first) = self.reader.next_event() else { return Bytes::new() };
-        let mut piece: Option<BytesMut> = None;
+        let mut chunk: Option<BytesMut> = None;
         let mut event = first;
         let raw = event.raw.clone();
         loop {
@@ -133,14 +135,14 @@
             match self.reader.next_event() {
                 None => break,
                 Some(next) => {
-                    piece
+                    chunk
                         .get_or_insert_with(|| BytesMut::from(&raw[..]))
                         .extend_from_slice(&next.raw);
                     event = next;
                 }
             }
         }
-        piece.map_or(raw, BytesMut::freeze)
+        chunk.map_or(raw, BytesMut::freeze)
     }
 
     fn note(&mut self, event: &super::events::Event) {
@@ -155,86 +157,89 @@
                 turn.used += self.tokens_per_event;
             }
         }
-        if let Some(keeping) = &mut self.keeping {
-            event.write_data(&mut keeping.output);
+        if let Some(recording) = &mut self.recording {
+            event.write_data(&mut recording.output);
         }
     }
 
-    /// The endpoint has ended its answer. A kept turn is made durable before the caller sees the end.
-    async fn end(&mut self) -> Option<Result<Bytes, Cut>> {
-        if self.reader.pending() > 0 && self.begun.as_ref().is_some_and(|b| !has_end(&b.parts)) {
+    /// Handles the end of the endpoint's response. A kept turn is made durable before the caller
+    /// sees the end of the stream.
+    async fn end(&mut self) -> Option<Result<Bytes, TruncatedBody>> {
+        if self.reader.pending() > 0 && self.response.as_ref().is_some_and(|b| !has_end(&b.parts)) {
             // The connection was closed in the middle of an event.
-            return match self.go_on_elsewhere("the stream ends within an event").await {
-                Ok(()) => Box::pin(self.step()).await,
+            return match self.resume_elsewhere("stream ended within an event").await {
+                Ok(()) => Box::pin(self.next_chunk()).await,
                 Err(cut) => Some(Err(cut)),
             };
         }
         self.is_done = true;
-        if let Some(begun) = self.begun.take() {
-            begun.reuse.finish();
-            begun.slot.finish(Outcome::Answered);
+        if let Some(response) = self.response.take() {
+            response.reuse.finish();
+            response.slot.finish(Outcome::Answered);
         }
         self.attempts.answered();
         let rest = self.reader.take_rest();
-        if let (Some(keeping), Some(turn)) = (self.keeping.take(), &mut self.turn) {
+        if let (Some(recording), Some(turn)) = (self.recording.take(), &mut self.turn) {
             let call = &self.attempts.call;
             let kept = KeptTurn {
-                previous: keeping.previous,
-                history: keeping.history,
-                input: keeping.input,
-                output: keeping.output.freeze(),
+                previous: recording.previous,
+                history: recording.history,
+                input: recording.input,
+                output: recording.output.freeze(),
                 retain: call.route.retain.unwrap_or_default(),
             };
             if let Err(refusal) = turn.keep(kept, call.deadline).await {
-                self.ending.finish(refusal.code);
-                return Some(Err(Cut("the turn could not be kept")));
+                self.record.finish(refusal.code);
+                return Some(Err(TruncatedBody("the turn could not be kept")));
             }
         }
-        self.ending.finish("whole");
+        self.record.finish("whole");
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    /// Lets another endpoint go on after the last whole event, where the route allows it.
-    async fn go_on_elsewhere(&mut self, cause: &str) -> Result<(), Cut> {
+    /// Resumes the stream at another endpoint after the last complete event, if the route allows
+    /// it.
+    async fn resume_elsewhere(&mut self, cause: &str) -> Result<(), TruncatedBody> {
         let id = self.attempts.call.head.id.clone();
         let events = self.events;
-        log::warn!(id = &*id, cause, events; "stream broke off");
+        log::warn!(id = &*id, cause, events; "stream interrupted");
         metrics::counter!("poplarspan_relay_broken_streams_total").increment(1);
         self.reader.clear();
-        if let Some(begun) = self.begun.take() {
-            // The connection goes first, so that the endpoint stops before another one goes on.
-            drop((begun.body, begun.reuse));
-            self.attempts.failed(begun.slot, cause);
+        if let Some(response) = self.response.take() {
+            // Closes the connection first, so that the endpoint stops before another one resumes
+            // the stream.
+            drop((response.body, response.reuse));
+            self.attempts.failed(response.slot, cause);
         }
         if !self.attempts.may_retry() {
             self.is_done = true;
-            self.ending.finish("broken");
-            return Err(Cut("the endpoint broke off"));
+            self.record.finish("broken");
+            return Err(TruncatedBody("the endpoint failed"));
         }
         let last_event = self.last_event.clone();
         match self.attempts.next(last_event.as_ref()).await {
-            Ok(begun) if begun.parts.status.is_success() => {
-                let endpoint = begun.slot.endpoint.name.clone();
-                log::info!(id = &*id, endpoint = &*endpoint; "stream goes on at another endpoint");
-                self.begun = Some(begun);
+            Ok(response) if response.parts.status.is_success() => {
+                let endpoint = response.slot.endpoint.name.clone();
+                log::info!(id = &*id, endpoint = &*endpoint; "stream resumed at another endpoint");
+                self.response = Some(response);
                 Ok(())
             }
             Ok(_) | Err(_) => {
                 self.is_done = true;
-                self.ending.finish("not_resumed");
-                Err(Cut("no other endpoint goes on"))
+                self.record.finish("not_resumed");
+                Err(TruncatedBody("no other endpoint could resume the stream"))
             }
         }
     }
 }
 
-/// Whether an answer says where it ends, and not only by the end of its connection.
+/// Whether the end of a response is marked by its framing, not only by the end of the connection.
 fn has_end(head: &response::Parts) -> bool {
     head.headers.contains_key(header::CONTENT_LENGTH)
         || head.headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// Tokens that an event stands for at the service of a call.
+/// Number of tokens that an event of a service stands for.
 pub(crate) fn tokens_per_event(front: &Arc<Front>, service: &str) -> u64 {
     let view = front.fleet.view();
     let engine = view.publication.as_ref().and_then(|p| p.service(service)?.engine);
--- a/crates/relay/src/readiness.rs
+++ b/crates/relay/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's question whether a front is ready.
+//! HTTP server for the platform's readiness probe of a front.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -11,24 +11,24 @@
 use poplarspan_node::Readiness;
 use tokio::{net::TcpListener, sync::Semaphore};
 
-use crate::Dialect;
+use crate::Protocol;
 
 const MAX_CONNECTIONS: usize = 64;
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Serves the question.
+/// Serves the readiness probe.
 pub(crate) struct ReadinessServer {
     readiness: Arc<dyn Readiness>,
-    dialect: Arc<dyn Dialect>,
+    protocol: Arc<dyn Protocol>,
     slots: Arc<Semaphore>,
 }
 
 impl ReadinessServer {
-    pub(crate) fn new(readiness: Arc<dyn Readiness>, dialect: Arc<dyn Dialect>) -> Arc<Self> {
-        Arc::new(Self { readiness, dialect, slots: Arc::new(Semaphore::new(MAX_CONNECTIONS)) })
+    pub(crate) fn new(readiness: Arc<dyn Readiness>, protocol: Arc<dyn Protocol>) -> Arc<Self> {
+        Arc::new(Self { readiness, protocol, slots: Arc::new(Semaphore::new(MAX_CONNECTIONS)) })
     }
 
-    /// Accepts connections until the task is ended.
+    /// Accepts connections until the task is cancelled.
     pub(crate) async fn run(self: Arc<Self>, socket: Arc<TcpListener>) -> Result<()> {
         loop {
             let permit = self.slots.clone().acquire_owned().await?;
@@ -43,7 +43,7 @@
                     .await;
                 if let Err(e) = served {
                     let error = e.to_string();
-                    log::debug!(error = error.as_str(); "a readiness connection has failed");
+                    log::debug!(error = error.as_str(); "readiness probe connection failed");
                 }
                 drop(permit);
             });
@@ -51,7 +51,7 @@
     }
 
     fn answer(&self, req: &Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        let (status, text) = if !self.dialect.is_readiness(req.uri().path()) {
+        let (status, text) = if !self.protocol.is_readiness_path(req.uri().path()) {
             (StatusCode::NOT_FOUND, "not found")
         } else {
             match self.readiness.not_ready() {
--- a/crates/server/examples/slopes/rates.rs
+++ b/crates/server/examples/slopes/rates.rs
@@ -1,4 +1,4 @@
-//! Asks and grants of rate tokens.
+//! Requests and grants of rate tokens.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -50,14 +50,15 @@
     peer::Response { body: Some(response::Body::Rate(rate)) }.encoded_len()
 }
 
-/// One instance with evenly spaced calls of one team, at 90% of the team's rate, in virtual time.
+/// Simulates one instance with evenly spaced calls of one team, at 90% of the team's rate, in
+/// virtual time.
 pub(crate) fn asks(calls_per_second: u64, burst: u64) {
     let limit = Limit::new(calls_per_second as f64 / 0.9, burst as u32);
     let mut share =
         InstanceBucket::new("instance-100".into(), limit, InstanceBucketConfig::default());
     let mut owner = OwnerBucket::new(limit, MIN_VALIDITY, burst as f64, Duration::ZERO);
-    let mut there: VecDeque<(Duration, TokenRequest)> = VecDeque::new();
-    let mut back: VecDeque<(Duration, u64, Grant)> = VecDeque::new();
+    let mut requests: VecDeque<(Duration, TokenRequest)> = VecDeque::new();
+    let mut replies: VecDeque<(Duration, u64, Grant)> = VecDeque::new();
     let (mut now, mut calls, mut waited, mut refused) = (Duration::ZERO, 0u64, 0u64, 0u64);
     let (mut sent, mut ask_total, mut grant_total, mut number) = (0u64, 0, 0, 0);
     while now < RUN {
@@ -74,18 +75,18 @@
         if let Some(ask) = share.poll(now) {
             sent += 1;
             ask_total += ask_bytes(&ask);
-            there.push_back((now + ONE_WAY, ask));
+            requests.push_back((now + ONE_WAY, ask));
         }
-        while there.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, ask) = there.pop_front().expect("not empty");
+        while requests.front().is_some_and(|(at, _)| *at <= now) {
+            let (_, ask) = requests.pop_front().expect("not empty");
             number += 1;
             let id = GrantId { session: 1_780_000_000_000_000, number };
             let grant = owner.request(id, &ask, now);
             grant_total += grant_bytes(&grant);
-            back.push_back((now + ONE_WAY, ask.id, grant));
+            replies.push_back((now + ONE_WAY, ask.id, grant));
         }
-        while back.front().is_some_and(|(at, ..)| *at <= now) {
-            let (_, ask, grant) = back.pop_front().expect("not empty");
+        while replies.front().is_some_and(|(at, ..)| *at <= now) {
+            let (_, ask, grant) = replies.pop_front().expect("not empty");
             share.on_grant(ask, &grant, now);
         }
     }
@@ -99,7 +100,7 @@
     );
 }
 
-/// Memory and time of an owner of the buckets of `teams`, each asked once and not yet full again.
+/// Measures memory and time of an owner of `teams` buckets, none of which is full.
 pub(crate) fn owner(teams: u64) {
     let me: Name = "instance-100".into();
     let mut owners = OwnedBuckets::new(me.clone(), 1, Duration::from_secs(2), MIN_VALIDITY);
--- a/crates/server/src/admission/wire.rs
+++ b/crates/server/src/admission/wire.rs
@@ -1,4 +1,4 @@
-//! Conversion of rate messages at the peer port.
+//! Conversion between rate messages of the protocol and of the policy.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-pub(super) fn write_ask(ask: &TokenRequest) -> peer::RateAsk {
+pub(super) fn encode_ask(ask: &TokenRequest) -> peer::RateAsk {
     let report = |r: &Report| peer::RateReport {
         session: r.grant.session,
         number: r.grant.number,
@@ -26,7 +26,7 @@
     }
 }
 
-pub(super) fn read_ask(ask: peer::RateAsk) -> TokenRequest {
+pub(super) fn decode_ask(ask: peer::RateAsk) -> TokenRequest {
     let report = |r: peer::RateReport| Report {
         grant: GrantId { session: r.session, number: r.number },
         used: r.used,
@@ -41,19 +41,19 @@
     }
 }
 
-pub(super) fn write_grant(grant: &Grant) -> peer::RateGrant {
+pub(super) fn encode_grant(grant: &Grant) -> peer::RateGrant {
     peer::RateGrant {
         session: grant.id.session,
         number: grant.id.number,
         tokens: grant.tokens,
-        // Rounded down: the asker must not count longer than the owner.
+        // Rounded down: the token must not be valid longer at the requester than at the owner.
         valid_for_us: micros(grant.valid_for),
         retry_after_us: micros(grant.retry_after),
         backlog: grant.backlog,
     }
 }
 
-pub(super) fn read_grant(grant: &peer::RateGrant) -> Grant {
+pub(super) fn decode_grant(grant: &peer::RateGrant) -> Grant {
     Grant {
         id: GrantId { session: grant.session, number: grant.number },
         tokens: grant.tokens,
@@ -63,25 +63,25 @@
     }
 }
 
-pub(super) fn write_claim(claim: &Claim) -> peer::RateClaim {
+pub(super) fn encode_claim(claim: &Claim) -> peer::RateClaim {
     peer::RateClaim { to: claim.to.to_string(), session: claim.session, epoch: claim.epoch }
 }
 
-pub(super) fn read_claim(team: &Name, claim: peer::RateClaim) -> Claim {
+pub(super) fn decode_claim(team: &Name, claim: peer::RateClaim) -> Claim {
     let (session, epoch) = (claim.session, claim.epoch);
     Claim { team: team.clone(), to: claim.to.into(), session, epoch }
 }
 
-pub(super) fn write_transfer(transfer: &Transfer) -> peer::RateTransfer {
+pub(super) fn encode_transfer(transfer: &Transfer) -> peer::RateTransfer {
     peer::RateTransfer {
         level_nano: transfer.level_nano,
         outstanding: transfer.outstanding,
-        // Rounded up: the new owner must count at least as long as the former one.
+        // Rounded up: the new owner must count grants for at least as long as the previous one.
         valid_for_us: micros(transfer.valid_for).saturating_add(1),
     }
 }
 
-pub(super) fn read_transfer(claim: Claim, transfer: &peer::RateTransfer) -> Transfer {
+pub(super) fn decode_transfer(claim: Claim, transfer: &peer::RateTransfer) -> Transfer {
     Transfer {
         claim,
         level_nano: transfer.level_nano,
--- a/crates/server/src/programs/peer_ledger.rs
+++ b/crates/server/src/programs/peer_ledger.rs
@@ -1,4 +1,4 @@
-//! Reaches the program groups over the peer port.
+//! [`Ledger`] client that uses the peer protocol.
 
 use std::{
     net::SocketAddr,
@@ -15,7 +15,7 @@
 use prost::Message;
 use tokio::time::Instant;
 
-use super::{Ledger, LedgerError, RESEND_AFTER};
+use super::{Ledger, LedgerError, RESEND_INTERVAL};
 use crate::{
     membership::{Directory, Membership},
     peer::{CallError, PeerClient},
@@ -28,7 +28,7 @@
     client: PeerClient,
     directory: Arc<Directory>,
     membership: Arc<Membership>,
-    /// Believed leader of each group, by group number.
+    /// Presumed leader of each group, indexed by group number.
     leaders: Mutex<Vec<Option<SocketAddr>>>,
 }
 
@@ -53,11 +53,12 @@
         leaders[group as usize] = leader;
     }
 
-    /// Sends one call to the leader of the group, trying replicas in turn until `deadline`.
+    /// Sends a call to the leader of the group. Tries the replicas in turn while the leader is not
+    /// known, until `deadline`.
     async fn call(&self, call: LedgerCall, deadline: Instant) -> Result<Bytes, LedgerError> {
         let group = call.group;
         let mut may_have_run = false;
-        let mut last = String::from("no control replica is known");
+        let mut last_error = String::from("no control replica is known");
         for attempt in 0usize.. {
             let candidates = self.directory.candidates();
             let target = self.leader(group).or_else(|| {
@@ -70,20 +71,24 @@
                         return Ok(answer);
                     }
                     Err(e) => {
-                        may_have_run |= self.note(group, &e);
-                        last = e.to_string();
+                        may_have_run |= self.handle_error(group, &e);
+                        last_error = e.to_string();
                     }
                 }
             }
-            if Instant::now() + RESEND_AFTER >= deadline {
+            if Instant::now() + RESEND_INTERVAL >= deadline {
                 break;
             }
-            // The first replica asked often names the leader, which is then asked at once.
+            // The first replica often returns the leader, which is then tried without a pause.
             if attempt > 0 || self.leader(group).is_none() {
-                tokio::time::sleep(RESEND_AFTER).await;
+                tokio::time::sleep(RESEND_INTERVAL).await;
             }
         }
-        Err(if may_have_run { LedgerError::Unknown(last) } else { LedgerError::Unavailable(last) })
+        Err(if may_have_run {
+            LedgerError::Unknown(last_error)
+        } else {
+            LedgerError::Unavailable(last_error)
+        })
     }
 
     async fn call_once(
@@ -102,8 +107,9 @@
         }
     }
 
-    /// Notes what a failed call tells about the leader; true when the call may have been carried out.
-    fn note(&self, group: u32, error: &CallError) -> bool {
+    /// Updates the presumed leader after a failed call. Returns whether the call may have been
+    /// executed.
+    fn handle_error(&self, group: u32, error: &CallError) -> bool {
         match error {
             CallError::Failed(failure) => {
                 self.set_leader(group, failure.leader_address.parse().ok());
@@ -132,7 +138,7 @@
         command: ledger_command::Command,
         deadline: Instant,
     ) -> BoxFuture<'_, Result<ledger_answer::Answer, LedgerError>> {
-        // The leader stamps the time.
+        // The leader sets the time.
         let command = LedgerCommand { now_ms: 0, command: Some(command) };
         let command = Bytes::from(command.encode_to_vec());
         Box::pin(async move {
