--- a/crates/server/src/entry/program.rs
+++ b/crates/server/src/entry/program.rs
@@ -62,20 +62,20 @@
 impl EntryHandler {
     /// Runs a call under a claim of the ledger.
     ///
-    /// The call runs in a separate task, so that it is completed if the caller disconnects. A claim
-    /// that is left open would block retries of the call.
+    /// The call runs in a separate task, so that its claim is ended even if the caller disconnects. A
+    /// claim that is left open would block retries of the call.
     pub(crate) async fn run_recorded(
         self: Arc<Self>,
         accepted: AcceptedCall,
         stream: bool,
     ) -> Result<Response<ResponseBody>, Refusal> {
-        let (mut caller, answer) = oneshot::channel();
+        let (mut response_tx, response_rx) = oneshot::channel();
         tokio::spawn(async move {
-            let result = self.run_claimed(accepted, stream, &mut caller).await;
+            let result = self.run_claimed(accepted, stream, &mut response_tx).await;
             // An error means that the caller has disconnected. A retry gets the recorded response.
-            let _ = caller.send(result);
+            let _ = response_tx.send(result);
         });
-        answer.await.unwrap_or_else(|_| {
+        response_rx.await.unwrap_or_else(|_| {
             let message = "the instance failed while it ran the call";
             Err(Refusal::with_ran(Code::Unavailable, Executed::Unknown, message))
         })
@@ -85,7 +85,7 @@
         self: Arc<Self>,
         accepted: AcceptedCall,
         stream: bool,
-        caller: &mut ResponseSender,
+        response_tx: &mut ResponseSender,
     ) -> Result<Response<ResponseBody>, Refusal> {
         let begin = self.begin_command(&accepted)?;
         let wait_until = accepted.prepared.deadline.min(Instant::now() + MAX_ORDER_WAIT);
@@ -93,7 +93,7 @@
         let (claim, placement) = loop {
             let placement = tokio::select! {
                 placement = attempts.acquire() => placement?,
-                () = caller.closed() => return Err(caller_gone()),
+                () = response_tx.closed() => return Err(caller_gone()),
             };
             match self.begin(&accepted, begin.clone(), &placement.slot, wait_until).await? {
                 BeginOutcome::Granted(claim) => break (claim, placement),
@@ -106,9 +106,9 @@
         };
         attempts.claim = Some(claim.clone());
         if !stream {
-            let answer = self.exchange_recorded(&mut attempts, claim.clone(), placement).await;
+            let response = self.exchange_recorded(&mut attempts, claim.clone(), placement).await;
             drop(attempts);
-            return self.conclude(&accepted, claim, answer).await;
+            return self.conclude(&accepted, claim, response).await;
         }
         match self.attempt_recorded(&mut attempts, claim.clone(), placement).await {
             Ok((claim, pending)) if is_event_stream(&pending.headers) => {
@@ -116,9 +116,9 @@
                 Ok(self.relay(accepted, pending, Some(claim)))
             }
             Ok((claim, pending)) => {
-                let answer = self.collect_recorded(&mut attempts, claim.clone(), pending).await;
+                let response = self.collect_recorded(&mut attempts, claim.clone(), pending).await;
                 drop(attempts);
-                self.conclude(&accepted, claim, answer).await
+                self.conclude(&accepted, claim, response).await
             }
             Err(refusal) => {
                 drop(attempts);
