--- a/crates/relay/src/fleet.rs
+++ b/crates/relay/src/fleet_client.rs
@@ -1,8 +1,9 @@
-//! Keeps an instance's lease, and what it knows of the fleet.
+//! Client of the control group: keeps an instance's lease and its view of the fleet.
 //!
-//! Owner: each instance for itself. The lease is counted from when the instance asked for it, on a
-//! clock that includes suspension. When the leader of the control group is lost, the instance goes
-//! on under its lease until a successor answers; publications never go back while it runs.
+//! Each instance has its own client. The lease runs from the time of the request, on a clock that
+//! includes time spent suspended. When the control leader is lost, the instance continues under its
+//! lease until a successor answers. The version of the publication never decreases while the
+//! process runs.
 
 use std::{
     net::SocketAddr,
@@ -27,55 +28,56 @@
 };
 
 use crate::{
-    Dialect, ListedEndpoint, Publication, Settings,
-    board::{read_fingerprint, write_fingerprint},
-    control,
+    ListedEndpoint, Protocol, Publication, Settings, control,
+    control_state::{read_fingerprint, write_fingerprint},
 };
 
-/// Time between two beats. A change reaches an instance after this long at most, plus the way.
-const INTERVAL: Duration = Duration::from_millis(250);
-/// Pause before the next candidate is asked.
-const RETRY: Duration = Duration::from_millis(50);
-/// Instances that are asked at a time while no leader is known.
-const ASKED_AT_ONCE: usize = 3;
-const BEAT_TIMEOUT: Duration = Duration::from_millis(300);
-/// An instance that did not answer as the leader is not asked again for this long, even if others
-/// still take it for the leader.
-const AVOID_LOST: Duration = Duration::from_millis(1_000);
-
-/// What an instance knows of the fleet.
+/// Time between two heartbeats. An instance learns of a change within this time plus the network
+/// delay.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause before the next candidates are asked.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Instances that are asked in parallel while no leader is known.
+const PARALLEL_CANDIDATES: usize = 3;
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(300);
+/// An instance that failed to answer a heartbeat is skipped for this long, even if others still
+/// name it as the leader.
+const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(1_000);
+
+/// An instance's view of the fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct View {
-    /// None until the first one has arrived.
+    /// `None` until the first publication has arrived.
     pub(crate) publication: Option<Arc<Publication>>,
     pub(crate) directory: Arc<Directory>,
     /// Sorted.
     pub(crate) zones_out: Vec<Name>,
-    pub(crate) place: InstanceRank,
+    pub(crate) rank: InstanceRank,
     /// Peer addresses of the stores.
     pub(crate) stores: Vec<SocketAddr>,
-    /// The stores in the order in which groups take their first voters.
+    /// The stores in the order in which groups take their initial voters.
     pub(crate) store_ring: Vec<ReplicaId>,
-    /// Leader of each group of stores, if it is known. Empty until there are groups.
+    /// Known leader of each store group. Empty until the groups are formed.
     pub(crate) group_leaders: Vec<Option<SocketAddr>>,
-    /// Replicas of stores that are to be emptied.
+    /// Replicas of stores that are being drained.
     pub(crate) retiring: Vec<u64>,
-    pub(crate) quarantined: Arc<Quarantined>,
+    pub(crate) quarantine_list: Arc<QuarantineList>,
 }
 
-/// Requests that do not run freely.
+/// Requests that are quarantined because endpoints terminated while running them.
 #[derive(Debug, Default)]
-pub(crate) struct Quarantined {
-    /// As in [`peer::Quarantine`].
+pub(crate) struct QuarantineList {
+    /// List number, as in [`peer::Quarantine`].
     number: u64,
-    /// Run on trial only; sorted.
+    /// Requests that only run on trial; sorted.
     pub(crate) suspects: Vec<Fingerprint>,
-    /// Are refused; sorted.
+    /// Requests that are refused; sorted.
     pub(crate) refused: Vec<Fingerprint>,
 }
 
-impl Quarantined {
-    /// All of them. To a new leader they are suspects, as far as its board does not refuse them.
+impl QuarantineList {
+    /// All quarantined requests. A new leader treats them as suspects unless its replicated state
+    /// already blocks them.
     fn all(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.suspects.iter().chain(&self.refused).copied()
     }
@@ -92,61 +94,62 @@
 pub(crate) struct Directory {
     pub(crate) number: u64,
     pub(crate) endpoints: Vec<ListedEndpoint>,
-    /// When it arrived, by the instance's clock; times in the entries count from then.
+    /// When the list arrived, by the instance's clock. Durations in the entries count from this
+    /// time.
     pub(crate) at: Duration,
 }
 
-/// What an instance adds to its beats, and takes from the answers.
-pub(crate) trait Report: Send + Sync {
-    /// Completes a beat.
+/// Data that an instance adds to its heartbeats and takes from the answers.
+pub(crate) trait HeartbeatReport: Send + Sync {
+    /// Adds the instance's data to a heartbeat.
     fn fill<'a>(&'a self, beat: &'a mut peer::Beat) -> BoxFuture<'a, ()>;
 
-    /// Takes note of the shares in an answer.
-    fn take_shares(&self, shares: &[peer::TeamShare]);
+    /// Applies the rate shares in an answer.
+    fn apply_shares(&self, shares: &[peer::TeamShare]);
 }
 
-/// An instance's tie to the control group.
-pub(crate) struct Fleet {
+/// An instance's client of the control group.
+pub(crate) struct FleetClient {
     settings: Arc<Settings>,
-    dialect: Arc<dyn Dialect>,
+    protocol: Arc<dyn Protocol>,
     client: PeerClient,
     clock: Arc<dyn Clock>,
     incarnation: u64,
     duty: peer::Duty,
     view: ArcSwap<View>,
     changed: watch::Sender<u64>,
-    /// End of the lease, in microseconds of the clock.
+    /// End of the lease, in microseconds of `clock`.
     lease_until_us: AtomicU64,
-    /// When the process ends, once it is shutting down.
+    /// When the process ends; set once it is shutting down.
     ends_at: Mutex<Option<Instant>>,
-    known: Mutex<Known>,
-    /// Wakes the beats, for changes that the leader should hear of at once.
-    hurry: Notify,
+    search: Mutex<LeaderSearch>,
+    /// Triggers a heartbeat for changes that the leader should learn of immediately.
+    wake_heartbeat: Notify,
 }
 
-/// Where the leader may be found.
+/// State of the search for the control leader.
 #[derive(Default)]
-struct Known {
+struct LeaderSearch {
     leader: Option<SocketAddr>,
-    /// Who answered the last beat as the leader.
+    /// The instance that answered the last heartbeat as the leader.
     answered: Option<SocketAddr>,
-    cores: Vec<SocketAddr>,
+    control_replicas: Vec<SocketAddr>,
     seeds: Vec<SocketAddr>,
-    turn: usize,
-    /// An instance that has just failed to answer, and until when it is not asked.
-    avoid: Option<(SocketAddr, Instant)>,
+    next_candidate: usize,
+    /// An instance that has just failed to answer, and when it may be asked again.
+    unresponsive: Option<(SocketAddr, Instant)>,
 }
 
-impl Known {
-    fn is_avoided(&self, address: SocketAddr) -> bool {
-        self.avoid.is_some_and(|(avoid, until)| avoid == address && Instant::now() < until)
+impl LeaderSearch {
+    fn is_unresponsive(&self, address: SocketAddr) -> bool {
+        self.unresponsive.is_some_and(|(lost, until)| lost == address && Instant::now() < until)
     }
 }
 
-impl Fleet {
+impl FleetClient {
     pub(crate) fn new(
         settings: Arc<Settings>,
-        dialect: Arc<dyn Dialect>,
+        protocol: Arc<dyn Protocol>,
         client: PeerClient,
         clock: Arc<dyn Clock>,
         duty: peer::Duty,
@@ -155,17 +158,18 @@
             publication: None,
             directory: Arc::default(),
             zones_out: Vec::new(),
-            place: InstanceRank { rank: 0, count: 1 },
+            rank: InstanceRank { rank: 0, count: 1 },
             stores: Vec::new(),
             store_ring: Vec::new(),
             group_leaders: Vec::new(),
             retiring: Vec::new(),
-            quarantined: Arc::default(),
+            quarantine_list: Arc::default(),
         };
-        let known = Known { seeds: settings.control_peers(), ..Known::default() };
+        let search =
+            LeaderSearch { seeds: settings.control_peer_addresses(), ..LeaderSearch::default() };
         Arc::new(Self {
             settings,
-            dialect,
+            protocol,
             client,
             clock,
             incarnation: rand::random(),
@@ -174,28 +178,28 @@
             changed: watch::Sender::new(0),
             lease_until_us: AtomicU64::new(0),
             ends_at: Mutex::default(),
-            known: Mutex::new(known),
-            hurry: Notify::new(),
+            search: Mutex::new(search),
+            wake_heartbeat: Notify::new(),
         })
     }
 
-    /// What is known now.
+    /// Returns the current view.
     pub(crate) fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// Tells of each change of the view.
+    /// Returns a receiver that is notified of each change of the view.
     pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Time left on the lease; none if it has run out.
+    /// Time left on the lease, or `None` if it has expired.
     pub(crate) fn lease_left(&self) -> Option<Duration> {
         let until = Duration::from_micros(self.lease_until_us.load(Ordering::Acquire));
         until.checked_sub(self.clock.now()).filter(|left| !left.is_zero())
     }
 
-    /// Says that the instance is shutting down and ends at `ends_at`.
+    /// Marks the instance as shutting down; the process ends at `ends_at`.
     pub(crate) fn set_draining(&self, ends_at: Instant) {
         *self.ends_at.lock().expect("no panic while locked") = Some(ends_at);
     }
@@ -209,48 +213,48 @@
         self.ends_at().is_some()
     }
 
-    /// Sends the next beat at once.
-    pub(crate) fn hurry(&self) {
-        self.hurry.notify_one();
+    /// Sends the next heartbeat immediately.
+    pub(crate) fn send_heartbeat_now(&self) {
+        self.wake_heartbeat.notify_one();
     }
 
-    /// Whether a beat goes to others than the leader that answered the last one.
-    fn asks_others(&self, candidates: &[SocketAddr]) -> bool {
-        let known = self.known.lock().expect("no panic while locked");
-        known.answered.is_none_or(|answered| candidates != [answered])
+    /// Whether a heartbeat goes to any instance other than the leader that answered the last one.
+    fn asks_other_instances(&self, candidates: &[SocketAddr]) -> bool {
+        let search = self.search.lock().expect("no panic while locked");
+        search.answered.is_none_or(|answered| candidates != [answered])
     }
 
-    /// Takes the seeds of changed settings.
+    /// Replaces the seeds after the settings were reloaded.
     pub(crate) fn set_seeds(&self, seeds: Vec<SocketAddr>) {
-        self.known.lock().expect("no panic while locked").seeds = seeds;
+        self.search.lock().expect("no panic while locked").seeds = seeds;
     }
 
-    /// Peer address of the leader of the control group, if it is known.
+    /// Peer address of the control leader, if it is known.
     pub(crate) fn leader(&self) -> Option<SocketAddr> {
-        self.known.lock().expect("no panic while locked").leader
+        self.search.lock().expect("no panic while locked").leader
     }
 
-    /// Sends beats until the task is ended.
-    pub(crate) async fn run(self: Arc<Self>, report: Arc<dyn Report>) -> Result<()> {
+    /// Sends heartbeats until the task is cancelled.
+    pub(crate) async fn run(self: Arc<Self>, report: Arc<dyn HeartbeatReport>) -> Result<()> {
         loop {
             let started = Instant::now();
-            let is_answered = self.beat(&*report).await;
-            let pause = if is_answered { INTERVAL } else { RETRY };
-            let rest = pause.saturating_sub(started.elapsed()).max(RETRY);
-            // Running out means that it is time for the next beat.
-            let _ = timeout(rest, self.hurry.notified()).await;
+            let is_answered = self.send_heartbeat(&*report).await;
+            let pause = if is_answered { HEARTBEAT_INTERVAL } else { RETRY_PAUSE };
+            let rest = pause.saturating_sub(started.elapsed()).max(RETRY_PAUSE);
+            // A timeout only means that the next heartbeat is due.
+            let _ = timeout(rest, self.wake_heartbeat.notified()).await;
             if !is_answered {
-                sleep(RETRY).await;
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    /// Sends one beat. Returns whether it was answered by the leader.
-    async fn beat(&self, report: &dyn Report) -> bool {
+    /// Sends one heartbeat. Returns whether the leader answered it.
+    async fn send_heartbeat(&self, report: &dyn HeartbeatReport) -> bool {
         let candidates = self.candidates();
         let view = self.view();
-        let suspects = match self.asks_others(&candidates) {
-            true => view.quarantined.all().map(write_fingerprint).collect(),
+        let suspects = match self.asks_other_instances(&candidates) {
+            true => view.quarantine_list.all().map(write_fingerprint).collect(),
             false => Vec::new(),
         };
         let mut beat = peer::Beat {
@@ -264,89 +268,91 @@
             demand: Vec::new(),
             draining: self.is_draining(),
             store: None,
-            quarantine: view.quarantined.number,
+            quarantine: view.quarantine_list.number,
             suspects,
         };
         report.fill(&mut beat).await;
         let asked_at = self.clock.now();
         let ask = |address| {
-            let call = self.client.call(address, request::Body::Beat(beat.clone()), BEAT_TIMEOUT);
+            let call =
+                self.client.call(address, request::Body::Beat(beat.clone()), HEARTBEAT_TIMEOUT);
             call.map(move |answer| (address, answer))
         };
         let mut asked: FuturesUnordered<_> = candidates.into_iter().map(ask).collect();
         while let Some((address, answer)) = asked.next().await {
-            if self.take_answer(address, answer, asked_at, report) {
+            if self.handle_answer(address, answer, asked_at, report) {
                 return true;
             }
         }
         false
     }
 
-    /// Takes the answer to a beat. Returns whether it came from the leader.
-    fn take_answer(
+    /// Handles the answer to a heartbeat. Returns whether it came from the leader.
+    fn handle_answer(
         &self,
         address: SocketAddr,
         answer: Result<response::Body, CallError>,
         asked_at: Duration,
-        report: &dyn Report,
+        report: &dyn HeartbeatReport,
     ) -> bool {
         match answer {
             Ok(response::Body::Beat(answer)) => {
-                report.take_shares(&answer.shares);
-                self.found(address);
-                self.take(answer, asked_at);
+                report.apply_shares(&answer.shares);
+                self.leader_found(address);
+                self.apply(answer, asked_at);
                 true
             }
             Err(CallError::Failed(failure)) => {
-                self.lost(address, failure.leader_address.parse().ok(), true);
+                self.leader_lost(address, failure.leader_address.parse().ok(), true);
                 false
             }
             Ok(_) | Err(_) => {
-                self.lost(address, None, false);
+                self.leader_lost(address, None, false);
                 false
             }
         }
     }
 
-    /// Whom to ask: the leader, or several that may know it, so that one that does not answer costs
-    /// no time.
+    /// The addresses to ask: the leader if it is known, otherwise several candidates in parallel,
+    /// so that an unresponsive one causes no delay.
     fn candidates(&self) -> Vec<SocketAddr> {
-        let mut known = self.known.lock().expect("no panic while locked");
-        if let Some(leader) = known.leader {
+        let mut search = self.search.lock().expect("no panic while locked");
+        if let Some(leader) = search.leader {
             return vec![leader];
         }
-        known.turn = known.turn.wrapping_add(1);
-        let mut all: Vec<_> = known.cores.iter().chain(&known.seeds).copied().collect();
+        search.next_candidate = search.next_candidate.wrapping_add(1);
+        let mut all: Vec<_> =
+            search.control_replicas.iter().chain(&search.seeds).copied().collect();
         all.sort_unstable();
         all.dedup();
-        all.retain(|address| !known.is_avoided(*address));
-        let first = known.turn.wrapping_mul(ASKED_AT_ONCE) % all.len().max(1);
-        all.iter().cycle().skip(first).take(ASKED_AT_ONCE.min(all.len())).copied().collect()
+        all.retain(|address| !search.is_unresponsive(*address));
+        let first = search.next_candidate.wrapping_mul(PARALLEL_CANDIDATES) % all.len().max(1);
+        all.iter().cycle().skip(first).take(PARALLEL_CANDIDATES.min(all.len())).copied().collect()
     }
 
-    fn found(&self, address: SocketAddr) {
-        let mut known = self.known.lock().expect("no panic while locked");
-        known.answered = Some(address);
-        if known.leader.replace(address) != Some(address) {
+    fn leader_found(&self, address: SocketAddr) {
+        let mut search = self.search.lock().expect("no panic while locked");
+        search.answered = Some(address);
+        if search.leader.replace(address) != Some(address) {
             let leader = address.to_string();
-            log::info!(leader = leader.as_str(); "found the leader of the control group");
+            log::info!(leader = leader.as_str(); "found the control leader");
         }
     }
 
-    fn lost(&self, address: SocketAddr, hint: Option<SocketAddr>, has_answered: bool) {
-        let mut known = self.known.lock().expect("no panic while locked");
-        if known.leader == Some(address) {
+    fn leader_lost(&self, address: SocketAddr, hint: Option<SocketAddr>, has_answered: bool) {
+        let mut search = self.search.lock().expect("no panic while locked");
+        if search.leader == Some(address) {
             let leader = address.to_string();
-            log::warn!(leader = leader.as_str(); "lost the leader of the control group");
+            log::warn!(leader = leader.as_str(); "lost the control leader");
             metrics::counter!("poplarspan_relay_leader_losses_total").increment(1);
         }
         if !has_answered {
-            known.avoid = Some((address, Instant::now() + AVOID_LOST));
+            search.unresponsive = Some((address, Instant::now() + UNRESPONSIVE_PAUSE));
         }
-        known.leader = hint.filter(|hint| *hint != address && !known.is_avoided(*hint));
+        search.leader = hint.filter(|hint| *hint != address && !search.is_unresponsive(*hint));
     }
 
-    fn take(&self, answer: peer::BeatAnswer, asked_at: Duration) {
+    fn apply(&self, answer: peer::BeatAnswer, asked_at: Duration) {
         let old = self.view();
         let publication = self.next_publication(&old, answer.publication);
         let directory = answer.directory.map(|d| Arc::new(read_directory(d, self.clock.now())));
@@ -354,9 +360,9 @@
         let addresses = |list: Vec<String>| -> Vec<SocketAddr> {
             list.iter().filter_map(|a| a.parse().ok()).collect()
         };
-        let cores = addresses(answer.cores);
-        if !cores.is_empty() {
-            self.known.lock().expect("no panic while locked").cores = cores;
+        let control_replicas = addresses(answer.cores);
+        if !control_replicas.is_empty() {
+            self.search.lock().expect("no panic while locked").control_replicas = control_replicas;
         }
         let stores = addresses(answer.stores);
         let leader = |place: u32| stores.get((place as usize).checked_sub(1)?).copied();
@@ -365,25 +371,26 @@
             publication,
             directory: directory.unwrap_or_else(|| old.directory.clone()),
             zones_out: names(answer.zones_out),
-            place: InstanceRank { rank: answer.rank, count: answer.fronts.max(1) },
+            rank: InstanceRank { rank: answer.rank, count: answer.fronts.max(1) },
             stores,
             store_ring: answer.store_ring.into_iter().map(ReplicaId).collect(),
             group_leaders,
             retiring: answer.retiring,
-            quarantined: answer
-                .quarantine
-                .map_or_else(|| old.quarantined.clone(), |q| Arc::new(Quarantined::read(&q))),
+            quarantine_list: answer.quarantine.map_or_else(
+                || old.quarantine_list.clone(),
+                |q| Arc::new(QuarantineList::read(&q)),
+            ),
         };
         if view.zones_out != old.zones_out {
             let zones = view.zones_out.join(",");
-            log::info!(zones = zones.as_str(); "zones that are out have changed");
+            log::info!(zones = zones.as_str(); "zones out of service changed");
         }
         self.view.store(Arc::new(view));
         let length =
             Duration::from_millis(answer.lease_ms).min(control::lease_length(&self.settings));
         let until = asked_at + length;
         if self.lease_left().is_none() {
-            log::info!("the lease holds");
+            log::info!("lease acquired");
         }
         self.lease_until_us.fetch_max(until.as_micros() as u64, Ordering::AcqRel);
         self.changed.send_modify(|n| *n += 1);
@@ -394,18 +401,20 @@
         old: &View,
         published: Option<peer::Published>,
     ) -> Option<Arc<Publication>> {
-        let held = old.publication.clone();
-        let held_version = held.as_ref().map_or(0, |p| p.version);
-        let Some(published) = published.filter(|p| p.version > held_version) else { return held };
+        let current = old.publication.clone();
+        let held_version = current.as_ref().map_or(0, |p| p.version);
+        let Some(published) = published.filter(|p| p.version > held_version) else {
+            return current;
+        };
         let version = published.version;
-        match control::read_publication(&*self.dialect, version, &published.body) {
+        match control::read_publication(&*self.protocol, version, &published.body) {
             Ok(publication) => {
-                log::info!(version, before = held_version; "publication in force");
+                log::info!(version, before = held_version; "new publication in force");
                 Some(Arc::new(publication))
             }
             Err(error) => {
-                log::error!(version, error = error.as_str(); "cannot read the publication");
-                held
+                log::error!(version, error = error.as_str(); "cannot parse the publication");
+                current
             }
         }
     }
--- a/crates/relay/src/front/programs.rs
+++ b/crates/relay/src/front/programs.rs
@@ -1,15 +1,15 @@
-//! Begins and ends turns at the stores.
+//! Begins and ends turns of programs at the stores.
 //!
-//! Each program belongs to one group of stores, whose leader begins and ends its turns. A program may
-//! go on from a turn of another one, so a turn that its own group does not know is looked for in all
-//! others before the caller is told that there is none.
+//! Each program belongs to one store group, whose leader begins and ends its turns. A program may
+//! continue a turn of another program, so a turn that is unknown to the program's own group is
+//! looked up in all other groups before the call is refused.
 //!
-//! A turn whose tokens are counted begins with a reservation that the stores have committed. A turn
-//! that continues a kept one gets its history from the front's own memory, or from the stores. A kept
-//! turn waits for its commit, because its caller may continue from it at once; what other turns have
-//! used is settled in the background.
+//! A turn with a token budget starts with a committed reservation. A turn that continues a kept one
+//! gets the history from the front's cache or from the stores. A kept turn is committed before the
+//! response ends, because the caller may continue it immediately. Reservations of other turns are
+//! settled in the background.
 
-mod histories;
+mod history_cache;
 
 use std::{
     net::SocketAddr,
@@ -31,21 +31,21 @@
 };
 
 use super::refusal::Refusal;
-use crate::{fleet::Fleet, groups::group_of};
-use histories::Histories;
+use crate::{fleet_client::FleetClient, groups::group_of};
+use history_cache::HistoryCache;
 
-/// Longest wait for an answer of one store before another is asked.
+/// Timeout of a call to one store, after which another is asked.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-const RETRY: Duration = Duration::from_millis(40);
-/// A store that has too many calls is left alone for this long.
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
+/// Pause after a store has refused a call because of overload.
 const OVERLOAD_PAUSE: Duration = Duration::from_millis(150);
-/// Reservations that may wait to be settled; more stay reserved.
+/// Maximum number of queued settlements. The tokens of further ones stay reserved.
 const MAX_UNSETTLED: usize = 4_096;
-/// Time in which ends are collected into one call.
-const BATCH_TIME: Duration = Duration::from_millis(50);
+/// Time in which settlements are collected into a batch.
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 const MAX_BATCH: usize = 256;
-const COME_BACK: Duration = Duration::from_millis(300);
-/// A turn, as the stores know it.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Identifies a turn in the stores.
 #[derive(Clone, Debug)]
 pub(crate) struct TurnName {
     pub(crate) team: Name,
@@ -53,58 +53,58 @@
     pub(crate) turn: Name,
 }
 
-/// What a turn needs before it may run.
-pub(crate) struct TurnNeeds<'a> {
-    /// Most tokens that it may generate.
+/// Conditions under which a turn may begin.
+pub(crate) struct TurnRequirements<'a> {
+    /// Maximum number of tokens that the turn may generate.
     pub(crate) most: u64,
-    /// Tokens that all turns of the program may generate; none for no limit.
+    /// Maximum number of tokens for all turns of the program; `None` for no limit.
     pub(crate) budget: Option<u64>,
-    /// Kept turn that it continues.
+    /// The kept turn that this one continues.
     pub(crate) previous: Option<&'a Name>,
-    /// When its caller gives up.
+    /// When the caller stops waiting.
     pub(crate) deadline: Instant,
 }
 
-/// Access to the stores.
+/// Client of the stores.
 pub(crate) struct Programs {
-    fleet: Arc<Fleet>,
+    fleet: Arc<FleetClient>,
     client: PeerClient,
     clock: Arc<dyn Clock>,
-    /// For each group, the store that answered last as the leader.
+    /// For each group, the store that last answered as the leader.
     leaders: Mutex<Vec<Option<SocketAddr>>>,
-    histories: Mutex<Histories>,
-    ends: mpsc::Sender<Unsettled>,
+    history_cache: Mutex<HistoryCache>,
+    ends: mpsc::Sender<PendingSettlement>,
 }
 
-/// The end of a turn, on its way to the group of its program.
-struct Unsettled {
+/// The end of a turn, queued for the group of its program.
+struct PendingSettlement {
     group: u32,
     end: peer::TurnEnd,
 }
 
-/// Settles what programs have used, in the background.
+/// Background task that settles reservations.
 pub(crate) struct Settler {
     programs: Arc<Programs>,
-    rx: mpsc::Receiver<Unsettled>,
+    rx: mpsc::Receiver<PendingSettlement>,
 }
 
-/// A turn that has begun. Dropping it settles what it has used.
+/// A turn that has begun. Dropping it settles its reservation.
 pub(crate) struct OpenTurn {
     name: TurnName,
     programs: Arc<Programs>,
-    /// The group of its program.
+    /// Group of the program.
     group: u32,
-    /// Whether tokens are reserved that are not settled.
+    /// Whether there is an unsettled reservation.
     is_reserved: bool,
-    /// Whether the turn that it continues is kept by another group.
-    is_from_elsewhere: bool,
-    /// Tokens handed to the caller.
+    /// Whether the turn that this one continues belongs to another group.
+    continues_other_group: bool,
+    /// Tokens passed on to the caller.
     pub(crate) used: u64,
 }
 
 impl Programs {
     pub(crate) fn new(
-        fleet: Arc<Fleet>,
+        fleet: Arc<FleetClient>,
         client: PeerClient,
         clock: Arc<dyn Clock>,
     ) -> (Arc<Self>, Settler) {
@@ -114,29 +114,31 @@
             client,
             clock,
             leaders: Mutex::default(),
-            histories: Mutex::default(),
+            history_cache: Mutex::default(),
             ends,
         });
         (programs.clone(), Settler { programs, rx })
     }
 
-    /// Begins a turn; returns the inputs and outputs of the turns before it.
+    /// Begins a turn and returns the inputs and outputs of the turns before it.
     pub(crate) async fn begin(
         self: &Arc<Self>,
         name: &TurnName,
-        needs: TurnNeeds<'_>,
+        needs: TurnRequirements<'_>,
     ) -> Result<(OpenTurn, Bytes), Refusal> {
         let groups = self.groups(needs.deadline).await?;
-        // Made first, so that a caller who leaves while the reservation is under way has it settled.
+        // Created before the reservation is requested, so that the reservation is settled if the
+        // caller disconnects meanwhile.
         let mut open = OpenTurn {
             name: name.clone(),
             programs: self.clone(),
             group: group_of(&name.team, &name.program, groups),
             is_reserved: needs.budget.is_some(),
-            is_from_elsewhere: false,
+            continues_other_group: false,
             used: 0,
         };
-        let known = needs.previous.and_then(|p| self.histories().get(open.group, &name.team, p));
+        let known =
+            needs.previous.and_then(|p| self.history_cache().get(open.group, &name.team, p));
         let unread = needs.previous.filter(|_| known.is_none());
         if needs.budget.is_none() && unread.is_none() {
             return Ok((open, known.unwrap_or_default()));
@@ -153,12 +155,13 @@
         };
         let mut begun = self.begin_at(&begin, needs.deadline).await?;
         if begun.verdict() == TurnVerdict::UnknownTurn {
-            let Some(history) = self.find_elsewhere(&begin, groups, needs.deadline).await? else {
+            let Some(history) = self.find_in_other_groups(&begin, groups, needs.deadline).await?
+            else {
                 open.is_reserved = false;
                 let message = "the team has no such turn";
                 return Err(Refusal::new(StatusCode::NOT_FOUND, "unknown_turn", message));
             };
-            open.is_from_elsewhere = true;
+            open.continues_other_group = true;
             begin.previous = None;
             begun = self.begin_at(&begin, needs.deadline).await?;
             begun.history = history;
@@ -171,12 +174,12 @@
                 Err(Refusal::new(StatusCode::PAYMENT_REQUIRED, "budget_spent", message))
             }
             TurnVerdict::UnknownTurn | TurnVerdict::Unspecified => {
-                Err(stores_away("the stores gave no verdict"))
+                Err(stores_unavailable("the stores gave no verdict"))
             }
         }
     }
 
-    /// Number of groups. Waits for it while a new fleet forms them.
+    /// Number of groups. Waits while a new fleet forms them.
     async fn groups(&self, deadline: Instant) -> Result<u32, Refusal> {
         let mut changes = self.fleet.subscribe();
         loop {
@@ -184,9 +187,9 @@
             if groups > 0 {
                 return Ok(groups);
             }
-            // Fails only at the end of the process.
+            // The channel is only closed at the end of the process.
             if !matches!(timeout_at(deadline, changes.changed()).await, Ok(Ok(()))) {
-                return Err(stores_away("the stores have not formed groups yet"));
+                return Err(stores_unavailable("the stores have not formed groups yet"));
             }
         }
     }
@@ -199,13 +202,13 @@
         let body = || request::Body::TurnBegin(begin.clone());
         match self.call(begin.group, body, deadline).await {
             Some(response::Body::TurnBegun(begun)) => Ok(begun),
-            _ => Err(stores_away("the stores do not answer")),
+            _ => Err(stores_unavailable("the stores do not answer")),
         }
     }
 
-    /// Looks for the turn that `begin` continues in the groups that it does not belong to. Returns
-    /// none if all of them say that there is no such turn.
-    async fn find_elsewhere(
+    /// Looks up the turn that `begin` continues in all other groups. Returns `None` if every group
+    /// reports that it does not have the turn.
+    async fn find_in_other_groups(
         &self,
         begin: &peer::TurnBegin,
         groups: u32,
@@ -215,42 +218,42 @@
             let read = peer::TurnBegin { group, budget: None, least: 0, ..begin.clone() };
             self.begin_at(&read, deadline).await
         };
-        let mut is_unsure = None;
+        let mut unanswered = None;
         for answer in join_all((0..groups).filter(|g| *g != begin.group).map(ask)).await {
             match answer {
                 Ok(begun) if begun.verdict() == TurnVerdict::Granted => {
                     return Ok(Some(begun.history));
                 }
                 Ok(_) => {}
-                Err(refusal) => is_unsure = Some(refusal),
+                Err(refusal) => unanswered = Some(refusal),
             }
         }
-        is_unsure.map_or(Ok(None), Err)
+        unanswered.map_or(Ok(None), Err)
     }
 
-    fn histories(&self) -> MutexGuard<'_, Histories> {
-        self.histories.lock().expect("no panic while locked")
+    fn history_cache(&self) -> MutexGuard<'_, HistoryCache> {
+        self.history_cache.lock().expect("no panic while locked")
     }
 
-    fn settle(&self, end: Unsettled) {
+    fn settle(&self, end: PendingSettlement) {
         if let Err(e) = self.ends.try_send(end) {
             let program = e.into_inner().end.program;
-            log::warn!(program = program.as_str(); "too much waits to be settled; tokens stay reserved");
+            log::warn!(program = program.as_str(); "settlement queue is full; tokens stay reserved");
             metrics::counter!("poplarspan_relay_unsettled_total").increment(1);
         }
     }
 
-    /// Calls the leader of a group of stores, whichever it is, until `deadline`.
+    /// Calls the leader of a store group, retrying until `deadline`.
     async fn call(
         &self,
         group: u32,
         body: impl Fn() -> request::Body,
         deadline: Instant,
     ) -> Option<response::Body> {
-        let mut turn = 0;
+        let mut attempt = 0;
         while Instant::now() < deadline {
-            let Some(address) = self.candidate(group, turn) else {
-                sleep(RETRY).await;
+            let Some(address) = self.candidate(group, attempt) else {
+                sleep(RETRY_PAUSE).await;
                 continue;
             };
             let call = self.client.call(address, body(), CALL_TIMEOUT);
@@ -260,14 +263,14 @@
                     return Some(answer);
                 }
                 Ok(Err(CallError::Failed(failure))) => {
-                    turn += usize::from(self.note_failure(group, address, &failure));
+                    attempt += usize::from(self.note_failure(group, address, &failure));
                     let is_busy = failure.code() == FailureCode::Unavailable;
-                    sleep(if is_busy { OVERLOAD_PAUSE } else { RETRY }).await;
+                    sleep(if is_busy { OVERLOAD_PAUSE } else { RETRY_PAUSE }).await;
                 }
                 Ok(Err(_)) => {
                     self.set_leader(group, None);
-                    turn += 1;
-                    sleep(RETRY).await;
+                    attempt += 1;
+                    sleep(RETRY_PAUSE).await;
                 }
                 Err(_) => break,
             }
@@ -276,7 +279,7 @@
         None
     }
 
-    /// Takes note of a store that cannot carry out a call. Returns whether another one is next.
+    /// Records the failure of a call. Returns whether to try another store next.
     fn note_failure(&self, group: u32, address: SocketAddr, failure: &peer::Failure) -> bool {
         if failure.code() == FailureCode::Unavailable {
             return false;
@@ -295,21 +298,21 @@
         leaders[at] = leader;
     }
 
-    /// The store that is asked in the attempt `turn` for the leader of a group.
-    fn candidate(&self, group: u32, turn: usize) -> Option<SocketAddr> {
+    /// The store to ask for the leader of `group` in the given attempt.
+    fn candidate(&self, group: u32, attempt: usize) -> Option<SocketAddr> {
         let leaders = self.leaders.lock().expect("no panic while locked");
         let known = leaders.get(group as usize).copied().flatten();
         let view = self.fleet.view();
-        let told = || view.group_leaders.get(group as usize).copied().flatten();
-        let any = || view.stores.get(turn % view.stores.len().max(1)).copied();
-        known.or_else(|| told().filter(|_| turn == 0)).or_else(any)
+        let reported = || view.group_leaders.get(group as usize).copied().flatten();
+        let any = || view.stores.get(attempt % view.stores.len().max(1)).copied();
+        known.or_else(|| reported().filter(|_| attempt == 0)).or_else(any)
     }
 }
 
-/// A turn that is to be kept.
+/// A turn to be kept.
 pub(crate) struct KeptTurn {
     pub(crate) previous: Option<Name>,
-    /// Inputs and outputs of the turns before.
+    /// Inputs and outputs of the turns before it.
     pub(crate) history: Bytes,
     pub(crate) input: Bytes,
     pub(crate) output: Bytes,
@@ -317,7 +320,7 @@
 }
 
 impl OpenTurn {
-    fn end(&self) -> Unsettled {
+    fn end(&self) -> PendingSettlement {
         let end = peer::TurnEnd {
             team: self.name.team.to_string(),
             program: self.name.program.to_string(),
@@ -325,17 +328,18 @@
             used: self.used,
             kept: None,
         };
-        Unsettled { group: self.group, end }
+        PendingSettlement { group: self.group, end }
     }
 
-    /// Keeps the turn; returns once it is durable.
+    /// Keeps the turn and returns once it is durable.
     ///
-    /// Fails when the stores do not answer in time; the turn may be kept all the same.
+    /// Fails if the stores do not answer in time. The turn may have been kept nevertheless.
     pub(crate) async fn keep(&mut self, kept: KeptTurn, deadline: Instant) -> Result<(), Refusal> {
         let name = self.name.clone();
-        let Unsettled { group, mut end } = self.end();
-        // The group does not hold the turns before, so this one is kept with all of them.
-        let (previous, input) = if self.is_from_elsewhere {
+        let PendingSettlement { group, mut end } = self.end();
+        // The group does not have the previous turns, so their history becomes part of this turn's
+        // input.
+        let (previous, input) = if self.continues_other_group {
             (None, concat(&[&kept.history, &kept.input]))
         } else {
             (kept.previous.map(|p| p.to_string()), kept.input.clone())
@@ -351,9 +355,9 @@
         match self.programs.call(group, body, deadline).await {
             Some(response::Body::TurnsEnded(_)) => {
                 self.is_reserved = false;
-                let whole = concat(&[&kept.history, &kept.input, &kept.output]);
+                let combined = concat(&[&kept.history, &kept.input, &kept.output]);
                 let now = self.programs.clock.now();
-                self.programs.histories().put(group, &name.team, &name.turn, whole, now);
+                self.programs.history_cache().put(group, &name.team, &name.turn, combined, now);
                 Ok(())
             }
             _ => {
@@ -373,45 +377,45 @@
 }
 
 impl Settler {
-    /// Settles until the task is ended. Each group has one call under way at a time, so that a group
-    /// without a leader holds up no other.
+    /// Settles reservations until the task is cancelled. Each group has at most one call in flight,
+    /// so that a group without a leader does not delay the others.
     pub(crate) async fn run(mut self) -> Result<()> {
         // Sorted by group.
-        let mut waiting: Vec<(u32, Vec<peer::TurnEnd>)> = Vec::new();
+        let mut pending: Vec<(u32, Vec<peer::TurnEnd>)> = Vec::new();
         let mut busy: Vec<u32> = Vec::new();
         let mut calls = FuturesUnordered::new();
-        let mut batches = interval(BATCH_TIME);
+        let mut batches = interval(BATCH_INTERVAL);
         batches.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                end = self.rx.recv(), if count(&waiting) < MAX_UNSETTLED => {
-                    let Some(Unsettled { group, end }) = end else { return Ok(()) };
-                    match waiting.binary_search_by_key(&group, |(g, _)| *g) {
-                        Ok(at) => waiting[at].1.push(end),
-                        Err(at) => waiting.insert(at, (group, vec![end])),
+                end = self.rx.recv(), if count(&pending) < MAX_UNSETTLED => {
+                    let Some(PendingSettlement { group, end }) = end else { return Ok(()) };
+                    match pending.binary_search_by_key(&group, |(g, _)| *g) {
+                        Ok(at) => pending[at].1.push(end),
+                        Err(at) => pending.insert(at, (group, vec![end])),
                     }
                 }
                 Some(group) = calls.next() => busy.retain(|g| *g != group),
-                _ = batches.tick(), if !waiting.is_empty() => {
-                    for (group, ends) in &mut waiting {
+                _ = batches.tick(), if !pending.is_empty() => {
+                    for (group, ends) in &mut pending {
                         if !busy.contains(group) {
                             busy.push(*group);
                             let batch = ends.drain(..ends.len().min(MAX_BATCH)).collect();
                             calls.push(settle(self.programs.clone(), *group, batch));
                         }
                     }
-                    waiting.retain(|(_, ends)| !ends.is_empty());
+                    pending.retain(|(_, ends)| !ends.is_empty());
                 }
             }
         }
     }
 }
 
-fn count(waiting: &[(u32, Vec<peer::TurnEnd>)]) -> usize {
-    waiting.iter().map(|(_, ends)| ends.len()).sum()
+fn count(pending: &[(u32, Vec<peer::TurnEnd>)]) -> usize {
+    pending.iter().map(|(_, ends)| ends.len()).sum()
 }
 
-/// Repeats a call until it is committed: what is not settled counts against the programs.
+/// Retries until the batch is committed, because unsettled reservations count against the budgets.
 async fn settle(programs: Arc<Programs>, group: u32, ends: Vec<peer::TurnEnd>) -> u32 {
     let body = || request::Body::TurnEnds(peer::TurnEnds { ends: ends.clone(), group });
     while programs.call(group, body, Instant::now() + 4 * CALL_TIMEOUT).await.is_none() {}
@@ -419,13 +423,13 @@
 }
 
 fn concat(parts: &[&Bytes]) -> Bytes {
-    let mut whole = BytesMut::with_capacity(parts.iter().map(|p| p.len()).sum());
+    let mut combined = BytesMut::with_capacity(parts.iter().map(|p| p.len()).sum());
     for part in parts {
-        whole.extend_from_slice(part);
+        combined.extend_from_slice(part);
     }
-    whole.freeze()
+    combined.freeze()
 }
 
-fn stores_away(message: &'static str) -> Refusal {
-    Refusal::not_now("stores_away", message, COME_BACK)
+fn stores_unavailable(message: &'static str) -> Refusal {
+    Refusal::retry_later("stores_away", message, RETRY_AFTER)
 }
--- a/crates/relay/src/replica/mod.rs
+++ b/crates/relay/src/replica/mod.rs
@@ -1,14 +1,14 @@
-//! Replicas of groups that form, grow and replace their members by themselves.
+//! Replicas of groups that form, grow and replace members on their own.
 //!
-//! The number of a replica names its machine and a random part, which is drawn with each new data
-//! folder: a replica whose disk was lost comes back under a new number and never votes again under
-//! the old one. Founders of the control group have the random part 0, so that all of them know the
-//! first voters. The replicas of all groups on a machine have the same number.
+//! The id of a replica contains the address of its machine and a random part that is drawn for each
+//! new data folder. A replica that lost its disk therefore returns with a new id and never votes
+//! under the old one. The bootstrap members of the control group have 0 as the random part, so that
+//! all of them know the initial voters. All replicas on a machine have the same id in every group.
 //!
-//! Owner of the state: the folder, and the replicated logs in it. The requests to join that a
-//! leader has seen are lost with it and repeated by those who made them.
+//! The durable state is the folder with the replicated logs. Join requests are only kept in the
+//! leader's memory; replicas repeat them.
 
-pub(crate) mod plan;
+pub(crate) mod membership;
 
 use std::{
     fs,
@@ -33,29 +33,30 @@
 use poplarspan_proto::peer::{self, FailureCode, request, response};
 use tokio::time::{Instant, sleep};
 
-use plan::{Members, Step, TARGET_VOTERS, machine};
+use membership::{Members, MembershipChange, TARGET_VOTERS, machine};
 
-/// A request to join counts for this long; it is repeated more often.
-const JOIN_COUNTS: Duration = Duration::from_secs(5);
+/// How long a join request is valid. Replicas repeat it more often than that.
+const JOIN_REQUEST_TTL: Duration = Duration::from_secs(5);
 const JOIN_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between two requests to join a group that is complete.
-const SPARE_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between join requests to a group that has all its voters.
+const SPARE_JOIN_INTERVAL: Duration = Duration::from_secs(2);
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// A replica that has heard of no leader for this long asks whether it is still a member.
-const LEADERLESS: Duration = Duration::from_millis(1_000);
-const PLAN_INTERVAL: Duration = Duration::from_millis(150);
-/// A learner that lags behind is not tried again for this long.
-const LAG_PAUSE: Duration = Duration::from_millis(300);
-/// Pause before a start that a full disk holds up goes on.
-const ROOM_PAUSE: Duration = Duration::from_millis(200);
-/// Zeros written ahead of the log; the disks of control replicas are small.
+/// A replica that has had no leader for this long asks to join, because it may have been removed.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(1_000);
+const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(150);
+/// Pause before the next promotion attempt for a lagging learner.
+const LAGGING_PAUSE: Duration = Duration::from_millis(300);
+/// Pause before the next attempt to start while the disk is full.
+const DISK_FULL_PAUSE: Duration = Duration::from_millis(200);
+/// Bytes of zeros written ahead of the log. Kept small because the disks of control replicas are
+/// small.
 const PREALLOCATE_BYTES: usize = 256 * 1024;
 const SEGMENT_BYTES: u64 = 8 << 20;
 
-/// Timing of the replicated log. The heartbeat costs each replica a message to each other one, and
-/// the election timeout is what a lost leader costs; both are short against the bounds for
-/// acknowledging an order.
-fn timing(clock: Arc<dyn Clock>) -> NodeConfig {
+/// Timing of the replicated log. Each heartbeat costs a message to every other replica, and the
+/// election timeout bounds the outage after the loss of a leader. Both are short compared with the
+/// time limits for acknowledging an operator's request.
+fn node_config(clock: Arc<dyn Clock>) -> NodeConfig {
     NodeConfig {
         clock,
         tick_interval: Duration::from_millis(20),
@@ -67,35 +68,35 @@
     }
 }
 
-/// A data folder, made ready for a replica.
-pub(crate) struct Folder {
+/// A data folder that is ready for a replica.
+pub(crate) struct ReplicaFolder {
     dir: DataDir,
 }
 
-impl Folder {
-    /// Opens the folder. One that holds no identity has never voted; it is cleared, and gets the
-    /// number of a founder, or a new one. Blocks.
-    pub(crate) fn open(path: &Path, ip: Ipv4Addr, is_founder: bool) -> Result<Self> {
+impl ReplicaFolder {
+    /// Opens the folder. A folder without an identity has never voted: it is cleared and gets the
+    /// id of a bootstrap member or a new random one. Blocks.
+    pub(crate) fn open(path: &Path, ip: Ipv4Addr, is_bootstrap_member: bool) -> Result<Self> {
         let dir = match DataDir::open(path) {
             Err(IdentityError::Missing(_)) => {
-                let nonce = if is_founder { 0 } else { rand::random_range(1..=u32::MAX) };
+                let nonce = if is_bootstrap_member { 0 } else { rand::random_range(1..=u32::MAX) };
                 clear(path).with_context(|| format!("cannot clear {}", path.display()))?;
-                DataDir::init(path, number(ip, nonce))
+                DataDir::init(path, replica_id(ip, nonce))
             }
             opened => opened,
         };
         Ok(Self { dir: dir.context("cannot open the data folder")? })
     }
 
-    /// As [`Folder::open`], but waits while the disk takes no more bytes.
-    pub(crate) async fn open_with_room(
+    /// Like [`ReplicaFolder::open`], but waits while the disk is full.
+    pub(crate) async fn open_when_space(
         path: &Path,
         ip: Ipv4Addr,
-        is_founder: bool,
+        is_bootstrap_member: bool,
     ) -> Result<Self> {
         loop {
-            match Self::open(path, ip, is_founder) {
-                Err(e) if is_refusal(&e) => wait_for_room(&e).await,
+            match Self::open(path, ip, is_bootstrap_member) {
+                Err(e) if is_disk_full_error(&e) => wait_for_disk_space(&e).await,
                 opened => return opened,
             }
         }
@@ -105,7 +106,7 @@
         self.dir.replica()
     }
 
-    /// Whether the replica has never been part of a group.
+    /// Whether the replica has never been a member of a group.
     pub(crate) fn is_new(&self) -> bool {
         !self.ready_file().exists()
     }
@@ -118,7 +119,7 @@
         self.dir.log_folder().with_file_name(READY_FILE)
     }
 
-    /// Number of groups whose logs the folder holds. None if it is new.
+    /// Number of groups whose logs the folder holds, or `None` if it is new.
     pub(crate) fn groups(&self) -> Result<Option<u32>> {
         if self.is_new() {
             return Ok(None);
@@ -127,21 +128,21 @@
         let text = fs::read_to_string(&path);
         let text = text.with_context(|| format!("cannot read {}", path.display()))?;
         let groups = text.trim().parse();
-        groups.map(Some).with_context(|| format!("{} holds no number", path.display()))
+        groups.map(Some).with_context(|| format!("{} does not contain a number", path.display()))
     }
 
-    /// As [`Folder::log`], but waits while the disk takes no more bytes.
-    async fn log_with_room(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
+    /// Like [`ReplicaFolder::open_log`], but waits while the disk is full.
+    async fn open_log_when_space(&self, initial_voters: &[Vec<ReplicaId>]) -> Result<FileStore> {
         loop {
-            match self.log(founders).await {
-                Err(e) if is_refusal(&e) => wait_for_room(&e).await,
+            match self.open_log(initial_voters).await {
+                Err(e) if is_disk_full_error(&e) => wait_for_disk_space(&e).await,
                 opened => return opened,
             }
         }
     }
 
-    /// Opens the log; a new one gets the first voters of each group.
-    async fn log(&self, founders: &[Vec<ReplicaId>]) -> Result<FileStore> {
+    /// Opens the log. A new one is initialized with the initial voters of each group.
+    async fn open_log(&self, initial_voters: &[Vec<ReplicaId>]) -> Result<FileStore> {
         let folder = self.dir.log_folder();
         let options =
             StoreOptions { segment_bytes: SEGMENT_BYTES, preallocate_bytes: PREALLOCATE_BYTES };
@@ -151,58 +152,60 @@
         }
         let store = FileStore::open(&folder, options).context("cannot open the log")?;
         if self.is_new() {
-            let founded: Vec<_> = group_ids()
-                .zip(founders.iter().cloned())
+            let new_groups: Vec<_> = group_ids()
+                .zip(initial_voters.iter().cloned())
                 .filter(|(_, voters)| voters.contains(&self.replica()))
                 .collect();
-            if !founded.is_empty() && store.load().await?.is_empty() {
-                init_groups(&store, founded).await?;
+            if !new_groups.is_empty() && store.load().await?.is_empty() {
+                init_groups(&store, new_groups).await?;
             }
-            // Synced before the folder is ready, so that it is whole whenever the folder is.
+            // The groups file is synced before the ready file is created, so it is complete
+            // whenever the latter exists.
             let mut f = fs::File::create(self.groups_file())?;
-            write!(f, "{}", founders.len())?;
+            write!(f, "{}", initial_voters.len())?;
             f.sync_all()?;
             let ready = self.ready_file();
             fs::File::create(&ready)?.sync_all()?;
-            fs::File::open(ready.parent().context("a file in the data folder")?)?.sync_all()?;
+            fs::File::open(ready.parent().context("ready file has no parent folder")?)?
+                .sync_all()?;
         }
         Ok(store)
     }
 }
 
-/// Whether a disk took no more bytes.
-fn is_refusal(e: &anyhow::Error) -> bool {
+/// Whether an error was caused by a full disk.
+fn is_disk_full_error(e: &anyhow::Error) -> bool {
     e.chain().any(|cause| {
         cause.downcast_ref().is_some_and(is_disk_full)
             || cause.downcast_ref().is_some_and(StoreError::is_disk_full)
     })
 }
 
-async fn wait_for_room(e: &anyhow::Error) {
+async fn wait_for_disk_space(e: &anyhow::Error) {
     let error = format!("{e:#}");
-    log::error!(error = error.as_str(); "the disk takes no more bytes; the start waits");
+    log::error!(error = error.as_str(); "disk is full; waiting to start");
     metrics::gauge!("poplarspan_store_disk_refuses").set(1.0);
-    sleep(ROOM_PAUSE).await;
+    sleep(DISK_FULL_PAUSE).await;
 }
 
-/// Exists once the log has been created as a whole.
+/// Marker file that exists once the log has been completely created.
 const READY_FILE: &str = "ready";
-/// Holds the number of groups in the log.
+/// File with the number of groups in the log.
 const GROUPS_FILE: &str = "groups";
 
-/// What a group starts from.
+/// Initial state of a group.
 pub(crate) struct GroupStart {
-    /// First voters of a new group; empty if this replica is none of them.
-    pub(crate) founders: Vec<ReplicaId>,
+    /// Initial voters of a new group. May be empty if this replica is not one of them.
+    pub(crate) initial_voters: Vec<ReplicaId>,
     pub(crate) state: Box<dyn StateMachine>,
 }
 
-/// Numbers of the groups of a folder, which are their places.
+/// Ids of the groups of a folder, in order.
 fn group_ids() -> impl Iterator<Item = GroupId> {
     (0..).map(GroupId)
 }
 
-/// Removes what is in a folder, as far as it exists.
+/// Removes the contents of a folder, if it exists.
 fn clear(path: &Path) -> Result<()> {
     let Ok(items) = fs::read_dir(path) else { return Ok(()) };
     for item in items {
@@ -216,13 +219,14 @@
     Ok(())
 }
 
-/// Number of the founder on a machine.
-pub(crate) fn founder(ip: Ipv4Addr) -> ReplicaId {
-    number(ip, 0)
+/// Id of the bootstrap member on a machine.
+pub(crate) fn bootstrap_id(ip: Ipv4Addr) -> ReplicaId {
+    replica_id(ip, 0)
 }
 
-/// Number of a replica on a machine; `nonce` is 0 for founders, and random for all others.
-pub fn number(ip: Ipv4Addr, nonce: u32) -> ReplicaId {
+/// Id of a replica on a machine. `nonce` is 0 for the bootstrap members of the control group and
+/// random for all others.
+pub fn replica_id(ip: Ipv4Addr, nonce: u32) -> ReplicaId {
     ReplicaId(u64::from(u32::from(ip)) << 32 | u64::from(nonce))
 }
 
@@ -233,34 +237,34 @@
     peer_port: u16,
     node: Arc<Node>,
     handle: GroupHandle,
-    /// With the time of the last request.
+    /// Replicas that asked to join, with the time of their last request.
     joining: Mutex<Vec<(ReplicaId, Instant)>>,
-    wishes: Mutex<Wishes>,
-    /// Keeps the folder locked.
+    goals: Mutex<MembershipGoals>,
+    /// Holds the lock on the folder.
     _dir: Arc<DataDir>,
 }
 
-/// How the members of a group should change.
+/// Desired membership of a group.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Wishes {
-    /// Replicas that are to be removed.
-    pub(crate) leaving: Vec<ReplicaId>,
+pub(crate) struct MembershipGoals {
+    /// Replicas to be removed.
+    pub(crate) retiring: Vec<ReplicaId>,
     /// Machine whose replica should lead.
-    pub(crate) home: Option<Ipv4Addr>,
+    pub(crate) preferred_leader: Option<Ipv4Addr>,
 }
 
 impl Replica {
-    /// Starts the replicas of all groups of a folder. All members listen on `peer_port`.
+    /// Starts the replicas of all groups in a folder. All members listen on `peer_port`.
     pub(crate) async fn start(
-        folder: Folder,
+        folder: ReplicaFolder,
         groups: Vec<GroupStart>,
         peer_port: u16,
         client: PeerClient,
         clock: Arc<dyn Clock>,
     ) -> Result<Vec<Arc<Self>>> {
-        let (founders, states): (Vec<_>, Vec<_>) =
-            groups.into_iter().map(|g| (g.founders, g.state)).unzip();
-        let store = folder.log_with_room(&founders).await?;
+        let (initial_voters, states): (Vec<_>, Vec<_>) =
+            groups.into_iter().map(|g| (g.initial_voters, g.state)).unzip();
+        let store = folder.open_log_when_space(&initial_voters).await?;
         metrics::gauge!("poplarspan_store_disk_refuses").set(0.0);
         let id = folder.replica();
         let find: FindReplica =
@@ -268,14 +272,14 @@
         let transport = AgreementTransport::new(id, folder.dir.folder(), None, client, find);
         let mut builder = Node::builder(id, Box::new(store), transport)
             .peers(folder.dir.peers()?)
-            .config(timing(clock));
+            .config(node_config(clock));
         for (id, state) in group_ids().zip(states) {
             builder = builder.group(id, state);
         }
         let node = Arc::new(builder.start().await.context("cannot start the replicated log")?);
         let dir = Arc::new(folder.dir);
         let replica = |group| {
-            let handle = node.group(group).context("the group that was just added")?;
+            let handle = node.group(group).context("group is missing from the node")?;
             Ok(Arc::new(Self {
                 id,
                 group,
@@ -283,36 +287,36 @@
                 node: node.clone(),
                 handle,
                 joining: Mutex::default(),
-                wishes: Mutex::default(),
+                goals: Mutex::default(),
                 _dir: dir.clone(),
             }))
         };
-        group_ids().take(founders.len()).map(replica).collect()
+        group_ids().take(initial_voters.len()).map(replica).collect()
     }
 
-    /// Number of the group.
     pub(crate) fn group(&self) -> u32 {
         self.group.0
     }
 
-    /// Whether this replica leads, as of the last tick, and in which term.
+    /// The term in which this replica leads, as of the last tick. `None` if it does not lead or its
+    /// lease has expired.
     pub(crate) fn leads(&self) -> Option<u64> {
         let view = *self.handle.watch().borrow();
         (view.role == Role::Leader && view.lease).then_some(view.term)
     }
 
-    /// Peer address of the leader, if another replica is known to lead.
+    /// Peer address of the leader, if it is another replica.
     pub(crate) fn leader(&self) -> Option<SocketAddr> {
         let leader = self.handle.watch().borrow().leader?;
         (leader != self.id).then(|| SocketAddr::from((machine(leader), self.peer_port)))
     }
 
-    /// Commits a command.
+    /// Commits a command and returns its result.
     pub(crate) async fn propose(&self, command: Bytes) -> Result<Bytes, ProposeError> {
         self.handle.propose(command).await
     }
 
-    /// Reads the state behind a read barrier. None when this replica does not lead.
+    /// Reads the state behind a read barrier. Returns `None` if this replica does not lead.
     pub(crate) async fn query<M: StateMachine, R: Send + 'static>(
         &self,
         f: impl FnOnce(&M) -> R + Send + 'static,
@@ -320,28 +324,28 @@
         self.handle.query(f).await.ok()
     }
 
-    /// Voters of the group, as this replica knows them.
+    /// Voters of the group as far as this replica knows.
     pub(crate) async fn voters(&self) -> Vec<ReplicaId> {
         let status = self.handle.status().await;
         status.map_or_else(Vec::new, |s| s.core.membership.voters)
     }
 
-    /// Says how the members of the group should change.
-    pub(crate) fn set_wishes(&self, wishes: Wishes) {
-        *self.wishes.lock().expect("no panic while locked") = wishes;
+    /// Sets the desired membership.
+    pub(crate) fn set_goals(&self, goals: MembershipGoals) {
+        *self.goals.lock().expect("no panic while locked") = goals;
     }
 
-    /// Transfers leadership of all groups of the folder, and stops.
+    /// Transfers leadership of all groups in the folder and stops.
     pub(crate) async fn shutdown(&self) {
         self.node.shutdown().await;
     }
 
-    /// Returns when the log has failed.
+    /// Waits until the log has failed.
     pub(crate) async fn failed(&self) -> anyhow::Error {
         self.node.failed().await.into()
     }
 
-    /// The answer to a call that only the leader can carry out.
+    /// Failure for a call that only the leader can handle.
     pub(crate) fn not_leader(&self) -> peer::Failure {
         peer::Failure {
             code: FailureCode::NotLeader.into(),
@@ -350,7 +354,7 @@
         }
     }
 
-    /// Takes note of a request to join.
+    /// Records a join request.
     pub(crate) async fn join(&self, join: peer::Join) -> Result<peer::Joined, peer::Failure> {
         if self.leads().is_none() {
             return Err(self.not_leader());
@@ -359,49 +363,49 @@
         {
             let now = Instant::now();
             let mut joining = self.joining.lock().expect("no panic while locked");
-            joining.retain(|(other, at)| *other != id && now < *at + JOIN_COUNTS);
+            joining.retain(|(other, at)| *other != id && now < *at + JOIN_REQUEST_TTL);
             joining.push((id, now));
         }
         let Some(members) = self.members(&[], Duration::ZERO).await else {
             return Err(self.not_leader());
         };
-        let complete = members.staying() >= TARGET_VOTERS;
+        let complete = members.remaining_voters() >= TARGET_VOTERS;
         Ok(peer::Joined { voter: members.voters.contains(&id), complete })
     }
 
-    /// While this replica leads: adds, promotes and removes members.
-    pub(crate) async fn run_plan(self: Arc<Self>) -> Result<()> {
+    /// Adds, promotes and removes members while this replica leads.
+    pub(crate) async fn run_membership(self: Arc<Self>) -> Result<()> {
         let mut lagging: Vec<(ReplicaId, Instant)> = Vec::new();
-        let mut led_since = None;
+        let mut leader_since = None;
         loop {
-            sleep(PLAN_INTERVAL).await;
+            sleep(MEMBERSHIP_INTERVAL).await;
             if self.leads().is_none() {
-                led_since = None;
+                leader_since = None;
                 continue;
             }
             let now = Instant::now();
             lagging.retain(|(_, until)| now < *until);
-            let led_for = now - *led_since.get_or_insert(now);
-            let Some(members) = self.members(&lagging, led_for).await else { continue };
-            let Some(step) = members.next_step() else { continue };
-            let (group, name) = (self.group.0, format!("{step:?}"));
-            match self.take(step).await {
-                Ok(()) => log::info!(group, step = name.as_str(); "change of members"),
+            let time_as_leader = now - *leader_since.get_or_insert(now);
+            let Some(members) = self.members(&lagging, time_as_leader).await else { continue };
+            let Some(change) = members.next_change() else { continue };
+            let (group, name) = (self.group.0, format!("{change:?}"));
+            match self.apply(change).await {
+                Ok(()) => log::info!(group, step = name.as_str(); "membership changed"),
                 Err(e) => {
                     let error = e.to_string();
                     log::info!(
                         group, step = name.as_str(), error = error.as_str();
-                        "change of members refused"
+                        "membership change refused"
                     );
                     if let (
-                        Step::Promote(id),
+                        MembershipChange::Promote(id),
                         ProposeError::Refused(MembershipChangeError::NotCaughtUp),
-                    ) = (step, &e)
+                    ) = (change, &e)
                     {
-                        lagging.push((id, now + LAG_PAUSE));
+                        lagging.push((id, now + LAGGING_PAUSE));
                     }
-                    // The home of the group is asked again after a while only.
-                    led_since = Some(now);
+                    // Delays the next attempt to transfer leadership to the preferred machine.
+                    leader_since = Some(now);
                 }
             }
         }
@@ -410,44 +414,44 @@
     async fn members(
         &self,
         lagging: &[(ReplicaId, Instant)],
-        led_for: Duration,
+        time_as_leader: Duration,
     ) -> Option<Members> {
         let core = self.handle.status().await?.core;
         let now = Instant::now();
-        let wishes = self.wishes.lock().expect("no panic while locked").clone();
+        let goals = self.goals.lock().expect("no panic while locked").clone();
         let joining = self.joining.lock().expect("no panic while locked");
-        let joining = joining.iter().filter(|(_, at)| now < *at + JOIN_COUNTS);
+        let joining = joining.iter().filter(|(_, at)| now < *at + JOIN_REQUEST_TTL);
         Some(Members {
-            me: self.id,
+            self_id: self.id,
             voters: core.membership.voters,
             learners: core.membership.learners,
-            silence: core.last_contact,
+            last_contact: core.last_contact,
             joining: joining.map(|(id, _)| *id).collect(),
-            leaving: wishes.leaving,
+            retiring: goals.retiring,
             lagging: lagging.iter().map(|(id, _)| *id).collect(),
-            home: wishes.home,
-            led_for,
+            preferred_leader: goals.preferred_leader,
+            time_as_leader,
         })
     }
 
-    async fn take(&self, step: Step) -> Result<(), ProposeError> {
-        match step {
-            Step::AddLearner(id) => self.handle.add_learner(id).await,
-            Step::Promote(id) => self.handle.promote_learner(id).await,
-            Step::Remove(id) => self.handle.remove_member(id).await,
-            Step::HandOver(id) => self.handle.transfer_leadership(id).await,
+    async fn apply(&self, change: MembershipChange) -> Result<(), ProposeError> {
+        match change {
+            MembershipChange::AddLearner(id) => self.handle.add_learner(id).await,
+            MembershipChange::Promote(id) => self.handle.promote_learner(id).await,
+            MembershipChange::Remove(id) => self.handle.remove_member(id).await,
+            MembershipChange::HandOver(id) => self.handle.transfer_leadership(id).await,
         }
     }
 
-    /// Asks to join the group while this replica is no voter or hears of no leader. `peers` returns
-    /// where to ask.
+    /// Asks to join the group while this replica is not a voter or has no leader. `peers` returns
+    /// the addresses to ask.
     pub(crate) async fn run_join(
         self: Arc<Self>,
         client: PeerClient,
         peers: impl Fn() -> Vec<SocketAddr>,
     ) -> Result<()> {
-        let mut heard_at = Instant::now();
-        let mut turn = 0usize;
+        let mut last_leader_at = Instant::now();
+        let mut next_peer = 0usize;
         let mut hint = None;
         let mut pause = JOIN_INTERVAL;
         loop {
@@ -455,22 +459,24 @@
             pause = JOIN_INTERVAL;
             let is_led = self.handle.watch().borrow().leader.is_some();
             if is_led {
-                heard_at = Instant::now();
+                last_leader_at = Instant::now();
             }
-            if heard_at.elapsed() < LEADERLESS && self.voters().await.contains(&self.id) {
+            if last_leader_at.elapsed() < LEADERLESS_TIMEOUT
+                && self.voters().await.contains(&self.id)
+            {
                 continue;
             }
             let me = SocketAddr::from((machine(self.id), self.peer_port));
             let peers: Vec<_> = peers().into_iter().filter(|a| *a != me).collect();
-            turn = turn.wrapping_add(1);
-            let next = || peers.get(turn % peers.len().max(1)).copied();
+            next_peer = next_peer.wrapping_add(1);
+            let next = || peers.get(next_peer % peers.len().max(1)).copied();
             let Some(address) = hint.take().or_else(next) else { continue };
             let join = peer::Join { replica: self.id.0, group: self.group.0 };
             match client.call(address, request::Body::Join(join), JOIN_TIMEOUT).await {
                 Ok(response::Body::Joined(joined)) => {
                     hint = Some(address);
                     if joined.complete {
-                        pause = SPARE_INTERVAL;
+                        pause = SPARE_JOIN_INTERVAL;
                     }
                 }
                 Err(poplarspan_node::CallError::Failed(f)) => {
@@ -481,7 +487,7 @@
         }
     }
 
-    /// Where messages of the replicated log go.
+    /// Receiver for messages of the replicated log.
     pub(crate) fn sink(&self) -> Arc<dyn AgreementSink> {
         self.node.clone()
     }
