--- a/benches/idle.rs
+++ b/benches/idle.rs
@@ -13,8 +13,8 @@
 use support::Fleet;
 use tokio::time::{Instant, sleep};
 
-const SETTLE: Duration = Duration::from_secs(4);
-const RUN: Duration = Duration::from_secs(10);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+const RUN_TIME: Duration = Duration::from_secs(10);
 /// Kernel clock ticks in a second, as `/proc/PID/stat` counts them.
 const TICKS_PER_SECOND: f64 = 100.0;
 const FLEETS: [(u64, u64); 3] = [(3, 0), (3, 2), (3, 5)];
@@ -35,7 +35,7 @@
                 fleet.add_stand_in("engine-0", "engine", &[]);
                 fleet.start_all().await;
                 fleet.publish_and_wait().await;
-                print(&fleet, "one engine").await;
+                measure(&fleet, "one engine").await;
             }
         }
         if wanted("endpoints") {
@@ -46,19 +46,19 @@
                 }
                 fleet.start_all().await;
                 fleet.publish_and_wait().await;
-                print(&fleet, &format!("{count} engines polled")).await;
+                measure(&fleet, &format!("{count} engines polled")).await;
             }
         }
         if wanted("teams") {
             for teams in TEAMS {
-                large_set(teams).await;
+                measure_large_set(teams).await;
             }
         }
     });
 }
 
 /// Publishes a large set, then the same set with one difference.
-async fn large_set(teams: u32) {
+async fn measure_large_set(teams: u32) {
     let mut fleet = Fleet::prepare(3, 2).await;
     fleet.add_stand_in("engine-0", "engine", &[]);
     fleet.start_all().await;
@@ -72,20 +72,20 @@
     }
     let before = Sample::take(&fleet);
     fleet.publish_and_wait().await;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     Sample::take(&fleet).print(&before, &fleet, &format!("first set of {teams} teams, total"));
     fleet.objects.rate = (400, 400);
     let before = Sample::take(&fleet);
     fleet.publish_and_wait().await;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     Sample::take(&fleet).print(&before, &fleet, &format!("one change at {teams} teams, total"));
-    print(&fleet, &format!("{teams} teams")).await;
+    measure(&fleet, &format!("{teams} teams")).await;
 }
 
-async fn print(fleet: &Fleet, what: &str) {
-    sleep(SETTLE).await;
+async fn measure(fleet: &Fleet, what: &str) {
+    sleep(SETTLE_TIME).await;
     let before = Sample::take(fleet);
-    sleep(RUN).await;
+    sleep(RUN_TIME).await;
     Sample::take(fleet).print(&before, fleet, what);
 }
 
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -21,7 +21,7 @@
 use support::Fleet;
 use tokio::{net::TcpStream, task::JoinSet, time::interval};
 
-const RUN: Duration = Duration::from_secs(4);
+const RUN_TIME: Duration = Duration::from_secs(4);
 const CONNECTIONS: [usize; 3] = [1, 64, 512];
 const OPEN_LOOP_RATE: u32 = 3000;
 const OPEN_LOOP_CONNECTIONS: u32 = 60;
@@ -104,8 +104,8 @@
 
 async fn open_loop(target: &Target) {
     println!("open loop, {OPEN_LOOP_RATE} calls/s on {OPEN_LOOP_CONNECTIONS} connections:");
-    let direct = paced(target.service, &target.key).await;
-    let through = paced(target.entry, &target.key).await;
+    let direct = paced_load(target.service, &target.key).await;
+    let through = paced_load(target.entry, &target.key).await;
     for (name, h) in [("direct", &direct), ("through", &through)] {
         let (p50, p99) = (micros(h, 0.5), micros(h, 0.99));
         println!("{name:>8}: {} calls, p50 {p50:.0} us, p99 {p99:.0} us", h.len());
@@ -120,7 +120,9 @@
     let sampler = tokio::spawn(peak_resident(target.instance));
     let through = stream_load(target.entry, &target.key).await;
     sampler.abort();
-    let peak = sampler.await.unwrap_or_else(|_| PEAK.load(std::sync::atomic::Ordering::Relaxed));
+    let peak = sampler
+        .await
+        .unwrap_or_else(|_| PEAK_RESIDENT_KIB.load(std::sync::atomic::Ordering::Relaxed));
     for (name, h) in [("direct", &direct), ("through", &through)] {
         let (p50, p95) = (micros(h, 0.5), micros(h, 0.95));
         println!("{name:>8}: {} gaps, p50 {p50:.0} us, p95 {p95:.0} us", h.len());
@@ -130,12 +132,12 @@
     println!("  memory: {before} KiB before, {peak} KiB at the peak, {per_stream:.1} KiB a stream");
 }
 
-static PEAK: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
+static PEAK_RESIDENT_KIB: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
 /// Notes the largest resident memory until it is aborted.
 async fn peak_resident(pid: u32) -> u64 {
     loop {
-        PEAK.fetch_max(resident_kib(pid), std::sync::atomic::Ordering::Relaxed);
+        PEAK_RESIDENT_KIB.fetch_max(resident_kib(pid), std::sync::atomic::Ordering::Relaxed);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
@@ -184,7 +186,7 @@
 
 /// As many calls as `connections` can make one after another.
 async fn load(address: SocketAddr, key: &str, connections: usize) -> Histogram<u64> {
-    let until = Instant::now() + RUN;
+    let until = Instant::now() + RUN_TIME;
     let key: Arc<str> = key.into();
     let mut workers = JoinSet::new();
     for _ in 0..connections {
@@ -203,8 +205,8 @@
 }
 
 /// Calls at a fixed rate, timed from when each was due.
-async fn paced(address: SocketAddr, key: &str) -> Histogram<u64> {
-    let until = Instant::now() + RUN;
+async fn paced_load(address: SocketAddr, key: &str) -> Histogram<u64> {
+    let until = Instant::now() + RUN_TIME;
     let key: Arc<str> = key.into();
     let mut workers = JoinSet::new();
     let period = Duration::from_secs(1) * OPEN_LOOP_CONNECTIONS / OPEN_LOOP_RATE;
@@ -274,7 +276,7 @@
 }
 
 fn rate(h: &Histogram<u64>) -> f64 {
-    h.len() as f64 / RUN.as_secs_f64()
+    h.len() as f64 / RUN_TIME.as_secs_f64()
 }
 
 /// Processor time that a process has used.
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use support::{Fleet, calls::Seen, eventually};
+use support::{Fleet, calls::CallResponse, eventually};
 
 const SERVICES: [(&str, &str, &[&str]); 2] = [
     ("orders-1", "service", &["--restart-after", "100ms", "--delay", "50ms"]),
@@ -20,17 +20,17 @@
         let key = format!("order-{fault}");
         let body = format!("{{\"fault\": \"{fault}\"}}");
         let order = |i: usize| fleet.order(i, &key, &body).header("x-standin-fault", fault);
-        let first = Seen::of(order(1).header("x-poplarspan-deadline", 1000)).await;
+        let first = CallResponse::fetch(order(1).header("x-poplarspan-deadline", 1000)).await;
         assert_eq!(first.code(), "outcome_unknown", "{fault}: {first:?}");
         assert_ne!(first.ran(), "no", "{fault}: {first:?}");
         for i in [1, 2, 0, 2] {
-            let again = Seen::of(fleet.order(i, &key, &body)).await;
+            let again = CallResponse::fetch(fleet.order(i, &key, &body)).await;
             let expected = ("outcome_unknown".to_owned(), "unknown".to_owned());
             assert_eq!(again.refusal(), expected, "{fault}: {again:?}");
         }
         eventually("the services", async || {
-            fleet.ask_stand_in(0, "/load").await.is_some()
-                && fleet.ask_stand_in(1, "/load").await.is_some()
+            fleet.try_query_stand_in(0, "/load").await.is_some()
+                && fleet.try_query_stand_in(1, "/load").await.is_some()
         })
         .await;
         assert_eq!(fleet.executions_of(&key).await, 1, "{fault}");
@@ -43,7 +43,7 @@
     let fleet = Fleet::with_stand_ins(1, &SERVICES).await;
     for i in [0, 1, 0] {
         let order = fleet.order(i, "order-1", "{}").header("x-standin-fault", "error");
-        assert_eq!(Seen::of(order).await.status, 500);
+        assert_eq!(CallResponse::fetch(order).await.status, 500);
     }
     assert_eq!(fleet.executions_of("order-1").await, 1);
 }
@@ -55,11 +55,11 @@
     let flags: &[&str] = &["--delay", "800ms"];
     let services = [("orders-1", "service", flags), ("orders-2", "service", flags)];
     let mut fleet = Fleet::with_stand_ins(1, &services).await;
-    let call = tokio::spawn(Seen::of(fleet.order(1, "during", "{}")));
+    let call = tokio::spawn(CallResponse::fetch(fleet.order(1, "during", "{}")));
     let mut at = None;
     eventually("a running order", async || {
         for i in 0..2 {
-            let load = fleet.ask_stand_in(i, "/load").await.expect("a load report");
+            let load = fleet.try_query_stand_in(i, "/load").await.expect("a load report");
             if load["running"] == 1 {
                 at = Some(i);
             }
@@ -72,24 +72,25 @@
     let first = call.await.expect("no panic");
     let unknown = ("outcome_unknown".to_owned(), "unknown".to_owned());
     assert_eq!(first.refusal(), unknown, "{first:?}");
-    let again = Seen::of(fleet.order(0, "during", "{}")).await;
+    let again = CallResponse::fetch(fleet.order(0, "during", "{}")).await;
     assert_eq!(again.refusal(), unknown, "{again:?}");
     assert_eq!(fleet.executions_of("during").await, 0, "the other service got the order");
     for n in 0..4 {
         let key = format!("before-{n}");
-        let answer = Seen::of(fleet.order(n % 2, &key, &key)).await;
+        let answer = CallResponse::fetch(fleet.order(n % 2, &key, &key)).await;
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_eq!(fleet.executions_of(&key).await, 1);
     }
     fleet.kill_stand_in(1 - killed);
-    let refused = Seen::of(fleet.order(1, "nowhere", "{}").header("x-poplarspan-deadline", 3000));
+    let refused =
+        CallResponse::fetch(fleet.order(1, "nowhere", "{}").header("x-poplarspan-deadline", 3000));
     let refused = refused.await;
     assert_eq!(refused.ran(), "no", "{refused:?}");
     assert!(refused.headers.contains_key("retry-after"), "{refused:?}");
     fleet.start_stand_in(0);
     fleet.start_stand_in(1);
     eventually("an answer after all", async || {
-        Seen::of(fleet.order(0, "nowhere", "{}")).await.status == 200
+        CallResponse::fetch(fleet.order(0, "nowhere", "{}")).await.status == 200
     })
     .await;
     assert_eq!(fleet.executions_of("nowhere").await, 1);
@@ -101,13 +102,13 @@
     let fleet = Fleet::with_stand_ins(2, &SERVICES).await;
     for n in 0..8 {
         let key = format!("order-{n}");
-        let copies = (0..6).map(|i| Seen::of(fleet.order(i % 3, &key, &key)));
+        let copies = (0..6).map(|i| CallResponse::fetch(fleet.order(i % 3, &key, &key)));
         let answers = join_all(copies).await;
         let first = answers.iter().filter(|a| a.status == 200 && !a.is_replay()).count();
         assert_eq!(first, 1, "{answers:?}");
         assert!(answers.iter().all(|a| a.status == 200 || a.code() == "conflict"), "{answers:?}");
         assert_eq!(fleet.executions_of(&key).await, 1);
-        let other = Seen::of(fleet.order(n % 3, &key, "another body")).await;
+        let other = CallResponse::fetch(fleet.order(n % 3, &key, "another body")).await;
         assert_eq!(other.refusal(), ("conflict".to_owned(), "no".to_owned()));
         assert_eq!(fleet.executions_of(&key).await, 1);
     }
@@ -121,7 +122,7 @@
     let order = fleet.order(1, "order-1", "{}").timeout(Duration::from_millis(150));
     order.send().await.expect_err("the caller hangs up");
     eventually("the recorded answer", async || {
-        let again = Seen::of(fleet.order(0, "order-1", "{}")).await;
+        let again = CallResponse::fetch(fleet.order(0, "order-1", "{}")).await;
         assert!(again.status == 200 || again.code() == "conflict", "{again:?}");
         again.status == 200 && again.is_replay()
     })
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -6,21 +6,21 @@
 use serde_json::json;
 use support::{
     Fleet,
-    calls::{CallFleet, Seen},
+    calls::{CallFleet, CallResponse},
     raw::{read_to_close, send_raw, send_slowly},
 };
 use tokio::net::{TcpStream, UdpSocket};
 
 const ENGINE: [(&str, &str, &[&str]); 1] = [("engine-1", "engine", &["--token-interval", "1ms"])];
-const GROWTH_BYTES: u64 = 64 << 20;
+const MAX_GROWTH_BYTES: u64 = 64 << 20;
 
 async fn fleet() -> CallFleet {
     Fleet::with_stand_ins(1, &ENGINE).await
 }
 
-async fn still_serves(fleet: &Fleet) {
-    let seen = Seen::of(fleet.chat(1, "still there?")).await;
-    assert_eq!(seen.status, 200, "{seen:?}\n{}", fleet.log(1));
+async fn check_serving(fleet: &Fleet) {
+    let response = CallResponse::fetch(fleet.chat(1, "still there?")).await;
+    assert_eq!(response.status, 200, "{response:?}\n{}", fleet.log(1));
 }
 
 /// A malformed call is answered without a clear error, or reaches an endpoint.
@@ -54,7 +54,7 @@
             "too_large",
         ),
     ];
-    let before = fleet.ask_stand_in(0, "/load").await;
+    let before = fleet.try_query_stand_in(0, "/load").await;
     for (what, call, status, code) in cases {
         // A refused body may be answered while it is still being sent.
         let Ok(answer) = call.send().await else {
@@ -67,7 +67,7 @@
         assert_eq!(answer["error"]["ran"], "no", "{what}");
     }
     assert!(before.is_some());
-    still_serves(&fleet).await;
+    check_serving(&fleet).await;
 }
 
 /// Bytes that are no HTTP, oversized heads and slow senders occupy an instance for ever, or end it.
@@ -106,8 +106,8 @@
     for chunk in garbage.chunks(1200).cycle().take(2000) {
         socket.send_to(chunk, fleet.members[1].peer).await.expect("sent");
     }
-    still_serves(&fleet).await;
-    assert!(fleet.resident_bytes(1) < memory + GROWTH_BYTES, "{memory}");
+    check_serving(&fleet).await;
+    assert!(fleet.resident_bytes(1) < memory + MAX_GROWTH_BYTES, "{memory}");
 }
 
 /// Callers above the limits wait without an answer, or take the place of others for good.
@@ -124,16 +124,16 @@
         open.push(TcpStream::connect(entry).await.expect("a connection"));
     }
     let answers = join_all(open.into_iter().map(read_to_close)).await;
-    let told = answers.iter().flatten().filter(|answer| answer.contains("overloaded")).count();
+    let rejected = answers.iter().flatten().filter(|answer| answer.contains("overloaded")).count();
     assert!(answers.iter().all(Option::is_some), "a connection stays open");
-    assert!(told >= 30, "{told} callers were told");
-    still_serves(&fleet).await;
+    assert!(rejected >= 30, "{rejected} callers were rejected");
+    check_serving(&fleet).await;
     let large = "a".repeat(300_000);
-    let calls = (0..12).map(|n| Seen::of(fleet.chat(1, &format!("{n} {large}"))));
-    for seen in join_all(calls).await {
-        let clear = ["overloaded", "too_large"].contains(&seen.code().as_str());
-        assert!(seen.status == 200 || (clear && seen.ran() == "no"), "{seen:?}");
+    let calls = (0..12).map(|n| CallResponse::fetch(fleet.chat(1, &format!("{n} {large}"))));
+    for response in join_all(calls).await {
+        let clear = ["overloaded", "too_large"].contains(&response.code().as_str());
+        assert!(response.status == 200 || (clear && response.ran() == "no"), "{response:?}");
     }
-    still_serves(&fleet).await;
-    assert!(fleet.resident_bytes(1) < memory + GROWTH_BYTES, "{memory}");
+    check_serving(&fleet).await;
+    assert!(fleet.resident_bytes(1) < memory + MAX_GROWTH_BYTES, "{memory}");
 }
--- a/tests/crash_containment.rs
+++ b/tests/crash_containment.rs
@@ -7,7 +7,7 @@
 use futures::future::join_all;
 use support::{
     Fleet,
-    calls::{CallFleet, Seen},
+    calls::{CallFleet, CallResponse},
 };
 
 const FLAGS: &[&str] = &["--restart-after", "200ms"];
@@ -30,16 +30,16 @@
 async fn resent_request() {
     let fleet = engines().await;
     let refused = ("request_crashes_endpoints".to_owned(), "unknown".to_owned());
-    let first = Seen::of(fleet.chat(1, "crash-me")).await;
+    let first = CallResponse::fetch(fleet.chat(1, "crash-me")).await;
     assert_eq!(first.refusal(), refused, "{first:?}");
     assert_eq!(crashed(&fleet), 2);
     for i in [2, 0, 1] {
-        let again = Seen::of(fleet.chat(i, "crash-me")).await;
+        let again = CallResponse::fetch(fleet.chat(i, "crash-me")).await;
         assert_eq!(again.refusal(), (refused.0.clone(), "no".to_owned()), "{again:?}");
     }
-    let copies = (0..12).map(|i| Seen::of(fleet.chat(i % 3, "crash-me")));
+    let copies = (0..12).map(|i| CallResponse::fetch(fleet.chat(i % 3, "crash-me")));
     let copies = tokio::spawn(join_all(copies));
-    let others = (0..12).map(|i| Seen::of(fleet.chat(i % 3, "another question")));
+    let others = (0..12).map(|i| CallResponse::fetch(fleet.chat(i % 3, "another question")));
     for other in join_all(others).await {
         assert_eq!(other.status, 200, "{other:?}");
     }
@@ -56,12 +56,12 @@
     let names = ["orders-1", "orders-2", "orders-3", "orders-4", "orders-5"];
     let services = names.map(|name| (name, "service", FLAGS));
     let fleet = Fleet::with_stand_ins(2, &services).await;
-    let first = Seen::of(fleet.order(1, "order-1", "crash-me")).await;
+    let first = CallResponse::fetch(fleet.order(1, "order-1", "crash-me")).await;
     assert_eq!(first.code(), "outcome_unknown", "{first:?}");
     assert_eq!(crashed(&fleet), 1);
     for round in 0..3 {
         let order = |i: usize| fleet.order(i % 3, &format!("copy-{round}-{i}"), "crash-me");
-        let copies = join_all((0..9).map(|i| Seen::of(order(i)))).await;
+        let copies = join_all((0..9).map(|i| CallResponse::fetch(order(i)))).await;
         let final_codes = ["outcome_unknown", "request_crashes_endpoints"];
         for copy in copies {
             assert!(final_codes.contains(&copy.code().as_str()), "{copy:?}");
@@ -70,7 +70,7 @@
     }
     assert_eq!(crashed(&fleet), 2);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let other = Seen::of(fleet.order(2, "order-2", "{}")).await;
+    let other = CallResponse::fetch(fleet.order(2, "order-2", "{}")).await;
     assert_eq!(other.status, 200, "{other:?}");
 }
 
@@ -78,7 +78,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_after_restart() {
     let mut fleet = engines().await;
-    let refused = Seen::of(fleet.chat(1, "crash-me")).await;
+    let refused = CallResponse::fetch(fleet.chat(1, "crash-me")).await;
     assert_eq!(refused.code(), "request_crashes_endpoints", "{refused:?}");
     let instances = fleet.members.len();
     for i in 0..instances {
@@ -87,7 +87,7 @@
     fleet.start_all().await;
     fleet.wait_ready(1).await;
     fleet.warm_up().await;
-    let again = Seen::of(fleet.chat(1, "crash-me")).await;
+    let again = CallResponse::fetch(fleet.chat(1, "crash-me")).await;
     let not_run = ("request_crashes_endpoints".to_owned(), "no".to_owned());
     assert_eq!(again.refusal(), not_run, "{again:?}");
 }
--- a/tests/endless_bytes.rs
+++ b/tests/endless_bytes.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 use futures::future::join_all;
-use platform::{Answer, Call, KEY, World, config};
+use platform::{Answer, Call, KEY, RelayFleet, config};
 use serde_json::Value;
 use tokio::{io::AsyncWriteExt, net::TcpStream, time::sleep};
 
 /// Memory of the smallest machines with a front.
-const FRONT_MIB: u64 = 88;
+const MAX_FRONT_MIB: u64 = 88;
 const TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after its timeout in which a call has its final answer.
-const ANSWERED: Duration = Duration::from_millis(500);
+const ANSWER_GRACE: Duration = Duration::from_millis(500);
 const CALLS: usize = 48;
 const BODIES: usize = 60;
 const BODY_BYTES: usize = 3 << 20;
@@ -33,19 +33,19 @@
     answer.status == 200 && answer.body.is_ok()
 }
 
-async fn check_fault(world: &World, path: &str) {
+async fn check_fault(fleet: &RelayFleet, path: &str) {
     let call = async |n: usize| {
         let since = Instant::now();
         let id = format!("{path}-{n}");
-        let answer = world.call(0, path, &id, Call::default()).await;
+        let answer = fleet.call(0, path, &id, Call::default()).await;
         assert!(!is_whole_success(&answer), "{path} passed for an answer");
-        assert!(since.elapsed() < TIMEOUT + ANSWERED, "{path} took {:?}", since.elapsed());
+        assert!(since.elapsed() < TIMEOUT + ANSWER_GRACE, "{path} took {:?}", since.elapsed());
     };
     let most = async {
         let mut most = 0;
         loop {
-            most = world.fronts[0].memory_mib().max(most);
-            assert!(most < FRONT_MIB, "{path}: {most} MiB");
+            most = fleet.fronts[0].memory_mib().max(most);
+            assert!(most < MAX_FRONT_MIB, "{path}: {most} MiB");
             sleep(Duration::from_millis(20)).await;
         }
     };
@@ -57,7 +57,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn from_servers() {
-    let world = World::start(&with_timeout()).await;
+    let fleet = RelayFleet::start(&with_timeout()).await;
     for path in [
         "/once/faulty/head",
         "/once/faulty/heads",
@@ -70,16 +70,16 @@
         "/stream/faulty/events",
         "/kept/faulty/events",
     ] {
-        check_fault(&world, path).await;
+        check_fault(&fleet, path).await;
     }
 }
 
 /// A refusal whose body never comes holds the call up no longer than a moment.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_without_body() {
-    let world = World::start(&with_timeout()).await;
+    let fleet = RelayFleet::start(&with_timeout()).await;
     let since = Instant::now();
-    let answer = world.call(0, "/once/faulty/refusal", "refused", Call::default()).await;
+    let answer = fleet.call(0, "/once/faulty/refusal", "refused", Call::default()).await;
     assert_eq!(answer.status, 503, "nothing has run");
     assert!(since.elapsed() < TIMEOUT, "{:?}", since.elapsed());
 }
@@ -87,9 +87,9 @@
 /// Callers that send most of a large body each, and no more.
 #[tokio::test(flavor = "multi_thread")]
 async fn from_callers() {
-    let world = World::start(&with_timeout()).await;
+    let fleet = RelayFleet::start(&with_timeout()).await;
     let send = async |n: usize| {
-        let mut stream = TcpStream::connect(world.front(0)).await.expect("a front");
+        let mut stream = TcpStream::connect(fleet.front_address(0)).await.expect("a front");
         let head = format!(
             "POST /safe/x HTTP/1.1\r\nhost: calls.example\r\nrequest-id: large-{n}\r\n\
              api-key: {KEY}\r\ncontent-length: {}\r\n\r\n",
@@ -103,14 +103,14 @@
     let streams = join_all((0..BODIES).map(send)).await;
     let until = Instant::now() + TIMEOUT;
     while Instant::now() < until {
-        let now = world.fronts[0].memory_mib();
-        assert!(now < FRONT_MIB, "{now} MiB");
+        let now = fleet.fronts[0].memory_mib();
+        assert!(now < MAX_FRONT_MIB, "{now} MiB");
         sleep(Duration::from_millis(20)).await;
     }
     drop(streams);
     // What they held is free again.
     sleep(TIMEOUT).await;
     let large = "x".repeat(BODY_BYTES);
-    let answer = world.call(0, "/safe/x", "after", Call { body: &large, ..Call::default() }).await;
+    let answer = fleet.call(0, "/safe/x", "after", Call { body: &large, ..Call::default() }).await;
     assert_eq!(answer.status, 200);
 }
--- a/tests/fault_soak.rs
+++ b/tests/fault_soak.rs
@@ -11,47 +11,49 @@
 
 use std::time::{Duration, Instant};
 
-use soak::check::{BUDGET, History, Kind, MOST, Ran, Seen, TOKENS_PER_EVENT};
+use soak::check::{
+    BUDGET_TOKENS, CallRecord, Execution, History, Kind, MAX_TURN_TOKENS, TOKENS_PER_EVENT,
+};
 use tokio::{sync::Semaphore, task::JoinSet};
 
 /// Seeds that failed once, with the cause.
-const FORMER: [(u64, &str); 7] = [
+const REGRESSION_SEEDS: [(u64, &str); 7] = [
     (
         28,
         "SIGHUP ended a process that had just been started, before it listened for signals; nobody \
          started it again",
     ),
-    (100, LATE_TRIAL),
-    (102, LATE_TRIAL),
-    (106, LATE_TRIAL),
-    (108, LATE_TRIAL),
-    (110, LATE_TRIAL),
+    (100, STALE_TRIAL),
+    (102, STALE_TRIAL),
+    (106, STALE_TRIAL),
+    (108, STALE_TRIAL),
+    (110, STALE_TRIAL),
     (
         120,
         "the same request of many callers was condemned; none had been answered of late at a front",
     ),
 ];
-const LATE_TRIAL: &str = "a request went on trial at a server that had ended before";
+const STALE_TRIAL: &str = "a request went on trial at a server that had ended before";
 /// Seeds of the short run.
-const SHORT: [u64; 2] = [1, 2];
+const SHORT_RUN_SEEDS: [u64; 2] = [1, 2];
 /// Runs at a time; eight processes each.
-const AT_ONCE: usize = 4;
+const MAX_PARALLEL_RUNS: usize = 4;
 
-async fn play_all(seeds: impl IntoIterator<Item = u64>) {
-    let places = std::sync::Arc::new(Semaphore::new(AT_ONCE));
+async fn run_seeds(seeds: impl IntoIterator<Item = u64>) {
+    let permits = std::sync::Arc::new(Semaphore::new(MAX_PARALLEL_RUNS));
     let mut runs = JoinSet::new();
     for seed in seeds {
-        let place = places.clone().acquire_owned().await.expect("never closed");
+        let permit = permits.clone().acquire_owned().await.expect("never closed");
         // Each run has a runtime of its own, as if it were alone in the process.
         runs.spawn_blocking(move || {
             let logs = tempfile::tempdir().expect("a folder");
             let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-            let history = runtime.block_on(soak::play(seed, logs.path()));
+            let history = runtime.block_on(soak::run_seed(seed, logs.path()));
             let findings = history.findings();
-            drop(place);
+            drop(permit);
             println!("seed {seed}: {}", history.summary());
             if !findings.is_empty() {
-                let faults = soak::plan::draw(seed);
+                let faults = soak::plan::generate(seed);
                 faults.iter().for_each(|(at, event)| println!("{at:?} {event:?}"));
                 println!("seed {seed}: {findings:#?}\noutput in {}", logs.keep().display());
             }
@@ -71,12 +73,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn short_run() {
-    play_all(SHORT).await;
+    run_seeds(SHORT_RUN_SEEDS).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn former_failures() {
-    play_all(FORMER.map(|(seed, _)| seed)).await;
+    run_seeds(REGRESSION_SEEDS.map(|(seed, _)| seed)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -85,11 +87,11 @@
     let seeds = std::env::var("SOAK_SEEDS").expect("SOAK_SEEDS=FIRST..END");
     let (first, end) = seeds.split_once("..").expect("FIRST..END");
     let number = |text: &str| text.parse::<u64>().expect("a number");
-    play_all(number(first)..number(end)).await;
+    run_seeds(number(first)..number(end)).await;
 }
 
-fn seen(id: &str, kind: Kind, status: u16, body: &str) -> Seen {
-    Seen {
+fn call(id: &str, kind: Kind, status: u16, body: &str) -> CallRecord {
+    CallRecord {
         id: id.to_owned(),
         kind,
         key: platform::KEY,
@@ -101,12 +103,17 @@
     }
 }
 
-fn ran(id: &str, body: &str) -> Ran {
-    Ran { id: id.to_owned(), body: body.to_owned(), team: "red".to_owned(), at: Instant::now() }
+fn execution(id: &str, body: &str) -> Execution {
+    Execution {
+        id: id.to_owned(),
+        body: body.to_owned(),
+        team: "red".to_owned(),
+        at: Instant::now(),
+    }
 }
 
-fn is_found(seen: Vec<Seen>, ran: Vec<Ran>) -> bool {
-    !History { seen, ran, ..History::default() }.findings().is_empty()
+fn is_found(calls: Vec<CallRecord>, executions: Vec<Execution>) -> bool {
+    !History { calls, executions, ..History::default() }.findings().is_empty()
 }
 
 /// Each check finds what it is there for, and nothing in a history without faults.
@@ -116,36 +123,42 @@
     let events = "id: 1\ndata: out1\n\nid: 2\ndata: out2\n\n";
     let turn = |program: &str| Kind::Budgeted { program: program.to_owned(), events: 2 };
     let kept = |input: &str| Kind::Kept { events: 2, input: input.to_owned() };
-    let good = vec![seen("a", Kind::Once, 200, &body), seen("b", turn("p"), 200, events)];
-    let mut history = History { seen: good, ran: vec![ran("a", "in")], ..History::default() };
+    let good = vec![call("a", Kind::Once, 200, &body), call("b", turn("p"), 200, events)];
+    let mut history =
+        History { calls: good, executions: vec![execution("a", "in")], ..History::default() };
     history.versions = vec![1, 2, 2, 5];
     assert_eq!(history.findings(), Vec::<String>::new());
     history.versions.push(4);
     assert_eq!(history.findings().len(), 1, "a version that went back");
 
-    assert!(is_found(vec![seen("a", Kind::Once, 200, &body)], vec![ran("a", ""), ran("a", "")]));
-    assert!(is_found(vec![seen("a", Kind::Once, 503, "")], vec![ran("a", "")]));
-    assert!(is_found(vec![seen("a", Kind::Safe, 200, "body of b")], vec![]));
-    assert!(is_found(vec![Seen { seal: None, ..seen("a", Kind::Safe, 200, &body) }], vec![]));
-    assert!(is_found(vec![seen("a", turn("p"), 200, &events[..20])], vec![]));
-    assert!(is_found(vec![seen("a", kept("x"), 200, events)], vec![ran("a", "y")]));
-    assert!(is_found(vec![seen("a", kept("x"), 404, "")], vec![]));
-    let turns = (BUDGET + MOST) / (2 * TOKENS_PER_EVENT) + 1;
-    let spent = (0..turns).map(|n| seen(&format!("{n}"), turn("p"), 200, events)).collect();
+    assert!(is_found(
+        vec![call("a", Kind::Once, 200, &body)],
+        vec![execution("a", ""), execution("a", "")]
+    ));
+    assert!(is_found(vec![call("a", Kind::Once, 503, "")], vec![execution("a", "")]));
+    assert!(is_found(vec![call("a", Kind::Safe, 200, "body of b")], vec![]));
+    assert!(is_found(vec![CallRecord { seal: None, ..call("a", Kind::Safe, 200, &body) }], vec![]));
+    assert!(is_found(vec![call("a", turn("p"), 200, &events[..20])], vec![]));
+    assert!(is_found(vec![call("a", kept("x"), 200, events)], vec![execution("a", "y")]));
+    assert!(is_found(vec![call("a", kept("x"), 404, "")], vec![]));
+    let turns = (BUDGET_TOKENS + MAX_TURN_TOKENS) / (2 * TOKENS_PER_EVENT) + 1;
+    let spent = (0..turns).map(|n| call(&format!("{n}"), turn("p"), 200, events)).collect();
     assert!(is_found(spent, vec![]));
-    let blue = |n: u32| Ran { team: "blue".to_owned(), ..ran(&n.to_string(), "") };
+    let blue = |n: u32| Execution { team: "blue".to_owned(), ..execution(&n.to_string(), "") };
     assert!(is_found(vec![], (0..200).map(blue).collect()));
-    let crashing = |n: u64| seen(&n.to_string(), Kind::Crashing { path: "/p" }, 502, "");
+    let crashing = |n: u64| call(&n.to_string(), Kind::Crashing { path: "/p" }, 502, "");
     let begun = Instant::now();
-    let ends = |n: u64| Ran { at: begun + Duration::from_secs(n), ..ran(&n.to_string(), "") };
+    let ends =
+        |n: u64| Execution { at: begun + Duration::from_secs(n), ..execution(&n.to_string(), "") };
     assert!(is_found((0..10).map(crashing).collect(), (0..10).map(ends).collect()));
     assert!(!is_found((0..10).map(crashing).collect(), (0..9).map(ends).collect()));
-    assert!(is_found(vec![Seen { status: 200, ..crashing(0) }], vec![]));
-    let refused = |n: u64| seen(&n.to_string(), Kind::Safe, 422, "");
+    assert!(is_found(vec![CallRecord { status: 200, ..crashing(0) }], vec![]));
+    let refused = |n: u64| call(&n.to_string(), Kind::Safe, 422, "");
     assert!(is_found((0..6).map(refused).collect(), vec![]));
     assert!(!is_found((0..5).map(refused).collect(), vec![]));
-    let late = Seen { sent: Instant::now() + Duration::from_secs(6), ..history.seen[0].clone() };
+    let late =
+        CallRecord { sent: Instant::now() + Duration::from_secs(6), ..history.calls[0].clone() };
     let revoked = Some((platform::KEY, Instant::now()));
-    let history = History { seen: vec![late], revoked, ..History::default() };
+    let history = History { calls: vec![late], revoked, ..History::default() };
     assert_eq!(history.findings().len(), 1, "a key that was taken away");
 }
--- a/tests/first_call.rs
+++ b/tests/first_call.rs
@@ -9,11 +9,11 @@
 };
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_poplarspan");
-const STARTS: usize = 5;
-const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(50);
+const START_COUNT: usize = 5;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Several times what lies between the first served call and the printed lines.
-const SETTLED: Duration = Duration::from_secs(2);
+const PRINT_GRACE: Duration = Duration::from_secs(2);
 
 /// A process that is killed when dropped.
 struct Dev(Child);
@@ -66,7 +66,7 @@
 
 #[test]
 fn served_at_once() {
-    for start in 0..STARTS {
+    for start in 0..START_COUNT {
         assert_eq!(first_call(), "HTTP/1.1 200 OK", "start {start}");
     }
 }
@@ -95,13 +95,13 @@
         let _ = sent.and_then(|()| stream.read_to_string(&mut answer));
         answer.starts_with("HTTP/1.1 200")
     };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !is_served() {
         assert!(dev.0.try_wait().expect("a process of ours").is_none(), "dev has ended");
         assert!(Instant::now() < until, "no call is served");
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     }
     // It prints once the objects are in force, which is about now.
-    sleep(SETTLED);
+    sleep(PRINT_GRACE);
     assert!(dev.0.try_wait().expect("a process of ours").is_none(), "dev has ended");
 }
--- a/tests/fleet_rate.rs
+++ b/tests/fleet_rate.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use support::{
     Fleet,
-    calls::{CallFleet, Seen},
+    calls::{CallFleet, CallResponse},
 };
 use tokio::time::Instant;
 
@@ -20,7 +20,13 @@
 }
 
 /// Calls of one team at one instance, at an even pace, until the time is over.
-async fn send(fleet: &Fleet, i: usize, key: &str, pace: Duration, until: Instant) -> Vec<Seen> {
+async fn send(
+    fleet: &Fleet,
+    i: usize,
+    key: &str,
+    pace: Duration,
+    until: Instant,
+) -> Vec<CallResponse> {
     let mut calls = Vec::new();
     let url = format!("http://{}/orders", fleet.members[i].entry);
     while Instant::now() < until {
@@ -29,7 +35,11 @@
         calls.push(tokio::spawn(async move {
             let answer = call.send().await.ok()?;
             let (status, headers) = (answer.status(), answer.headers().clone());
-            Some(Seen { status, headers, body: answer.text().await.map_err(|e| e.to_string()) })
+            Some(CallResponse {
+                status,
+                headers,
+                body: answer.text().await.map_err(|e| e.to_string()),
+            })
         }));
         tokio::time::sleep(pace).await;
     }
@@ -40,7 +50,7 @@
 
 /// Number of calls of the team that reached the service.
 async fn reached(fleet: &Fleet, key: &str) -> u64 {
-    let list: Value = fleet.ask_stand_in(0, "/executions").await.expect("a list");
+    let list: Value = fleet.try_query_stand_in(0, "/executions").await.expect("a list");
     let counted = list.as_array().expect("a list").iter().find(|e| e["key"] == key);
     counted.map_or(0, |e| e["executions"].as_u64().expect("a count"))
 }
@@ -67,13 +77,13 @@
         send(&fleet, 2, modest, pace, until),
     );
     check_bound(reached(&fleet, greedy).await, started);
-    for refused in [a, b, c, d].iter().flatten().filter(|seen| seen.status != 200) {
+    for refused in [a, b, c, d].iter().flatten().filter(|response| response.status != 200) {
         // A token that comes just before the deadline leaves no time for the call.
         assert!(["rate_limited", "overloaded", "deadline"].contains(&refused.code().as_str()));
         assert!(refused.ran() == "no" || refused.code() == "deadline", "{refused:?}");
         assert!(refused.headers.contains_key("retry-after"), "{refused:?}");
     }
-    assert!(other.iter().all(|seen| seen.status == 200), "{other:?}");
+    assert!(other.iter().all(|response| response.status == 200), "{other:?}");
     assert_eq!(reached(&fleet, modest).await, other.len() as u64);
 }
 
--- a/tests/foreign_answers.rs
+++ b/tests/foreign_answers.rs
@@ -4,18 +4,18 @@
 mod platform;
 
 use futures::future::join_all;
-use platform::{Call, KEY, World, config, eventually};
+use platform::{Call, KEY, RelayFleet, config, eventually};
 
 const CALLS: usize = 12;
 
 /// A second copy of an answer arrives late, on a connection that is in use again.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_copy() {
-    let world = World::start(&config(3, &[KEY])).await;
+    let fleet = RelayFleet::start(&config(3, &[KEY])).await;
     // All at once, so that most get a connection of their own.
     let first = async |n: usize| {
         let id = format!("first-{n}");
-        world.call(0, "/once/faulty/copy", &id, Call::default()).await
+        fleet.call(0, "/once/faulty/copy", &id, Call::default()).await
     };
     let first = join_all((0..CALLS).map(first)).await;
     let copies = first.iter().filter(|answer| answer.status == 200);
@@ -25,13 +25,13 @@
         for path in ["/once/x", "/safe/x"] {
             let own = format!("{path} {n}");
             let call = Call { body: &own, ..Call::default() };
-            let answer = world.call(0, path, &format!("own-{n}"), call).await;
+            let answer = fleet.call(0, path, &format!("own-{n}"), call).await;
             assert!(answer.status != 200 || answer.text() == own, "{own}: {}", answer.text());
         }
     }
     // The servers are used again.
     let served = async || {
-        let answer = world.call(0, "/safe/x", "later", Call::default()).await;
+        let answer = fleet.call(0, "/safe/x", "later", Call::default()).await;
         answer.status == 200 && answer.text() == "in"
     };
     eventually("calls are served", served).await;
@@ -40,9 +40,9 @@
 /// A stream without a length ends in the middle of an event.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_event() {
-    let world = World::start(&config(3, &[KEY])).await;
+    let fleet = RelayFleet::start(&config(3, &[KEY])).await;
     for path in ["/stream/faulty/cut", "/kept/faulty/cut"] {
-        let answer = world.call(0, path, path, Call::default()).await;
+        let answer = fleet.call(0, path, path, Call::default()).await;
         assert!(answer.status != 200 || answer.body.is_err(), "{path}: {}", answer.text());
     }
 }
--- a/tests/frozen_instance.rs
+++ b/tests/frozen_instance.rs
@@ -5,13 +5,13 @@
 
 use std::time::Duration;
 
-use support::{Fleet, eventually, process::Process, traffic::answer};
+use support::{Fleet, eventually, process::Process, traffic::send_call};
 use tokio::{task::JoinSet, time::sleep};
 
 const ENTRY: usize = 3;
 const SERVICE: usize = 1;
 /// Longer than a lease of 2 s.
-const FROZEN: Duration = Duration::from_millis(3500);
+const FREEZE_TIME: Duration = Duration::from_millis(3500);
 const CALLS: usize = 24;
 
 fn process(fleet: &Fleet, i: usize) -> &Process {
@@ -48,7 +48,7 @@
     let mut calls = JoinSet::new();
     let send = |fleet: &Fleet, calls: &mut JoinSet<_>, when: &str| {
         for n in 0..CALLS {
-            calls.spawn(answer(fleet.order(frozen, &format!("{when}-{n}"), "{}")));
+            calls.spawn(send_call(fleet.order(frozen, &format!("{when}-{n}"), "{}")));
         }
     };
     // More than the service takes at once, so that some wait in the instance.
@@ -61,8 +61,8 @@
     let generation = fleet.generation();
     // Returns once it is in force, which waits for the end of the lease.
     fleet.publish(through, generation, "withdrawal").success();
-    fleet.set_generation(generation + 1);
-    sleep(FROZEN).await;
+    fleet.set_published_generation(generation + 1);
+    sleep(FREEZE_TIME).await;
     let ran = fleet.all_executions(SERVICE).await;
     process(fleet, frozen).resume();
     if frozen != ENTRY {
@@ -81,7 +81,7 @@
     fleet.wait_ready(frozen).await;
     fleet.wait_generation(frozen, generation + 1).await;
     let url = format!("http://{}/v1/models", fleet.members[frozen].entry);
-    let models = |key: &str| answer(fleet.client.get(&url).bearer_auth(key));
+    let models = |key: &str| send_call(fleet.client.get(&url).bearer_auth(key));
     assert!(models(fleet.objects.team_key()).await.is("unauthorized", "no"));
     assert_eq!(models(fleet.objects.second_key()).await.status, 200, "other keys work again");
 }
--- a/tests/graceful_drain.rs
+++ b/tests/graceful_drain.rs
@@ -6,7 +6,7 @@
 
 use futures::future::join_all;
 use serde_json::json;
-use support::{Fleet, calls::Seen, eventually};
+use support::{Fleet, calls::CallResponse, eventually};
 
 /// Open streams, waiting calls, calls of programs and orders are cut by SIGTERM, the balancer is
 /// told too late, or the exit status tells of a failure.
@@ -28,15 +28,15 @@
             0 => call.header("x-poplarspan-program", format!("program-{n}")),
             _ => call,
         };
-        calls.push(tokio::spawn(Seen::of(call)));
+        calls.push(tokio::spawn(CallResponse::fetch(call)));
     }
     let orders = (0..3).map(|n| fleet.order(1, &format!("order-{n}"), "{}"));
-    let orders: Vec<_> = orders.map(|order| tokio::spawn(Seen::of(order))).collect();
+    let orders: Vec<_> = orders.map(|order| tokio::spawn(CallResponse::fetch(order))).collect();
     let gone = fleet.order(1, "order-gone", "{}").timeout(Duration::from_millis(500));
     gone.send().await.expect_err("the caller hangs up");
     eventually("running calls", async || {
-        let engine = fleet.ask_stand_in(0, "/load").await.expect("a load report");
-        let service = fleet.ask_stand_in(1, "/load").await.expect("a load report");
+        let engine = fleet.try_query_stand_in(0, "/load").await.expect("a load report");
+        let service = fleet.try_query_stand_in(1, "/load").await.expect("a load report");
         engine["running"].as_u64() >= Some(1) && service["running"].as_u64() >= Some(1)
     })
     .await;
@@ -48,9 +48,9 @@
     })
     .await;
     for (n, call) in join_all(calls).await.into_iter().enumerate() {
-        let seen = call.expect("no panic");
-        assert_eq!(seen.status, 200, "{n}: {seen:?}");
-        let body = seen.body.as_deref().expect("a whole body");
+        let response = call.expect("no panic");
+        assert_eq!(response.status, 200, "{n}: {response:?}");
+        let body = response.body.as_deref().expect("a whole body");
         assert!(n % 2 == 1 || body.ends_with("data: [DONE]\n\n"), "{n}: {body}");
         assert!(n % 2 == 0 || body.contains("\"completion_tokens\":20"), "{n}: {body}");
     }
@@ -60,10 +60,10 @@
     let status = tokio::task::spawn_blocking(|| process.wait()).await.expect("no panic");
     assert_eq!(status.code(), Some(0), "{}", fleet.log(1));
     for n in ["order-0", "order-1", "order-2", "order-gone"] {
-        let again = Seen::of(fleet.order(2, n, "{}")).await;
+        let again = CallResponse::fetch(fleet.order(2, n, "{}")).await;
         assert!(again.status == 200 && again.is_replay(), "{n}: {again:?}");
         assert_eq!(fleet.executions_of(n).await, 1, "{n}");
     }
     let next = fleet.chat(2, "next").header("x-poplarspan-program", "program-0");
-    assert_eq!(Seen::of(next.header("x-poplarspan-turn", 2)).await.status, 200);
+    assert_eq!(CallResponse::fetch(next.header("x-poplarspan-turn", 2)).await.status, 200);
 }
--- a/tests/isolated_instance.rs
+++ b/tests/isolated_instance.rs
@@ -5,7 +5,7 @@
 use reqwest::RequestBuilder;
 use support::{
     Fleet, eventually,
-    traffic::{Answer, answer},
+    traffic::{CallOutcome, send_call},
 };
 
 const ENTRY: usize = 3;
@@ -20,32 +20,32 @@
     fleet.client.get(format!("http://{}/open", fleet.members[i].entry))
 }
 
-fn no_lease() -> Answer {
-    Answer { status: 503, code: "no_lease".to_owned(), ran: "no".to_owned() }
+fn no_lease() -> CallOutcome {
+    CallOutcome { status: 503, code: "no_lease".to_owned(), ran: "no".to_owned() }
 }
 
 /// Checks that an instance without a lease refuses every keyed call and serves open routes.
 async fn check_without_lease(fleet: &Fleet, i: usize) {
     let name = format!("refused-{i}");
     eventually("the end of the lease", async || {
-        answer(fleet.chat(i, "cut off")).await == no_lease()
+        send_call(fleet.chat(i, "cut off")).await == no_lease()
     })
     .await;
     for _ in 0..10 {
-        assert_eq!(answer(fleet.chat(i, "cut off")).await, no_lease());
-        assert_eq!(answer(fleet.order(i, &name, "{}")).await, no_lease());
+        assert_eq!(send_call(fleet.chat(i, "cut off")).await, no_lease());
+        assert_eq!(send_call(fleet.order(i, &name, "{}")).await, no_lease());
         let url = format!("http://{}/v1/models", fleet.members[i].entry);
         let models = fleet.client.get(url).bearer_auth(fleet.objects.team_key());
-        assert_eq!(answer(models).await, no_lease());
-        assert_eq!(answer(open_call(fleet, i)).await.status, 200, "open routes go on");
+        assert_eq!(send_call(models).await, no_lease());
+        assert_eq!(send_call(open_call(fleet, i)).await.status, 200, "open routes go on");
     }
     assert_eq!(fleet.executions(1, &name).await, 0);
 }
 
 async fn check_serving(fleet: &Fleet, i: usize) {
     fleet.wait_ready(i).await;
-    assert_eq!(answer(fleet.chat(i, "back")).await.status, 200);
-    assert_eq!(answer(fleet.order(i, &format!("back-{i}"), "{}")).await.status, 200);
+    assert_eq!(send_call(fleet.chat(i, "back")).await.status, 200);
+    assert_eq!(send_call(fleet.order(i, &format!("back-{i}"), "{}")).await.status, 200);
 }
 
 /// An entry instance that is cut off stops keyed calls once its lease is out, does not hold
@@ -58,7 +58,7 @@
         cut(&fleet);
         let generation = fleet.generation();
         fleet.publish(0, generation, &format!("cut-{n}")).success();
-        fleet.set_generation(generation + 1);
+        fleet.set_published_generation(generation + 1);
         check_without_lease(&fleet, ENTRY).await;
         assert_eq!(fleet.generation_at(ENTRY).await, Some(generation), "nothing got through");
         fleet.network.heal();
@@ -94,7 +94,7 @@
     let generation = fleet.generation();
     eventually("another leader", async || fleet.leader(rest[0], 0).is_some_and(|l| l != old)).await;
     fleet.publish(rest[0], generation, "request-of-the-rest").success();
-    fleet.set_generation(generation + 1);
+    fleet.set_published_generation(generation + 1);
     for _ in 0..3 {
         check_no_stale_statement(&fleet, old, generation + 1);
     }
--- a/tests/leader_loss.rs
+++ b/tests/leader_loss.rs
@@ -13,12 +13,12 @@
     let mut fleet = Fleet::start(3, 1).await;
     let traffic = Traffic::start(&fleet, 3);
     let publisher = Publisher::start(&fleet, &[ENTRY]);
-    traffic.goes_on().await;
-    publisher.goes_on().await;
+    traffic.wait_for_progress().await;
+    publisher.wait_for_progress().await;
     let leader = fleet.wait_group_leader(ENTRY, group).await;
     fleet.kill(leader);
-    traffic.goes_on().await;
-    publisher.goes_on().await;
+    traffic.wait_for_progress().await;
+    publisher.wait_for_progress().await;
     fleet.start_member(leader);
     fleet.wait_ready(leader).await;
     let generation = publisher.stop().await;
--- a/tests/lost_disk.rs
+++ b/tests/lost_disk.rs
@@ -22,7 +22,7 @@
     let mut fleet = Fleet::start(3, 1).await;
     let traffic = Traffic::start(&fleet, 2);
     let publisher = Publisher::start(&fleet, &[ENTRY]);
-    traffic.goes_on().await;
+    traffic.wait_for_progress().await;
     fleet.kill(LOST);
     std::fs::remove_dir_all(fleet.data_folder(1)).expect("the folder exists");
     fleet.start_member(LOST);
@@ -39,7 +39,7 @@
         })
         .await;
     }
-    publisher.goes_on().await;
+    publisher.wait_for_progress().await;
     let generation = publisher.stop().await;
     check_no_vote(&mut fleet, generation).await;
 
@@ -51,8 +51,8 @@
     let replace = ["replace-voter", "--old", "1", "--new", "4", "--new-address", &address];
     fleet.operate(ENTRY, &replace).success();
     fleet.kill(1);
-    traffic.goes_on().await;
-    publisher.goes_on().await;
+    traffic.wait_for_progress().await;
+    publisher.wait_for_progress().await;
     let status = fleet.status(ENTRY);
     let voters = status["replicas"].as_array().expect("replicas").iter();
     let of_group = |r: &&serde_json::Value| r["group"] == 0 && r["voter"] == true;
@@ -74,12 +74,12 @@
     assert!(!outcome.status.success(), "{}", outcome.stdout);
     fleet.start_member(2);
     fleet.wait_ready(2).await;
-    fleet.set_generation(generation);
+    fleet.set_published_generation(generation);
     // The outcome of the publication was unknown; this settles it.
     let settled = fleet.operator().publish(ENTRY, &text, generation, "settling", &[]);
     let current = fleet.status(ENTRY)["generation"].as_u64().expect("a generation");
     assert_eq!(current, generation + 1, "{}", settled.stderr);
-    fleet.set_generation(current);
+    fleet.set_published_generation(current);
 }
 
 /// A folder for a replica can't be made over another one.
--- a/tests/lost_instance.rs
+++ b/tests/lost_instance.rs
@@ -4,7 +4,7 @@
 
 use support::{
     Fleet, eventually,
-    traffic::{Answer, answer},
+    traffic::{CallOutcome, send_call},
 };
 
 const ENTRY: usize = 3;
@@ -26,39 +26,45 @@
         let call = fleet.chat(i, "a long question").header("x-poplarspan-program", "trip");
         call.header("x-poplarspan-turn", 1)
     };
-    let turn_at = |i: usize| answer(turn(i));
-    let order_at = |i: usize| answer(fleet.order(i, ORDER, "{}"));
+    let turn_at = |i: usize| send_call(turn(i));
+    let order_at = |i: usize| send_call(fleet.order(i, ORDER, "{}"));
     let lost = [tokio::spawn(turn_at(ENTRY)), tokio::spawn(order_at(ENTRY))];
     eventually("the calls at their endpoints", async || {
         fleet.executions(SERVICE, ORDER).await == 1
-            && fleet.ask(ENGINE, "/held").await == serde_json::json!(["team-a/trip"])
+            && fleet.query_stand_in(ENGINE, "/held").await == serde_json::json!(["team-a/trip"])
     })
     .await;
     let calls = (turn(OTHER), fleet.order(OTHER, ORDER, "{}"));
     fleet.kill(ENTRY);
     for call in lost {
-        assert_eq!(call.await.expect("no panic"), Answer::default(), "cut with its instance");
+        assert_eq!(call.await.expect("no panic"), CallOutcome::default(), "cut with its instance");
     }
     let (turn, order) = tokio::join!(until_settled(calls.0), until_settled(calls.1));
     assert_eq!(turn.status, 200, "{turn:?}");
     assert!(order.is("outcome_unknown", "unknown"), "{order:?}");
     assert_eq!(fleet.executions(SERVICE, ORDER).await, 1);
     assert_eq!(fleet.history("trip").await, [(1, "a long question".to_owned())]);
-    assert_ne!(fleet.ask(ENGINE, "/held").await, serde_json::json!([]), "the program goes on");
+    assert_ne!(
+        fleet.query_stand_in(ENGINE, "/held").await,
+        serde_json::json!([]),
+        "the program goes on"
+    );
     let url = format!("http://{}/v1/programs/trip/finish", fleet.members[OTHER].entry);
     let finish = fleet.client.post(url).bearer_auth(fleet.objects.team_key());
-    assert_eq!(answer(finish).await.status, 200);
-    eventually("the release", async || fleet.ask(ENGINE, "/held").await == serde_json::json!([]))
-        .await;
-    let again = answer(fleet.order(1, ORDER, "{}")).await;
+    assert_eq!(send_call(finish).await.status, 200);
+    eventually("the release", async || {
+        fleet.query_stand_in(ENGINE, "/held").await == serde_json::json!([])
+    })
+    .await;
+    let again = send_call(fleet.order(1, ORDER, "{}")).await;
     assert!(again.is("outcome_unknown", "unknown"), "stays unknown: {again:?}");
 }
 
 /// Resends a call while the ledger still counts it as running.
-async fn until_settled(call: reqwest::RequestBuilder) -> Answer {
-    let mut last = Answer::default();
+async fn until_settled(call: reqwest::RequestBuilder) -> CallOutcome {
+    let mut last = CallOutcome::default();
     eventually("the end of the lease", async || {
-        last = answer(call.try_clone().expect("a body in memory")).await;
+        last = send_call(call.try_clone().expect("a body in memory")).await;
         last.code != "conflict"
     })
     .await;
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -6,35 +6,35 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use platform::{Call, KEY, World, config};
+use platform::{Call, KEY, RelayFleet, config};
 use tokio::time::{Instant, sleep};
 
 /// Keeps the front busy for as long as the calls come: some 5 s of work.
 const LONG_STREAM: &str = "/stream/paced/events/250";
 /// From before the front closes its idle connections until after that.
-const CALLS_FOR: Duration = Duration::from_millis(4_500);
-const CALL_EVERY: Duration = Duration::from_millis(15);
+const CALL_TIME: Duration = Duration::from_millis(4_500);
+const CALL_INTERVAL: Duration = Duration::from_millis(15);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn new_connections() {
     let mut config = config(3, &[KEY]);
     // Short enough for calls to be taken until shortly before the end.
     config["routes"][1]["timeoutMs"] = 1_000.into();
-    let world = World::start(&config).await;
-    let world = &world;
-    let stream = world.call(0, LONG_STREAM, "long", Call::default());
+    let fleet = RelayFleet::start(&config).await;
+    let fleet = &fleet;
+    let stream = fleet.call(0, LONG_STREAM, "long", Call::default());
     let calls = async {
-        sleep(CALL_EVERY).await;
-        world.fronts[0].signal(Signal::SIGTERM);
-        let until = Instant::now() + CALLS_FOR;
+        sleep(CALL_INTERVAL).await;
+        fleet.fronts[0].signal(Signal::SIGTERM);
+        let until = Instant::now() + CALL_TIME;
         for n in 0.. {
             if Instant::now() >= until {
                 return n;
             }
             // Each on a connection of its own.
-            let answer = world.call(0, "/once/x", &format!("call-{n}"), Call::default()).await;
+            let answer = fleet.call(0, "/once/x", &format!("call-{n}"), Call::default()).await;
             assert!(matches!(answer.status, 200 | 503), "call {n}: {:?}", answer.body);
-            sleep(CALL_EVERY).await;
+            sleep(CALL_INTERVAL).await;
         }
         unreachable!("the loop ends by a return")
     };
--- a/tests/program_budgets.rs
+++ b/tests/program_budgets.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use support::{
     Fleet,
-    calls::{CallFleet, Seen},
+    calls::{CallFleet, CallResponse},
     eventually,
 };
 
@@ -39,20 +39,24 @@
     let calls = (0..20).map(|n| {
         let call = fleet.chat_with(n % 2, &format!("question {n}"), json!({"max_tokens": 100}));
         let call = call.header("x-poplarspan-program", format!("agent-{n}"));
-        Seen::of(call.header("x-poplarspan-parent", "trip"))
+        CallResponse::fetch(call.header("x-poplarspan-parent", "trip"))
     });
     let answers = join_all(calls).await;
-    let done = answers.iter().filter(|seen| seen.status == 200).count();
-    let refused: Vec<_> = answers.iter().filter(|seen| seen.status != 200).collect();
+    let done = answers.iter().filter(|response| response.status == 200).count();
+    let refused: Vec<_> = answers.iter().filter(|response| response.status != 200).collect();
     assert!((1..=9).contains(&done), "{done} calls of more than 100 tokens each");
-    for seen in refused {
-        assert_eq!(seen.refusal(), ("budget_exceeded".to_owned(), "no".to_owned()), "{seen:?}");
+    for response in refused {
+        assert_eq!(
+            response.refusal(),
+            ("budget_exceeded".to_owned(), "no".to_owned()),
+            "{response:?}"
+        );
     }
     let programs: Vec<String> = (0..20).map(|n| format!("trip/agent-{n}")).collect();
     let used = used(&fleet, &programs).await;
     assert!(used <= BUDGET && used >= 100 * done as u64, "{used} tokens of {BUDGET}");
     let more = fleet.chat_with(0, "one more", json!({"max_tokens": 900}));
-    let more = Seen::of(more.header("x-poplarspan-program", "trip")).await;
+    let more = CallResponse::fetch(more.header("x-poplarspan-program", "trip")).await;
     assert_eq!(more.code(), "budget_exceeded", "{more:?}");
 }
 
@@ -69,14 +73,14 @@
     let early = fleet.chat_with(1, "beside", json!({"max_tokens": 300}));
     let early = early.header("x-poplarspan-program", "aside").header("x-poplarspan-parent", "trip");
     assert_eq!(
-        Seen::of(early).await.code(),
+        CallResponse::fetch(early).await.code(),
         "budget_exceeded",
         "the stream reserves its worst case"
     );
     drop(answer);
     let call = |tokens: u64, i: usize| {
         let call = fleet.chat_with(i, &format!("{tokens} more"), json!({"max_tokens": tokens}));
-        Seen::of(call.header("x-poplarspan-program", "trip"))
+        CallResponse::fetch(call.header("x-poplarspan-program", "trip"))
     };
     eventually("the settled budget", async || call(300, 0).await.status == 200).await;
     let whole = call(975, 1).await;
@@ -90,14 +94,14 @@
     let fleet = Fleet::with_stand_ins(1, engine).await;
     let call = |n: usize| {
         let call = fleet.chat(n % 2, &format!("question {n}"));
-        Seen::of(call.header("x-poplarspan-program", "loop"))
+        CallResponse::fetch(call.header("x-poplarspan-program", "loop"))
     };
     for n in 0..64 {
-        let seen = call(n).await;
-        assert_eq!(seen.status, 200, "{n}: {seen:?}");
+        let response = call(n).await;
+        assert_eq!(response.status, 200, "{n}: {response:?}");
     }
-    let seen = call(64).await;
-    assert_eq!(seen.refusal(), ("budget_exceeded".to_owned(), "no".to_owned()), "{seen:?}");
+    let response = call(64).await;
+    assert_eq!(response.refusal(), ("budget_exceeded".to_owned(), "no".to_owned()), "{response:?}");
 }
 
 /// A long conversation is stored again in every turn of its history.
@@ -108,14 +112,14 @@
     let mut messages = vec![json!({"role": "user", "content": "first question"})];
     for n in 1..=4 {
         let call = fleet.chat_with(n % 2, "", json!({"messages": messages}));
-        let seen = Seen::of(call.header("x-poplarspan-program", "talk")).await;
-        assert_eq!(seen.status, 200, "{seen:?}");
+        let response = CallResponse::fetch(call.header("x-poplarspan-program", "talk")).await;
+        assert_eq!(response.status, 200, "{response:?}");
         messages.push(json!({"role": "assistant", "content": format!("answer {n}")}));
         messages.push(json!({"role": "user", "content": format!("question after {n}")}));
     }
     let url = format!("http://{}/v1/programs/talk/history", fleet.members[0].entry);
     let history = fleet.client.get(url).bearer_auth(fleet.objects.team_key());
-    let history = Seen::of(history).await.body.expect("a history");
+    let history = CallResponse::fetch(history).await.body.expect("a history");
     for message in ["first question", "question after 1", "question after 3"] {
         assert_eq!(history.matches(message).count(), 1, "{message}: {history}");
     }
--- a/tests/racing_operators.rs
+++ b/tests/racing_operators.rs
@@ -6,7 +6,7 @@
 use std::thread;
 
 use poplarspan::objects::{Secret, generate_secret};
-use support::{Fleet, eventually, process::Outcome, publisher::marker};
+use support::{Fleet, eventually, process::CommandOutput, publisher::marker};
 
 const OPERATORS: usize = 3;
 const ROUNDS: u64 = 4;
@@ -24,7 +24,7 @@
 }
 
 /// Runs the same thing for every operator at the same time.
-fn race(count: usize, run: impl Fn(usize) -> Outcome + Sync) -> Vec<Outcome> {
+fn race(count: usize, run: impl Fn(usize) -> CommandOutput + Sync) -> Vec<CommandOutput> {
     thread::scope(|scope| {
         let run = &run;
         let all: Vec<_> = (0..count).map(|n| scope.spawn(move || run(n))).collect();
@@ -68,7 +68,7 @@
 }
 
 /// Checks that one operator won, and that the others were told so. Returns the winner.
-fn check_race(outcomes: &[Outcome], expected: u64) -> usize {
+fn check_race(outcomes: &[CommandOutput], expected: u64) -> usize {
     let winners: Vec<usize> =
         (0..outcomes.len()).filter(|n| outcomes[*n].status.success()).collect();
     let texts: Vec<_> = outcomes.iter().map(|o| (&o.stdout, &o.stderr)).collect();
@@ -116,7 +116,7 @@
         let objects = fleet.operate(3, &["get"]).success().stdout;
         assert!(objects.starts_with(&format!("generation {}\n", generation + 1)), "{objects}");
         assert!(objects.contains(&format!("\"marker-{generation}\"")), "{objects}");
-        fleet.set_generation(generation + 1);
+        fleet.set_published_generation(generation + 1);
         fleet.start_member(leader);
         fleet.wait_ready(leader).await;
     }
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -8,7 +8,7 @@
 use std::{env, time::Duration};
 
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
-use support::{Fleet, publisher::Publisher, traffic::Traffic, watch::Watch};
+use support::{Fleet, publisher::Publisher, traffic::Traffic, watch::GenerationMonitor};
 use tokio::time::{Instant, sleep};
 
 const DEFAULT_SEED: u64 = 7;
@@ -17,8 +17,8 @@
 const ENTRIES: u64 = 2;
 const MEMBERS: usize = (REPLICAS + ENTRIES) as usize;
 const SERVICE: usize = 1;
-const LONGEST_FAULT_MS: u64 = 4000;
-const LONGEST_PAUSE_MS: u64 = 1500;
+const MAX_FAULT_MS: u64 = 4000;
+const MAX_PAUSE_MS: u64 = 1500;
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
@@ -88,27 +88,27 @@
     let mut fleet = Fleet::start(REPLICAS, ENTRIES).await;
     let traffic = Traffic::start(&fleet, 2);
     let publisher = Publisher::start(&fleet, &[4, 3]);
-    let watch = Watch::start(&fleet);
+    let monitor = GenerationMonitor::start(&fleet);
     let until = Instant::now() + Duration::from_secs(seconds);
     while Instant::now() < until {
         let fault = Fault::random(&mut rng);
-        let length = Duration::from_millis(rng.random_range(100..LONGEST_FAULT_MS));
+        let length = Duration::from_millis(rng.random_range(100..MAX_FAULT_MS));
         println!("{fault:?} for {length:?}");
         fault.begin(&mut fleet);
         sleep(length).await;
         fault.end(&mut fleet).await;
-        sleep(Duration::from_millis(rng.random_range(0..LONGEST_PAUSE_MS))).await;
+        sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS))).await;
     }
     for i in 0..MEMBERS {
         fleet.wait_ready(i).await;
     }
-    traffic.goes_on().await;
-    publisher.goes_on().await;
+    traffic.wait_for_progress().await;
+    publisher.wait_for_progress().await;
     let generation = publisher.stop().await;
     for i in 0..MEMBERS {
         fleet.wait_generation(i, generation).await;
     }
-    let highest = watch.stop().await;
+    let highest = monitor.stop().await;
     assert!(highest.iter().all(|g| *g <= generation), "{highest:?} after {generation}");
     traffic.stop_and_check(&fleet, SERVICE).await;
 }
--- a/tests/released_memory.rs
+++ b/tests/released_memory.rs
@@ -3,22 +3,22 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::{Fleet, calls::Seen, eventually};
+use support::{Fleet, calls::CallResponse, eventually};
 
 const ENGINE: [(&str, &str, &[&str]); 1] =
     [("engine-1", "engine", &["--token-interval", "20ms", "--capacity", "16"])];
 
 async fn wait_released(fleet: &Fleet) {
     eventually("released memory", async || {
-        fleet.ask_stand_in(0, "/held").await == Some(json!([]))
-            && fleet.ask_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
+        fleet.try_query_stand_in(0, "/held").await == Some(json!([]))
+            && fleet.try_query_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
     })
     .await;
 }
 
 async fn holds(fleet: &Fleet, program: &str) {
     eventually("held memory", async || {
-        let held = fleet.ask_stand_in(0, "/held").await.unwrap_or(Value::Null);
+        let held = fleet.try_query_stand_in(0, "/held").await.unwrap_or(Value::Null);
         let held = held.as_array().cloned().unwrap_or_default();
         held.iter().any(|name| name.as_str() == Some(&format!("team-a/{program}")))
     })
@@ -27,7 +27,8 @@
 
 async fn finish(fleet: &Fleet, i: usize, program: &str) {
     let url = format!("http://{}/v1/programs/{program}/finish", fleet.members[i].entry);
-    let finish = Seen::of(fleet.client.post(url).bearer_auth(fleet.objects.team_key())).await;
+    let finish =
+        CallResponse::fetch(fleet.client.post(url).bearer_auth(fleet.objects.team_key())).await;
     assert_eq!(finish.status, 200, "{finish:?}");
 }
 
@@ -37,9 +38,9 @@
     let fleet = Fleet::with_stand_ins(1, &ENGINE).await;
     let question = "a question that is longer than a block ".repeat(40);
     let root = fleet.chat(1, &question).header("x-poplarspan-program", "trip");
-    assert_eq!(Seen::of(root).await.status, 200);
+    assert_eq!(CallResponse::fetch(root).await.status, 200);
     let child = fleet.chat(0, &question).header("x-poplarspan-program", "hotel");
-    assert_eq!(Seen::of(child.header("x-poplarspan-parent", "trip")).await.status, 200);
+    assert_eq!(CallResponse::fetch(child.header("x-poplarspan-parent", "trip")).await.status, 200);
     holds(&fleet, "trip").await;
     let stream = fleet.chat_with(1, "go on", json!({"stream": true, "max_tokens": 4000}));
     let stream = stream.header("x-poplarspan-program", "trip").send().await.expect("a head");
@@ -64,7 +65,7 @@
     holds(&fleet, "hung-up").await;
     drop(hung_up);
     eventually("the cancelled stream", async || {
-        fleet.ask_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
+        fleet.try_query_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
     })
     .await;
     let lost = start(1, "lost").await;
@@ -72,7 +73,7 @@
     fleet.kill(1);
     assert!(lost.text().await.is_err());
     eventually("the cancelled stream", async || {
-        fleet.ask_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
+        fleet.try_query_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
     })
     .await;
     for program in ["hung-up", "lost"] {
--- a/tests/restart_generations.rs
+++ b/tests/restart_generations.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use support::{Fleet, publisher::marker, watch::Watch};
+use support::{Fleet, publisher::marker, watch::GenerationMonitor};
 
 const PUBLICATIONS: u64 = 200;
 const MEMBERS: usize = 4;
@@ -13,7 +13,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn all_restart() {
     let mut fleet = Fleet::start(3, 1).await;
-    let watch = Watch::start(&fleet);
+    let monitor = GenerationMonitor::start(&fleet);
     let operator = fleet.operator();
     let text = fleet.objects.text();
     let first = fleet.generation();
@@ -37,9 +37,9 @@
         let answer = fleet.chat(i, "after the restart").send().await.expect("an answer");
         assert_eq!(answer.status(), 200, "instance {i}");
     }
-    assert_eq!(watch.stop().await, [last; MEMBERS]);
+    assert_eq!(monitor.stop().await, [last; MEMBERS]);
     let objects = fleet.operate(MEMBERS - 1, &["get"]).success().stdout;
     assert!(objects.contains(&format!("\"marker-{last}\"")), "the last objects are in force");
-    fleet.set_generation(last);
+    fleet.set_published_generation(last);
     fleet.publish_and_wait().await;
 }
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -4,7 +4,7 @@
 
 use futures::future::join_all;
 use serde_json::json;
-use support::{Fleet, calls::Seen};
+use support::{Fleet, calls::CallResponse};
 
 /// Calls on open connections wait for an answer that never comes, also when the only endpoint
 /// answers on new connections.
@@ -14,8 +14,9 @@
     let fleet = Fleet::with_stand_ins(1, &[("engine-1", "engine", flags)]).await;
     for round in 0..2 {
         // Fills the pool of idle connections.
-        let calls = (0..6).map(|n| Seen::of(fleet.chat(1, &format!("before {round} {n}"))));
-        assert!(join_all(calls).await.iter().all(|seen| seen.status == 200));
+        let calls =
+            (0..6).map(|n| CallResponse::fetch(fleet.chat(1, &format!("before {round} {n}"))));
+        assert!(join_all(calls).await.iter().all(|response| response.status == 200));
         let calls = (0..4).map(|n| {
             let more = json!({"stream": n == 3});
             let call = fleet.chat_with(1, &format!("after {round} {n}"), more);
@@ -26,10 +27,10 @@
                 1 => call.header("x-poplarspan-program", format!("program-{round}")),
                 _ => call,
             };
-            Seen::of(call)
+            CallResponse::fetch(call)
         });
-        for (n, seen) in join_all(calls).await.into_iter().enumerate().skip(1) {
-            assert_eq!(seen.status, 200, "{round} {n}: {seen:?}");
+        for (n, response) in join_all(calls).await.into_iter().enumerate().skip(1) {
+            assert_eq!(response.status, 200, "{round} {n}: {response:?}");
         }
     }
 }
@@ -39,15 +40,15 @@
 async fn stalled_pool() {
     let flags: &[&str] = &["--token-interval", "2ms"];
     let fleet = Fleet::with_stand_ins(1, &[("engine-1", "engine", flags)]).await;
-    let calls = (0..6).map(|n| Seen::of(fleet.chat(1, &format!("before {n}"))));
-    assert!(join_all(calls).await.iter().all(|seen| seen.status == 200));
+    let calls = (0..6).map(|n| CallResponse::fetch(fleet.chat(1, &format!("before {n}"))));
+    assert!(join_all(calls).await.iter().all(|response| response.status == 200));
     // Through the other instance: this one's connections stall without a call on them.
     let stall = fleet.chat(0, "stall").header("x-standin-fault", "stall");
-    let stall = tokio::spawn(Seen::of(stall.header("x-poplarspan-deadline", 1000)));
+    let stall = tokio::spawn(CallResponse::fetch(stall.header("x-poplarspan-deadline", 1000)));
     for n in 0..6 {
         let call = fleet.chat(1, &format!("after {n}")).header("x-poplarspan-deadline", 20_000);
-        let seen = Seen::of(call).await;
-        assert_eq!(seen.status, 200, "{n}: {seen:?}");
+        let response = CallResponse::fetch(call).await;
+        assert_eq!(response.status, 200, "{n}: {response:?}");
     }
     assert_ne!(stall.await.expect("no panic").status, 200);
 }
--- a/tests/support/calls.rs
+++ b/tests/support/calls.rs
@@ -9,27 +9,27 @@
 use serde_json::{Value, json};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-use super::{Fleet, PATIENCE, eventually, process::Process};
+use super::{Fleet, WAIT_TIMEOUT, eventually, process::Process};
 
 /// Makes a new connection for each request.
-static FRESH: LazyLock<reqwest::Client> = LazyLock::new(|| {
+static UNPOOLED_CLIENT: LazyLock<reqwest::Client> = LazyLock::new(|| {
     let client = reqwest::Client::builder().no_proxy().pool_max_idle_per_host(0);
     client.build().expect("client")
 });
 
 /// An answer as its caller saw it.
 #[derive(Debug)]
-pub struct Seen {
+pub struct CallResponse {
     pub status: StatusCode,
     pub headers: reqwest::header::HeaderMap,
     /// The body, if it arrived whole.
     pub body: Result<String, String>,
 }
 
-impl Seen {
+impl CallResponse {
     /// Sends a request and reads its answer to the end.
-    pub async fn of(request: RequestBuilder) -> Self {
-        let request = request.timeout(PATIENCE);
+    pub async fn fetch(request: RequestBuilder) -> Self {
+        let request = request.timeout(WAIT_TIMEOUT);
         let answer = request.send().await.expect("the head of an answer");
         let (status, headers) = (answer.status(), answer.headers().clone());
         let body = answer.text().await.map_err(|e| e.to_string());
@@ -62,12 +62,12 @@
 }
 
 /// Keeps the number of fleets of one test binary within what a busy machine bears.
-static FLEETS: Semaphore = Semaphore::const_new(3);
+static FLEET_PERMITS: Semaphore = Semaphore::const_new(3);
 
 /// A fleet with its place among those that run at once.
 pub struct CallFleet {
     fleet: Fleet,
-    _place: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
 impl Deref for CallFleet {
@@ -99,7 +99,7 @@
         stand_ins: &[(&str, &'static str, &[&str])],
         change: impl FnOnce(&mut Self),
     ) -> CallFleet {
-        let place = FLEETS.acquire().await.expect("never closed");
+        let permit = FLEET_PERMITS.acquire().await.expect("never closed");
         let mut fleet = Self::prepare(1, entries).await;
         change(&mut fleet);
         for (name, kind, flags) in stand_ins {
@@ -113,7 +113,7 @@
         fleet.publish_and_wait().await;
         fleet.check_stand_ins();
         fleet.warm_up().await;
-        CallFleet { fleet, _place: place }
+        CallFleet { fleet, _permit: permit }
     }
 
     /// Waits until every instance has answered a call of a program: rates start with a pause, and
@@ -121,18 +121,18 @@
     pub async fn warm_up(&self) {
         for i in self.live() {
             eventually("a first answer", async || {
-                if Seen::of(self.chat(i, "warm up")).await.status != 200 {
+                if CallResponse::fetch(self.chat(i, "warm up")).await.status != 200 {
                     return false;
                 }
                 let call = self.chat(i, "warm up").header("x-poplarspan-program", "warm-up");
-                let code = Seen::of(call).await;
+                let code = CallResponse::fetch(call).await;
                 code.status == 200 || code.code() == "program_ended"
             })
             .await;
         }
         let url = format!("http://{}/v1/programs/warm-up/finish", self.members[0].entry);
         let finish = self.client.post(url).bearer_auth(self.objects.team_key());
-        assert_eq!(Seen::of(finish).await.status, 200);
+        assert_eq!(CallResponse::fetch(finish).await.status, 200);
     }
 
     /// Starts a chat call with a body of its own.
@@ -153,7 +153,7 @@
         let mut sum = 0;
         for i in 0..self.stand_ins.len() {
             if self.stand_ins[i].kind == "service" && self.stand_ins[i].process.is_some() {
-                let list = self.ask_stand_in(i, "/executions").await.expect("a list");
+                let list = self.try_query_stand_in(i, "/executions").await.expect("a list");
                 let counted = list.as_array().expect("a list").iter().find(|e| e["key"] == key);
                 sum += counted.map_or(0, |e| e["executions"].as_u64().expect("a count"));
             }
@@ -162,9 +162,9 @@
     }
 
     /// What a stand-in answers to a `GET`, over a new connection, as open ones may be stalled.
-    pub async fn ask_stand_in(&self, i: usize, path: &str) -> Option<Value> {
+    pub async fn try_query_stand_in(&self, i: usize, path: &str) -> Option<Value> {
         let url = format!("http://{}{path}", self.stand_ins[i].address);
-        FRESH.get(url).timeout(PATIENCE).send().await.ok()?.json().await.ok()
+        UNPOOLED_CLIENT.get(url).timeout(WAIT_TIMEOUT).send().await.ok()?.json().await.ok()
     }
 
     /// Kills a stand-in without warning.
--- a/tests/support/faulty.rs
+++ b/tests/support/faulty.rs
@@ -10,23 +10,23 @@
     time::sleep,
 };
 
-const MARK: &str = "/faulty/";
-const PIECE_BYTES: usize = 16 * 1024;
+const PATH_MARKER: &str = "/faulty/";
+const CHUNK_BYTES: usize = 16 * 1024;
 /// Nothing that a test waits for takes longer.
-const STALL: Duration = Duration::from_secs(120);
+const STALL_TIME: Duration = Duration::from_secs(120);
 
 /// The fault that the first request asks for, if any.
-pub async fn wanted(stream: &TcpStream) -> Option<String> {
+pub async fn requested_fault(stream: &TcpStream) -> Option<String> {
     let mut buf = [0; 4096];
     let len = stream.peek(&mut buf).await.ok()?;
     let line = std::str::from_utf8(&buf[..len]).ok()?.lines().next()?.to_owned();
     let path = line.split(' ').nth(1)?;
-    Some(path.split_once(MARK)?.1.to_owned())
+    Some(path.split_once(PATH_MARKER)?.1.to_owned())
 }
 
 /// Sends the faulty answer until the other side closes.
-pub async fn answer(stream: &mut TcpStream, kind: &str) {
-    let mut buf = vec![0; PIECE_BYTES];
+pub async fn send_response(stream: &mut TcpStream, kind: &str) {
+    let mut buf = vec![0; CHUNK_BYTES];
     let Ok(len) = stream.read(&mut buf).await else { return };
     let head = String::from_utf8_lossy(&buf[..len]).to_lowercase();
     let header = |name: &str| {
@@ -35,15 +35,15 @@
     };
     let id = header("request-id");
     let sealed = format!("HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nserver-seal: s\r\n");
-    let text = "a".repeat(PIECE_BYTES);
-    let event = "data: a\n\n".repeat(PIECE_BYTES / 9);
+    let text = "a".repeat(CHUNK_BYTES);
+    let event = "data: a\n\n".repeat(CHUNK_BYTES / 9);
     let chunk = |data: &str| format!("{:x}\r\n{data}\r\n", data.len());
     let chunked = "transfer-encoding: chunked\r\n\r\n";
     let streamed = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
     if kind == "copy" {
-        return send_copy(stream, &sealed).await;
+        return send_twice(stream, &sealed).await;
     }
-    let (start, piece) = match kind {
+    let (start, repeated) = match kind {
         "head" => (format!("{sealed}x-a: "), text),
         "heads" => (String::new(), "HTTP/1.1 100 Continue\r\n\r\n".repeat(500)),
         "body" => (format!("{sealed}\r\n"), text),
@@ -69,15 +69,15 @@
     if kind == "cut" {
         return;
     }
-    if piece.is_empty() {
-        return sleep(STALL).await;
+    if repeated.is_empty() {
+        return sleep(STALL_TIME).await;
     }
     // Ends when the other side has closed.
-    while stream.write_all(piece.as_bytes()).await.is_ok() {}
+    while stream.write_all(repeated.as_bytes()).await.is_ok() {}
 }
 
 /// Answers one request, and sends the same answer again when the next one has arrived.
-async fn send_copy(stream: &mut TcpStream, sealed: &str) {
+async fn send_twice(stream: &mut TcpStream, sealed: &str) {
     let answer = format!("{sealed}content-length: 4\r\n\r\ncopy");
     if stream.write_all(answer.as_bytes()).await.is_err() {
         return;
@@ -86,6 +86,6 @@
     if let Ok(1..) = stream.read(&mut buf).await {
         // The caller may have closed.
         let _ = stream.write_all(answer.as_bytes()).await;
-        sleep(STALL).await;
+        sleep(STALL_TIME).await;
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -30,13 +30,13 @@
 };
 
 /// Longest wait for a state that is expected to come; no test asserts how long it took.
-const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(50);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const LOG_LINES_SHOWN: usize = 20;
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Fleets that run at a time, so that a busy machine does not starve them of heartbeats.
-static PLACES: Semaphore = Semaphore::const_new(3);
+static FLEET_PERMITS: Semaphore = Semaphore::const_new(3);
 
 /// One instance of a fleet.
 pub struct Member {
@@ -61,7 +61,7 @@
     /// Numbers the files that operators' commands read.
     files: Arc<AtomicU64>,
     folder: TempDir,
-    _place: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
 /// A stand-in endpoint.
@@ -88,7 +88,7 @@
 
     /// Makes folders, certificates and addresses, but starts nothing.
     pub async fn prepare(replicas: u64, entries: u64) -> Self {
-        let place = PLACES.acquire().await.expect("never closed");
+        let permit = FLEET_PERMITS.acquire().await.expect("never closed");
         let folder = tempfile::tempdir().expect("temporary folder");
         run(&["certs", "--out", &path(&folder, "tls")]).success();
         let network = Network::new();
@@ -100,7 +100,7 @@
                 zone: format!("zone-{}", (i - 1) % 3 + 1),
                 entry: free_port(),
                 peer,
-                advertised: network.relay(i as usize - 1, peer).await,
+                advertised: network.add_proxy(i as usize - 1, peer).await,
                 probe: free_port(),
                 replica: (i <= replicas).then_some(i),
                 process: None,
@@ -118,7 +118,7 @@
             generation: 0,
             files: Arc::default(),
             folder,
-            _place: place,
+            _permit: permit,
         };
         for replica in 1..=replicas {
             fleet.init_replica(replica, Some(replicas));
@@ -185,7 +185,7 @@
             zone: zone.to_owned(),
             entry: free_port(),
             peer,
-            advertised: self.network.relay(i, peer).await,
+            advertised: self.network.add_proxy(i, peer).await,
             probe: free_port(),
             replica: Some(replica),
             process: None,
@@ -247,12 +247,12 @@
     }
 
     /// Runs an operator's command through instance `i`.
-    pub fn operate(&self, i: usize, args: &[&str]) -> process::Outcome {
+    pub fn operate(&self, i: usize, args: &[&str]) -> process::CommandOutput {
         self.operator().run(i, args)
     }
 
     /// Publishes the object file through instance `i`, expecting `generation`.
-    pub fn publish(&self, i: usize, generation: u64, request: &str) -> process::Outcome {
+    pub fn publish(&self, i: usize, generation: u64, request: &str) -> process::CommandOutput {
         self.operator().publish(i, &self.objects.text(), generation, request, &[])
     }
 
@@ -284,7 +284,7 @@
     }
 
     /// Notes that others have published up to a generation.
-    pub fn set_generation(&mut self, generation: u64) {
+    pub fn set_published_generation(&mut self, generation: u64) {
         self.generation = generation;
     }
 
@@ -363,7 +363,7 @@
     /// How often the stand-in service ran each request, by idempotency key. Requests without a key
     /// are left out.
     pub async fn all_executions(&self, stand_in: usize) -> Vec<(String, u64)> {
-        let list = self.ask(stand_in, "/executions").await;
+        let list = self.query_stand_in(stand_in, "/executions").await;
         let read =
             |e: &serde_json::Value| Some((e["key"].as_str()?.into(), e["executions"].as_u64()?));
         let all = list.as_array().expect("a list").iter().filter_map(read);
@@ -371,7 +371,7 @@
     }
 
     /// What a stand-in answers on one of its own paths.
-    pub async fn ask(&self, stand_in: usize, path: &str) -> serde_json::Value {
+    pub async fn query_stand_in(&self, stand_in: usize, path: &str) -> serde_json::Value {
         let url = format!("http://{}{path}", self.stand_ins[stand_in].address);
         self.client.get(url).send().await.expect("answer").json().await.expect("JSON")
     }
@@ -387,7 +387,7 @@
                 let Ok(answer) = call.timeout(CALL_TIMEOUT).send().await else { continue };
                 let Ok(page) = answer.json::<serde_json::Value>().await else { continue };
                 if let Some(list) = page["turns"].as_array() {
-                    turns = list.iter().map(read_turn).collect();
+                    turns = list.iter().map(parse_turn).collect();
                     return true;
                 }
             }
@@ -437,7 +437,7 @@
     text.lines().find_map(|l| l.strip_prefix("poplarspan_generation ")?.parse().ok())
 }
 
-fn read_turn(turn: &serde_json::Value) -> (u64, String) {
+fn parse_turn(turn: &serde_json::Value) -> (u64, String) {
     let number = turn["turn"].as_u64().expect("a number");
     let request = turn["request"].as_str().expect("the body of the call");
     let request: serde_json::Value = serde_json::from_str(request).expect("JSON");
@@ -451,9 +451,9 @@
 
 /// Waits until a condition holds.
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < until, "{what} did not come within {PATIENCE:?}");
-        sleep(POLL).await;
+        assert!(Instant::now() < until, "{what} did not come within {WAIT_TIMEOUT:?}");
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -19,11 +19,11 @@
 #[derive(Default)]
 struct Inner {
     /// Real peer address of each instance, by index.
-    real: Vec<SocketAddr>,
+    peers: Vec<SocketAddr>,
     /// Pairs (from, to) that are cut.
     cut: Vec<(usize, usize)>,
     /// Datagrams and bytes that passed, by sender and receiver.
-    passed: Vec<(usize, usize, u64, u64)>,
+    traffic: Vec<(usize, usize, u64, u64)>,
 }
 
 impl Network {
@@ -32,61 +32,67 @@
     }
 
     /// Starts the relay of instance `i` and returns its address.
-    pub async fn relay(&self, i: usize, real: SocketAddr) -> SocketAddr {
+    pub async fn add_proxy(&self, i: usize, peer: SocketAddr) -> SocketAddr {
         {
             let mut inner = self.inner.lock().expect("no panic while locked");
-            assert_eq!(inner.real.len(), i, "instances are added in order");
-            inner.real.push(real);
+            assert_eq!(inner.peers.len(), i, "instances are added in order");
+            inner.peers.push(peer);
         }
-        let front = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a free port"));
-        let address = front.local_addr().expect("bound");
-        tokio::spawn(self.clone().run_relay(i, real, front));
+        let listener = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a free port"));
+        let address = listener.local_addr().expect("bound");
+        tokio::spawn(self.clone().forward_requests(i, peer, listener));
         address
     }
 
     /// Passes datagrams on from each sender through a socket of its own, so that answers find back.
-    async fn run_relay(self, to: usize, real: SocketAddr, front: Arc<UdpSocket>) {
-        let mut backs: Vec<(SocketAddr, Arc<UdpSocket>)> = Vec::new();
+    async fn forward_requests(self, to: usize, peer: SocketAddr, listener: Arc<UdpSocket>) {
+        let mut upstreams: Vec<(SocketAddr, Arc<UdpSocket>)> = Vec::new();
         let mut buf = vec![0; MAX_DATAGRAM_BYTES];
-        while let Ok((len, sender)) = front.recv_from(&mut buf).await {
+        while let Ok((len, sender)) = listener.recv_from(&mut buf).await {
             if self.is_cut(self.index_of(sender), to) {
                 continue;
             }
-            let known = backs.iter().find(|(s, _)| *s == sender).map(|(_, back)| back.clone());
-            let back = match known {
-                Some(back) => back,
+            let known =
+                upstreams.iter().find(|(s, _)| *s == sender).map(|(_, upstream)| upstream.clone());
+            let upstream = match known {
+                Some(upstream) => upstream,
                 None => {
-                    let back = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
-                    tokio::spawn(self.clone().run_back(to, sender, back.clone(), front.clone()));
-                    backs.push((sender, back.clone()));
-                    back
+                    let upstream = Arc::new(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
+                    tokio::spawn(self.clone().forward_replies(
+                        to,
+                        sender,
+                        upstream.clone(),
+                        listener.clone(),
+                    ));
+                    upstreams.push((sender, upstream.clone()));
+                    upstream
                 }
             };
             self.count(self.index_of(sender), to, len);
             // A datagram that cannot be sent counts as lost.
-            let _ = back.send_to(&buf[..len], real).await;
+            let _ = upstream.send_to(&buf[..len], peer).await;
         }
     }
 
-    async fn run_back(
+    async fn forward_replies(
         self,
         from: usize,
         receiver: SocketAddr,
-        back: Arc<UdpSocket>,
-        front: Arc<UdpSocket>,
+        upstream: Arc<UdpSocket>,
+        listener: Arc<UdpSocket>,
     ) {
         let mut buf = vec![0; MAX_DATAGRAM_BYTES];
-        while let Ok((len, _)) = back.recv_from(&mut buf).await {
+        while let Ok((len, _)) = upstream.recv_from(&mut buf).await {
             if !self.is_cut(Some(from), self.index_of(receiver).unwrap_or(usize::MAX)) {
                 self.count(Some(from), self.index_of(receiver).unwrap_or(usize::MAX), len);
-                let _ = front.send_to(&buf[..len], receiver).await;
+                let _ = listener.send_to(&buf[..len], receiver).await;
             }
         }
     }
 
     fn index_of(&self, address: SocketAddr) -> Option<usize> {
         let inner = self.inner.lock().expect("no panic while locked");
-        inner.real.iter().position(|real| *real == address)
+        inner.peers.iter().position(|peer| *peer == address)
     }
 
     fn is_cut(&self, from: Option<usize>, to: usize) -> bool {
@@ -98,22 +104,22 @@
     fn count(&self, from: Option<usize>, to: usize, len: usize) {
         let mut inner = self.inner.lock().expect("no panic while locked");
         let Some(from) = from.filter(|_| to != usize::MAX) else { return };
-        let place = match inner.passed.iter().position(|p| (p.0, p.1) == (from, to)) {
-            Some(place) => place,
+        let pos = match inner.traffic.iter().position(|p| (p.0, p.1) == (from, to)) {
+            Some(pos) => pos,
             None => {
-                inner.passed.push((from, to, 0, 0));
-                inner.passed.len() - 1
+                inner.traffic.push((from, to, 0, 0));
+                inner.traffic.len() - 1
             }
         };
-        inner.passed[place].2 += 1;
-        inner.passed[place].3 += len as u64;
+        inner.traffic[pos].2 += 1;
+        inner.traffic[pos].3 += len as u64;
     }
 
     /// Datagrams and bytes that instance `i` has sent to, and received from, other instances.
     pub fn traffic(&self, i: usize) -> [(u64, u64); 2] {
         let inner = self.inner.lock().expect("no panic while locked");
         let sum = |own: fn(&(usize, usize, u64, u64)) -> usize| {
-            let others = inner.passed.iter().filter(|p| p.0 != p.1 && own(p) == i);
+            let others = inner.traffic.iter().filter(|p| p.0 != p.1 && own(p) == i);
             others.fold((0, 0), |(count, bytes), p| (count + p.2, bytes + p.3))
         };
         [sum(|p| p.0), sum(|p| p.1)]
@@ -127,7 +133,7 @@
     /// Cuts instance `i` off from all others, in both directions.
     pub fn isolate(&self, i: usize) {
         let mut inner = self.inner.lock().expect("no panic while locked");
-        for other in (0..inner.real.len()).filter(|other| *other != i) {
+        for other in (0..inner.peers.len()).filter(|other| *other != i) {
             inner.cut.extend([(i, other), (other, i)]);
         }
     }
--- a/tests/support/operator.rs
+++ b/tests/support/operator.rs
@@ -9,7 +9,7 @@
     },
 };
 
-use super::process::{Outcome, run};
+use super::process::{CommandOutput, run};
 
 /// Runs commands as one operator; its clones may run commands side by side.
 #[derive(Clone)]
@@ -38,7 +38,7 @@
     }
 
     /// Runs a command through instance `i`.
-    pub fn run(&self, i: usize, args: &[&str]) -> Outcome {
+    pub fn run(&self, i: usize, args: &[&str]) -> CommandOutput {
         let key = self.write_file("key", &self.key);
         let control = self.control[i].to_string();
         let mut all = args.to_vec();
@@ -56,7 +56,7 @@
         generation: u64,
         request: &str,
         flags: &[&str],
-    ) -> Outcome {
+    ) -> CommandOutput {
         let file = self.write_file("objects.toml", text);
         let generation = generation.to_string();
         let mut args = vec!["publish", &file, "--expect-generation", &generation];
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -40,15 +40,15 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_poplarspan");
 const PEER_PORT: u16 = 7780;
-const ORDER_PORT: u16 = 8367;
-const CALL_PORT: u16 = 8368;
+const CONTROL_PORT: u16 = 8367;
+const FRONT_PORT: u16 = 8368;
 const READY_PORT: u16 = 8369;
 const SERVER_PORT: u16 = 8080;
 /// Long enough for a busy machine; no test waits for it to pass.
-const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(50);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Fleets of one process whose addresses differ.
-const FLEETS: u8 = 60;
+const MAX_FLEETS: u8 = 60;
 
 pub const HOST: &str = "calls.example";
 pub const KEY: &str = "key-of-red";
@@ -60,7 +60,7 @@
     data: Option<PathBuf>,
     /// Where its output goes, if it is kept.
     log: Option<PathBuf>,
-    is_ending: bool,
+    is_stopping: bool,
     child: Option<Child>,
 }
 
@@ -84,7 +84,7 @@
             .spawn()
             .expect("the program starts");
         self.child = Some(child);
-        self.is_ending = false;
+        self.is_stopping = false;
     }
 
     /// Sends the process a signal, if it runs.
@@ -106,30 +106,30 @@
     }
 
     /// How the process has ended, if it has without being asked to.
-    pub fn ended_early(&mut self) -> Option<ExitStatus> {
-        let child = self.child.as_mut().filter(|_| !self.is_ending)?;
+    pub fn take_unexpected_exit(&mut self) -> Option<ExitStatus> {
+        let child = self.child.as_mut().filter(|_| !self.is_stopping)?;
         let status = child.try_wait().expect("a process of ours")?;
         self.child = None;
         Some(status)
     }
 
     /// Asks the process to end, without waiting for it.
-    pub fn end(&mut self) {
+    pub fn request_stop(&mut self) {
         self.signal(Signal::SIGTERM);
-        self.is_ending = true;
+        self.is_stopping = true;
     }
 
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
     /// Returns once the process has ended. One that was not asked to end goes on.
-    pub async fn ended(&mut self) {
-        while let Some(child) = self.child.as_mut().filter(|_| self.is_ending) {
+    pub async fn wait_stopped(&mut self) {
+        while let Some(child) = self.child.as_mut().filter(|_| self.is_stopping) {
             if child.try_wait().expect("a process of ours").is_some() {
                 self.child = None;
             } else {
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -177,12 +177,12 @@
 }
 
 /// A fleet with three control replicas, three stores and two fronts before three servers.
-pub struct World {
-    pub cores: Vec<Machine>,
+pub struct RelayFleet {
+    pub control_replicas: Vec<Machine>,
     pub stores: Vec<Machine>,
     pub fronts: Vec<Machine>,
     pub servers: Servers,
-    net: [u8; 3],
+    subnet: [u8; 3],
     /// Links to the fronts and to the servers, if callers and fronts are to use such.
     pub links: Vec<Arc<Link>>,
     logs: Option<PathBuf>,
@@ -191,17 +191,17 @@
 }
 
 /// Addresses of one test: other tests, also in other processes, have others.
-fn own_net() -> [u8; 3] {
+fn unique_subnet() -> [u8; 3] {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let pid = std::process::id();
     // A long run takes the addresses of fleets that have ended again.
-    let fleet = NEXT.fetch_add(1, Ordering::Relaxed) % FLEETS;
-    [127, 64 + (pid % 128) as u8, ((pid / 128) % 4) as u8 * FLEETS + fleet]
+    let fleet = NEXT.fetch_add(1, Ordering::Relaxed) % MAX_FLEETS;
+    [127, 64 + (pid % 128) as u8, ((pid / 128) % 4) as u8 * MAX_FLEETS + fleet]
 }
 
-impl World {
+impl RelayFleet {
     fn ip(&self, machine: u8) -> Ipv4Addr {
-        let [a, b, c] = self.net;
+        let [a, b, c] = self.subnet;
         Ipv4Addr::new(a, b, c, machine)
     }
 
@@ -226,46 +226,48 @@
         let tls = dir.path().join("tls");
         let made = Command::new(PROGRAM).args(["certs", "--out"]).arg(&tls).output();
         assert!(made.expect("the program runs").status.success());
-        let mut world = Self {
-            cores: Vec::new(),
+        let mut fleet = Self {
+            control_replicas: Vec::new(),
             stores: Vec::new(),
             fronts: Vec::new(),
             servers: Servers::default(),
-            net: own_net(),
+            subnet: unique_subnet(),
             links: Vec::new(),
             logs,
             client: reqwest::Client::builder().pool_max_idle_per_host(0).build().expect("a client"),
             _dir: dir,
         };
-        let root = world._dir.path().to_owned();
+        let root = fleet._dir.path().to_owned();
         if linked {
-            world.open_links().await;
+            fleet.open_links().await;
         }
-        world.start_servers().await;
+        fleet.start_servers().await;
         for n in 0..3 {
-            let core = world.machine(&root, &tls, "core", 10 + n);
-            world.cores.push(core);
+            let replica = fleet.machine(&root, &tls, "core", 10 + n);
+            fleet.control_replicas.push(replica);
         }
         for n in 0..stores {
-            let store = world.machine(&root, &tls, "storage", 20 + n);
-            world.stores.push(store);
+            let store = fleet.machine(&root, &tls, "storage", 20 + n);
+            fleet.stores.push(store);
         }
         for n in 0..2 {
-            let front = world.machine(&root, &tls, "front", 30 + n);
-            world.fronts.push(front);
+            let front = fleet.machine(&root, &tls, "front", 30 + n);
+            fleet.fronts.push(front);
         }
-        for machine in world.cores.iter_mut().chain(&mut world.stores).chain(&mut world.fronts) {
+        for machine in
+            fleet.control_replicas.iter_mut().chain(&mut fleet.stores).chain(&mut fleet.fronts)
+        {
             machine.start();
         }
-        assert_eq!(world.publish(config).await, 200);
+        assert_eq!(fleet.publish(config).await, 200);
         for front in 0..2 {
-            world.ready(front).await;
+            fleet.wait_ready(front).await;
         }
-        world
+        fleet
     }
 
     async fn open_links(&mut self) {
-        let links = [(40, 30, CALL_PORT), (41, 31, CALL_PORT)];
+        let links = [(40, 30, FRONT_PORT), (41, 31, FRONT_PORT)];
         let links = links.into_iter().chain((0..3).map(|n| (50 + n, 2 + n, SERVER_PORT)));
         for (near, far, port) in links {
             let address = |machine| SocketAddr::from((self.ip(machine), port));
@@ -274,9 +276,9 @@
     }
 
     /// Where callers find a front.
-    pub fn front(&self, front: u8) -> SocketAddr {
+    pub fn front_address(&self, front: u8) -> SocketAddr {
         let first = if self.links.is_empty() { 30 } else { 40 };
-        SocketAddr::from((self.ip(first + front), CALL_PORT))
+        SocketAddr::from((self.ip(first + front), FRONT_PORT))
     }
 
     /// File with the output of a machine's process, if it is kept.
@@ -285,20 +287,21 @@
     }
 
     /// Where operators find a control replica.
-    pub fn operators(&self, core: u8) -> SocketAddr {
-        SocketAddr::from((self.ip(10 + core), ORDER_PORT))
+    pub fn control_address(&self, replica: u8) -> SocketAddr {
+        SocketAddr::from((self.ip(10 + replica), CONTROL_PORT))
     }
 
     fn machine(&self, root: &Path, tls: &Path, class: &str, number: u8) -> Machine {
         let name = format!("{class}-{number}");
         let ip = self.ip(number);
         let data = (class != "front").then(|| root.join(&name));
-        let seeds: Vec<_> = (10..13).map(|n| format!("\"{}:{ORDER_PORT}\"", self.ip(n))).collect();
+        let seeds: Vec<_> =
+            (10..13).map(|n| format!("\"{}:{CONTROL_PORT}\"", self.ip(n))).collect();
         let (serves, listen) = match class {
             "front" => {
-                ("front", format!("front = \"{ip}:{CALL_PORT}\"\nready = \"{ip}:{READY_PORT}\""))
+                ("front", format!("front = \"{ip}:{FRONT_PORT}\"\nready = \"{ip}:{READY_PORT}\""))
             }
-            "core" => ("control", format!("control = \"{ip}:{ORDER_PORT}\"")),
+            "core" => ("control", format!("control = \"{ip}:{CONTROL_PORT}\"")),
             _ => ("storage", String::new()),
         };
         let data_line = data.as_ref().map_or_else(String::new, |data| {
@@ -318,7 +321,7 @@
         let settings = root.join(format!("{name}.toml"));
         std::fs::write(&settings, text).expect("settings");
         let log = self.logs.as_ref().map(|logs| logs.join(format!("{name}.log")));
-        Machine { settings, tls: tls.to_owned(), data, log, is_ending: false, child: None }
+        Machine { settings, tls: tls.to_owned(), data, log, is_stopping: false, child: None }
     }
 
     async fn start_servers(&self) {
@@ -355,29 +358,29 @@
     }
 
     /// Sends an order to one replica after another until one answers it; returns the status.
-    pub async fn order(&self, method: &str, path: &str, body: String) -> (u16, String) {
+    pub async fn operator_request(&self, method: &str, path: &str, body: String) -> (u16, String) {
         let method: reqwest::Method = method.parse().expect("a method");
-        let until = tokio::time::Instant::now() + PATIENCE;
+        let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         for turn in 0u8.. {
             assert!(tokio::time::Instant::now() < until, "no replica answers {path}");
-            let url = format!("http://{}:{ORDER_PORT}{path}", self.ip(10 + turn % 3));
+            let url = format!("http://{}:{CONTROL_PORT}{path}", self.ip(10 + turn % 3));
             let sent = self.client.request(method.clone(), url).body(body.clone()).send().await;
             match sent {
                 Ok(answer) if !answer.status().is_server_error() => {
                     let status = answer.status().as_u16();
                     return (status, answer.text().await.expect("a whole answer"));
                 }
-                Ok(_) | Err(_) => tokio::time::sleep(POLL).await,
+                Ok(_) | Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
         unreachable!("the loop ends by a return")
     }
 
     pub async fn publish(&self, config: &Value) -> u16 {
-        self.order("PUT", "/-/config", config.to_string()).await.0
+        self.operator_request("PUT", "/-/config", config.to_string()).await.0
     }
 
-    async fn ready(&self, front: u8) {
+    async fn wait_ready(&self, front: u8) {
         let url = format!("http://{}:{READY_PORT}/-/ready", self.ip(30 + front));
         let is_ready = async || {
             self.client.get(&url).send().await.is_ok_and(|answer| answer.status().is_success())
@@ -387,7 +390,7 @@
 
     /// Makes a call with its id.
     pub async fn call(&self, front: u8, path: &str, id: &str, call: Call<'_>) -> Answer {
-        let url = format!("http://{}{path}", self.front(front));
+        let url = format!("http://{}{path}", self.front_address(front));
         let mut req = self
             .client
             .post(url)
@@ -440,19 +443,19 @@
 
 /// Waits until a condition holds.
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(tokio::time::Instant::now() < until, "in vain: {what}");
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// A config with a route of each kind: `/safe/`, `/once/`, `/stream/` and `/kept/`.
 pub fn config(version: u64, keys: &[&str]) -> Value {
-    let route = |name: &str, kind: &str, kept: bool| {
+    let route = |name: &str, kind: &str, is_kept: bool| {
         json!({"name": name, "host": HOST, "prefix": format!("/{name}/"), "kind": kind,
             "timeoutMs": 20_000, "goalMs": 500, "priority": 0, "service": "s", "attempts": 2,
-            "retain": kept, "retainS": 60.0, "public": false, "canResume": false})
+            "retain": is_kept, "retainS": 60.0, "public": false, "canResume": false})
     };
     json!({"version": version,
         "routes": [route("safe", "safe", false), route("once", "unsafe", false),
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -84,13 +84,13 @@
 }
 
 /// What a command of the program has printed.
-pub struct Outcome {
+pub struct CommandOutput {
     pub status: ExitStatus,
     pub stdout: String,
     pub stderr: String,
 }
 
-impl Outcome {
+impl CommandOutput {
     /// Checks that the command succeeded.
     pub fn success(self) -> Self {
         assert!(self.status.success(), "{}{}", self.stdout, self.stderr);
@@ -99,10 +99,14 @@
 }
 
 /// Runs a command of the program to its end.
-pub fn run(args: &[&str]) -> Outcome {
+pub fn run(args: &[&str]) -> CommandOutput {
     let output = Command::new(PROGRAM).args(args).stdin(Stdio::null()).output().expect("it runs");
     let text = |buf: Vec<u8>| String::from_utf8(buf).expect("UTF-8");
-    Outcome { status: output.status, stdout: text(output.stdout), stderr: text(output.stderr) }
+    CommandOutput {
+        status: output.status,
+        stdout: text(output.stdout),
+        stderr: text(output.stderr),
+    }
 }
 
 /// Ports that were handed out.
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -24,14 +24,14 @@
     /// Everything arrives later.
     Delay,
     /// Nothing arrives at the far end any more, and nobody is told.
-    DeafFarEnd,
+    StallUpstream,
     /// Nothing arrives at the near end any more, and nobody is told.
-    DeafNearEnd,
-    Silent,
+    StallDownstream,
+    StallBoth,
 }
 
-const DELAY: Duration = Duration::from_millis(150);
-const POLL: Duration = Duration::from_millis(20);
+const LATENCY: Duration = Duration::from_millis(150);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A link to one address.
 pub struct Link {
@@ -41,14 +41,14 @@
 
 impl Link {
     /// Listens on `near` and connects to `far`.
-    pub async fn open(near: SocketAddr, far: SocketAddr) -> Arc<Self> {
-        let socket = TcpListener::bind(near).await.expect("an address of its own");
+    pub async fn open(listen: SocketAddr, upstream: SocketAddr) -> Arc<Self> {
+        let socket = TcpListener::bind(listen).await.expect("an address of its own");
         let link =
             Arc::new(Self { mode: AtomicU8::new(Mode::Pass as u8), resets: watch::Sender::new(0) });
         let accepting = link.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = socket.accept().await {
-                tokio::spawn(accepting.clone().carry(stream, far));
+                tokio::spawn(accepting.clone().forward(stream, upstream));
             }
         });
         link
@@ -63,41 +63,54 @@
         self.resets.send_modify(|n| *n += 1);
     }
 
-    fn is(&self, modes: &[Mode]) -> bool {
+    fn has_mode(&self, modes: &[Mode]) -> bool {
         let mode = self.mode.load(Ordering::Relaxed);
         modes.iter().any(|m| *m as u8 == mode)
     }
 
-    async fn carry(self: Arc<Self>, near: TcpStream, far: SocketAddr) {
+    async fn forward(self: Arc<Self>, client: TcpStream, upstream: SocketAddr) {
         let mut resets = self.resets.subscribe();
-        let Ok(far) = TcpStream::connect(far).await else { return reset(near) };
-        let (mut near_rx, mut near_tx) = near.into_split();
-        let (mut far_rx, mut far_tx) = far.into_split();
+        let Ok(upstream) = TcpStream::connect(upstream).await else { return reset(client) };
+        let (mut client_rx, mut client_tx) = client.into_split();
+        let (mut upstream_rx, mut upstream_tx) = upstream.into_split();
         let is_reset = {
-            let there = self.copy(&mut near_rx, &mut far_tx, &[Mode::DeafFarEnd, Mode::Silent]);
-            let back = self.copy(&mut far_rx, &mut near_tx, &[Mode::DeafNearEnd, Mode::Silent]);
+            let upward = self.copy(
+                &mut client_rx,
+                &mut upstream_tx,
+                &[Mode::StallUpstream, Mode::StallBoth],
+            );
+            let downward = self.copy(
+                &mut upstream_rx,
+                &mut client_tx,
+                &[Mode::StallDownstream, Mode::StallBoth],
+            );
             tokio::select! {
-                _ = there => false,
-                _ = back => false,
+                _ = upward => false,
+                _ = downward => false,
                 _ = resets.changed() => true,
             }
         };
         if is_reset {
-            for (rx, tx) in [(near_rx, near_tx), (far_rx, far_tx)] {
+            for (rx, tx) in [(client_rx, client_tx), (upstream_rx, upstream_tx)] {
                 reset(rx.reunite(tx).expect("the halves of one connection"));
             }
         }
     }
 
     /// Copies until one end has ended. A connection that was silenced stays so until it ends.
-    async fn copy(&self, rx: &mut tcp::OwnedReadHalf, tx: &mut tcp::OwnedWriteHalf, deaf: &[Mode]) {
+    async fn copy(
+        &self,
+        rx: &mut tcp::OwnedReadHalf,
+        tx: &mut tcp::OwnedWriteHalf,
+        stalled_in: &[Mode],
+    ) {
         let mut buf = vec![0; 16 * 1024];
         while let Ok(n @ 1..) = rx.read(&mut buf).await {
-            if self.is(&[Mode::Delay]) {
-                sleep(DELAY).await;
+            if self.has_mode(&[Mode::Delay]) {
+                sleep(LATENCY).await;
             }
-            while self.is(deaf) {
-                sleep(POLL).await;
+            while self.has_mode(stalled_in) {
+                sleep(POLL_INTERVAL).await;
             }
             if tx.write_all(&buf[..n]).await.is_err() {
                 return;
--- a/tests/support/publisher.rs
+++ b/tests/support/publisher.rs
@@ -13,7 +13,7 @@
 use super::{Fleet, eventually, operator::Operator};
 
 /// Tries of a command, each of which waits for long.
-const TRIES: usize = 5;
+const MAX_ATTEMPTS: usize = 5;
 
 /// Publishes until it is stopped. Each publication adds an object, and all must stay.
 pub struct Publisher {
@@ -34,9 +34,9 @@
     }
 
     /// Waits until publications that begin from now on are in force.
-    pub async fn goes_on(&self) {
-        let enough = self.published.load(Ordering::Relaxed) + 2;
-        eventually("publications", async || self.published.load(Ordering::Relaxed) >= enough).await;
+    pub async fn wait_for_progress(&self) {
+        let target = self.published.load(Ordering::Relaxed) + 2;
+        eventually("publications", async || self.published.load(Ordering::Relaxed) >= target).await;
     }
 
     /// Stops, and returns the generation that was reached.
@@ -60,7 +60,7 @@
         let _ = write!(text, "{}", marker(next));
         let i = through[generation as usize % through.len()];
         publish_until_answered(operator, i, &text, generation);
-        let objects = get(operator, i);
+        let objects = get_objects(operator, i);
         assert!(objects.starts_with(&format!("generation {next}\n")), "{objects}");
         for n in 1..=next {
             let kept = n <= first_marker(&text) || objects.contains(&format!("\"marker-{n}\""));
@@ -71,20 +71,20 @@
 }
 
 /// Reads the objects, and asks again while the instance or the leader is lost.
-fn get(operator: &Operator, i: usize) -> String {
-    for _ in 0..TRIES {
+fn get_objects(operator: &Operator, i: usize) -> String {
+    for _ in 0..MAX_ATTEMPTS {
         let outcome = operator.run(i, &["get"]);
         if outcome.status.success() {
             return outcome.stdout;
         }
     }
-    panic!("get had no answer {TRIES} times");
+    panic!("get had no answer {MAX_ATTEMPTS} times");
 }
 
 /// Publishes, and resends under the same request id while the answer is lost.
 fn publish_until_answered(operator: &Operator, i: usize, text: &str, generation: u64) {
     let request = format!("publication-{}", generation + 1);
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let outcome = operator.publish(i, text, generation, &request, &[]);
         if outcome.status.success() {
             let answer = format!("published as generation {}\n", generation + 1);
@@ -94,7 +94,7 @@
         // Nobody else publishes.
         assert!(!outcome.stderr.contains("not published"), "{}", outcome.stderr);
     }
-    panic!("generation {} had no answer {TRIES} times", generation + 1);
+    panic!("generation {} had no answer {MAX_ATTEMPTS} times", generation + 1);
 }
 
 /// An object that shows that a generation is contained in the set.
--- a/tests/support/raw.rs
+++ b/tests/support/raw.rs
@@ -8,7 +8,7 @@
     time::timeout,
 };
 
-use super::{Fleet, PATIENCE, process::Process};
+use super::{Fleet, WAIT_TIMEOUT, process::Process};
 
 /// Sends bytes and returns what comes back until the other side closes; None when it never does.
 pub async fn send_raw(address: SocketAddr, bytes: &[u8]) -> Option<String> {
@@ -23,7 +23,7 @@
     let mut all = Vec::new();
     let mut buf = [0; 4096];
     loop {
-        match timeout(PATIENCE, stream.read(&mut buf)).await.ok()? {
+        match timeout(WAIT_TIMEOUT, stream.read(&mut buf)).await.ok()? {
             Ok(0) | Err(_) => return Some(String::from_utf8_lossy(&all).into_owned()),
             Ok(len) => all.extend_from_slice(&buf[..len]),
         }
@@ -42,7 +42,7 @@
     });
     let mut all = Vec::new();
     // A reset is the end as well.
-    let read = timeout(PATIENCE, rx.read_to_end(&mut all)).await;
+    let read = timeout(WAIT_TIMEOUT, rx.read_to_end(&mut all)).await;
     sender.abort();
     read.ok().map(|_| String::from_utf8_lossy(&all).into_owned())
 }
--- a/tests/support/servers.rs
+++ b/tests/support/servers.rs
@@ -27,12 +27,12 @@
 use super::faulty;
 
 /// Work of a server for a request, or for an event, on paths that ask for it.
-const WORK: Duration = Duration::from_millis(20);
+const WORK_TIME: Duration = Duration::from_millis(20);
 
 /// Work of a server for requests that are to be under way for a while.
-const SLOW: Duration = Duration::from_millis(500);
+const SLOW_WORK_TIME: Duration = Duration::from_millis(500);
 /// Time after which a server that has crashed is back.
-pub const DOWN: Duration = Duration::from_secs(2);
+pub const RESTART_DELAY: Duration = Duration::from_secs(2);
 pub const SERVERS: usize = 3;
 
 /// A request that a server has run.
@@ -54,7 +54,7 @@
     /// Counts how often each server has crashed.
     crashes: [watch::Sender<u32>; SERVERS],
     /// Whether requests that would end a server are answered.
-    pub is_mended: Arc<AtomicBool>,
+    pub is_fixed: Arc<AtomicBool>,
 }
 
 impl Servers {
@@ -72,7 +72,7 @@
         self.runs().into_iter().filter(|r| r.path == path).collect()
     }
 
-    /// Ends a server, with all that it runs; it is back after [`DOWN`].
+    /// Ends a server, with all that it runs; it is back after [`RESTART_DELAY`].
     pub fn crash(&self, server: usize) {
         self.crashes[server].send_modify(|count| *count += 1);
     }
@@ -98,20 +98,20 @@
                 });
             }
             drop(socket);
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(RESTART_DELAY).await;
         }
     }
 
     async fn serve_connection(self, server: usize, mut stream: TcpStream) {
-        if let Some(kind) = faulty::wanted(&stream).await {
-            return faulty::answer(&mut stream, &kind).await;
+        if let Some(kind) = faulty::requested_fault(&stream).await {
+            return faulty::send_response(&mut stream, &kind).await;
         }
-        let service = service_fn(move |req| self.clone().answer(server, req));
+        let service = service_fn(move |req| self.clone().handle(server, req));
         // Ends with an error when it is to lose an answer.
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
-    async fn answer(
+    async fn handle(
         self,
         server: usize,
         req: Request<Incoming>,
@@ -123,11 +123,11 @@
         let expected = header("expect-instance");
         let (team, saw_key) = (header("tenant"), req.headers().contains_key("api-key"));
         if expected.as_deref() != Some(&*server_name(server)) {
-            return Ok(answer(421, &id, false, Bytes::new()));
+            return Ok(response(421, &id, false, Bytes::new()));
         }
         // The first server is full for requests that ask for it.
         if path.ends_with("/full-at-first") && server == 0 {
-            let mut full = answer(503, &id, false, Bytes::new());
+            let mut full = response(503, &id, false, Bytes::new());
             full.headers_mut().insert("not-run", "1".parse().expect("a header"));
             return Ok(full);
         }
@@ -142,67 +142,67 @@
             saw_key,
         };
         self.runs.lock().expect("no panic while locked").push(run);
-        if path.ends_with("/crash") && self.is_mended.load(Ordering::Relaxed) {
-            return Ok(answer(200, &id, true, body));
+        if path.ends_with("/crash") && self.is_fixed.load(Ordering::Relaxed) {
+            return Ok(response(200, &id, true, body));
         }
         if path.ends_with("/midway/crash") {
             let event = Bytes::from_static(b"id: 1\ndata: out1\n\n");
             let first = stream::iter([Ok(Frame::data(event))]);
             let rest = stream::once(async move {
                 // The first event is on its way.
-                tokio::time::sleep(WORK).await;
+                tokio::time::sleep(WORK_TIME).await;
                 self.crash(server);
                 std::future::pending().await
             });
             let body = BoxBody::new(StreamBody::new(first.chain(rest)));
-            return Ok(answer(200, &id, true, Bytes::new()).map(|_| body));
+            return Ok(response(200, &id, true, Bytes::new()).map(|_| body));
         }
         if path.ends_with("/crash") {
             self.crash(server);
             return std::future::pending().await;
         }
         if path.ends_with("/slow") {
-            tokio::time::sleep(SLOW).await;
+            tokio::time::sleep(SLOW_WORK_TIME).await;
         }
         if path.ends_with("/lost") {
             // Closes the connection without an answer.
             return Err(std::io::Error::other("lost on request"));
         }
         if path.ends_with("/forged") {
-            return Ok(answer(200, &id, false, Bytes::from_static(b"not the server's")));
+            return Ok(response(200, &id, false, Bytes::from_static(b"not the server's")));
         }
         if path.ends_with("/leaving") {
-            let mut leaving = answer(200, &id, true, body);
+            let mut leaving = response(200, &id, true, body);
             leaving.headers_mut().insert("server-leaving", "1".parse().expect("a header"));
             return Ok(leaving);
         }
         if path.ends_with("/misdirected") {
-            let mut other = answer(421, &id, false, Bytes::new());
+            let mut other = response(421, &id, false, Bytes::new());
             other.headers_mut().insert("server-leaving", "1".parse().expect("a header"));
             return Ok(other);
         }
         if path.ends_with("/named") {
-            tokio::time::sleep(WORK).await;
-            return Ok(answer(200, &id, true, Bytes::from(format!("body of {id}"))));
+            tokio::time::sleep(WORK_TIME).await;
+            return Ok(response(200, &id, true, Bytes::from(format!("body of {id}"))));
         }
         if let Some((before, events)) = path.rsplit_once("/events/") {
             let count: usize = events.parse().expect("a number of events");
-            let pause = if before.ends_with("/paced") { WORK } else { Duration::ZERO };
+            let pause = if before.ends_with("/paced") { WORK_TIME } else { Duration::ZERO };
             let events = stream::iter(1..=count).then(move |n| async move {
                 tokio::time::sleep(pause).await;
                 Ok(Frame::data(Bytes::from(format!("id: {n}\ndata: out{n}\n\n"))))
             });
-            let mut streamed =
-                answer(200, &id, true, Bytes::new()).map(|_| BoxBody::new(StreamBody::new(events)));
+            let mut streamed = response(200, &id, true, Bytes::new())
+                .map(|_| BoxBody::new(StreamBody::new(events)));
             let kind = "text/event-stream".parse().expect("a header");
             streamed.headers_mut().insert("content-type", kind);
             return Ok(streamed);
         }
-        Ok(answer(200, &id, true, body))
+        Ok(response(200, &id, true, body))
     }
 }
 
-fn answer(
+fn response(
     status: u16,
     id: &str,
     sealed: bool,
--- a/tests/support/soak/load.rs
+++ b/tests/support/soak/load.rs
@@ -11,17 +11,17 @@
 
 use super::{
     BLUE_KEY, Run, SECOND_KEY,
-    check::{BUDGET, Kind, MOST, Seen, TOKENS_PER_EVENT},
+    check::{BUDGET_TOKENS, CallRecord, Kind, MAX_TURN_TOKENS, TOKENS_PER_EVENT},
     plan::has_crashing_requests,
 };
 use crate::platform::{HOST, KEY};
 
-const PAUSE: Duration = Duration::from_millis(30);
+const CALL_INTERVAL: Duration = Duration::from_millis(30);
 /// Between two attempts of a request that ends servers.
-const CRASH_PAUSE: Duration = Duration::from_millis(1_000);
-const TIME_LIMIT_MS: u64 = 3_000;
+const CRASH_INTERVAL: Duration = Duration::from_millis(1_000);
+const DEADLINE_MS: u64 = 3_000;
 /// Attempts to go on from a kept turn at the end.
-const LAST_TRIES: u32 = 40;
+const LAST_ATTEMPTS: u32 = 40;
 
 /// Starts the callers; they end once the run is over.
 pub(super) fn start(run: &Arc<Run>, seed: u64) -> JoinSet<()> {
@@ -51,11 +51,11 @@
 }
 
 /// Whether a front answers a call.
-pub(super) async fn is_served(run: &Run, front: u8) -> bool {
-    let url = format!("http://{}/safe/named", run.world.front(front));
+pub(super) async fn serves(run: &Run, front: u8) -> bool {
+    let url = format!("http://{}/safe/named", run.fleet.front_address(front));
     let id = format!("last-{front}-{}", rand::random::<u32>());
     let sent = run.client.post(url).header("host", HOST).header("request-id", id);
-    let sent = sent.header("deadline-ms", TIME_LIMIT_MS).header("api-key", KEY).send().await;
+    let sent = sent.header("deadline-ms", DEADLINE_MS).header("api-key", KEY).send().await;
     sent.is_ok_and(|answer| answer.status() == 200)
 }
 
@@ -83,26 +83,27 @@
     async fn crashing(&mut self, path: &'static str) {
         while !self.run.is_over() {
             self.call(Kind::Crashing { path }, KEY, path, &[], "in").await;
-            tokio::time::sleep(CRASH_PAUSE).await;
+            tokio::time::sleep(CRASH_INTERVAL).await;
         }
     }
 
     async fn budgeted(&mut self, shared: u64) {
-        let count = format!("5,{MOST}");
+        let count = format!("5,{MAX_TURN_TOKENS}");
         for number in 0.. {
             // A program ends when it is told that its budget is spent, or after a while.
-            for _ in 0..2 * BUDGET / MOST + 4 {
+            for _ in 0..2 * BUDGET_TOKENS / MAX_TURN_TOKENS + 4 {
                 if self.run.is_over() {
                     return;
                 }
                 let program = format!("budget-{shared}-{number}");
-                let events = self.rng.random_range(1..=(MOST / TOKENS_PER_EVENT) as usize);
+                let events =
+                    self.rng.random_range(1..=(MAX_TURN_TOKENS / TOKENS_PER_EVENT) as usize);
                 let path = format!("/stream/paced/events/{events}");
                 let kind = Kind::Budgeted { program: program.clone(), events };
                 let headers = [
                     ("program-id", program),
                     ("token-count", count.clone()),
-                    ("token-budget", BUDGET.to_string()),
+                    ("token-budget", BUDGET_TOKENS.to_string()),
                 ];
                 if self.call(kind, KEY, &path, &headers, "in").await.status == 402 {
                     break;
@@ -113,34 +114,34 @@
 
     /// A chain of kept turns; the last one must be there when all is over.
     async fn kept(&mut self) {
-        let (mut previous, mut said) = (None::<String>, String::new());
-        let mut tries = 0;
-        while !self.run.is_over() || tries < LAST_TRIES {
+        let (mut previous, mut transcript) = (None::<String>, String::new());
+        let mut attempts = 0;
+        while !self.run.is_over() || attempts < LAST_ATTEMPTS {
             let is_last = self.run.is_over();
-            tries += u32::from(is_last);
+            attempts += u32::from(is_last);
             let events = self.rng.random_range(1..4);
             let own = format!("in{} ", self.calls);
-            let kind = Kind::Kept { events, input: format!("{said}{own}") };
+            let kind = Kind::Kept { events, input: format!("{transcript}{own}") };
             let mut headers = vec![
                 // Other programs go on from the turn now and then.
                 ("program-id", format!("kept-{}-{}", self.name, self.calls / 3)),
-                ("token-count", format!("5,{MOST}")),
+                ("token-count", format!("5,{MAX_TURN_TOKENS}")),
             ];
             headers.extend(previous.iter().map(|p| ("previous-turn", p.clone())));
             let path = format!("/kept/paced/events/{events}");
-            let seen = self.call(kind, KEY, &path, &headers, &own).await;
-            if seen.status != 200 || !seen.is_whole {
+            let call = self.call(kind, KEY, &path, &headers, &own).await;
+            if call.status != 200 || !call.is_whole {
                 continue;
             }
             if is_last {
                 return;
             }
-            said += &own;
-            said.extend((1..=events).map(|n| format!("out{n}\n")));
-            previous = Some(seen.id);
+            transcript += &own;
+            transcript.extend((1..=events).map(|n| format!("out{n}\n")));
+            previous = Some(call.id);
         }
         let name = &self.name;
-        self.run.note(|h| h.unserved.push(format!("{name}: a kept turn cannot be continued")));
+        self.run.record(|h| h.failures.push(format!("{name}: a kept turn cannot be continued")));
     }
 
     async fn call(
@@ -150,17 +151,18 @@
         path: &str,
         headers: &[(&str, String)],
         body: &str,
-    ) -> Seen {
+    ) -> CallRecord {
         self.calls += 1;
         let id = format!("{}-{}", self.name, self.calls);
-        let url = format!("http://{}{path}", self.run.world.front(self.rng.random_range(0..2)));
+        let url =
+            format!("http://{}{path}", self.run.fleet.front_address(self.rng.random_range(0..2)));
         let mut req = self.client.post(url).header("host", HOST).header("request-id", &id);
-        req = req.header("deadline-ms", TIME_LIMIT_MS).header("api-key", key);
+        req = req.header("deadline-ms", DEADLINE_MS).header("api-key", key);
         for (name, value) in headers {
             req = req.header(*name, value);
         }
         let sent = Instant::now();
-        let mut seen = Seen {
+        let mut call = CallRecord {
             id,
             kind,
             key,
@@ -171,20 +173,20 @@
             is_whole: false,
         };
         if let Ok(answer) = req.body(body.to_owned()).send().await {
-            seen.status = answer.status().as_u16();
+            call.status = answer.status().as_u16();
             let seal = answer.headers().get("server-seal");
-            seen.seal = seal.and_then(|s| s.to_str().ok()).map(str::to_owned);
+            call.seal = seal.and_then(|s| s.to_str().ok()).map(str::to_owned);
             let mut body = answer.bytes_stream();
-            seen.is_whole = true;
+            call.is_whole = true;
             while let Some(piece) = body.next().await {
                 match piece {
-                    Ok(piece) => seen.body += &String::from_utf8_lossy(&piece),
-                    Err(_) => seen.is_whole = false,
+                    Ok(piece) => call.body += &String::from_utf8_lossy(&piece),
+                    Err(_) => call.is_whole = false,
                 }
             }
         }
-        self.run.note(|h| h.seen.push(seen.clone()));
-        tokio::time::sleep(PAUSE).await;
-        seen
+        self.run.record(|h| h.calls.push(call.clone()));
+        tokio::time::sleep(CALL_INTERVAL).await;
+        call
     }
 }
--- a/tests/support/soak/mod.rs
+++ b/tests/support/soak/mod.rs
@@ -20,24 +20,24 @@
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 
-use crate::platform::{KEY, Machine, World, config, proxy::Mode};
-use check::{BURST, History, RATE, Ran};
+use crate::platform::{KEY, Machine, RelayFleet, config, proxy::Mode};
+use check::{BURST, Execution, History, RATE_PER_S};
 use plan::{Action, Event, Group};
 
 /// Key that may be taken away.
 pub const SECOND_KEY: &str = "second-key";
 /// Key of the team with a rate.
 pub const BLUE_KEY: &str = "key-of-blue";
-const ORDER_PATIENCE: Duration = Duration::from_secs(6);
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(6);
 /// All faults have ended; a fleet that does not serve by then never will.
-const RECOVERY: Duration = Duration::from_secs(40);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 /// For how long callers go on after the faults, where requests end servers.
-const AFTERMATH: Duration = Duration::from_secs(9);
+const AFTER_FAULTS: Duration = Duration::from_secs(9);
 const READ_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What tasks of one run share.
 struct Run {
-    world: World,
+    fleet: RelayFleet,
     client: reqwest::Client,
     history: Mutex<History>,
     version: AtomicU64,
@@ -50,7 +50,7 @@
         self.is_over.load(Ordering::Relaxed)
     }
 
-    fn note(&self, f: impl FnOnce(&mut History)) {
+    fn record(&self, f: impl FnOnce(&mut History)) {
         f(&mut self.history.lock().expect("no panic while locked"));
     }
 
@@ -60,11 +60,11 @@
         objects(version, self.is_revoked.load(Ordering::Relaxed))
     }
 
-    /// Publishes at one replica after another, beginning with `core`, until one acknowledges it.
-    async fn publish(&self, config: &Value, core: u8) -> bool {
-        let until = Instant::now() + ORDER_PATIENCE;
-        for turn in u32::from(core).. {
-            let url = format!("http://{}/-/config", self.world.operators((turn % 3) as u8));
+    /// Publishes at one replica after another, beginning with `replica`, until one acknowledges it.
+    async fn publish(&self, config: &Value, replica: u8) -> bool {
+        let until = Instant::now() + PUBLISH_TIMEOUT;
+        for turn in u32::from(replica).. {
+            let url = format!("http://{}/-/config", self.fleet.control_address((turn % 3) as u8));
             let sent = self.client.put(url).body(config.to_string()).send().await;
             if sent.is_ok_and(|answer| answer.status() == 200) {
                 return true;
@@ -83,13 +83,13 @@
             if self.is_over() {
                 return;
             }
-            let url = format!("http://{}/-/config", self.world.operators((turn % 3) as u8));
+            let url = format!("http://{}/-/config", self.fleet.control_address((turn % 3) as u8));
             if let Ok(answer) = self.client.get(url).send().await
                 && answer.status() == 200
                 && let Ok(config) = answer.json::<Value>().await
             {
                 let version = config["version"].as_u64().expect("a version");
-                self.note(|h| h.versions.push(version));
+                self.record(|h| h.versions.push(version));
             }
             tokio::time::sleep(READ_INTERVAL).await;
         }
@@ -99,22 +99,23 @@
 fn objects(version: u64, is_revoked: bool) -> Value {
     let keys: &[&str] = if is_revoked { &[KEY] } else { &[KEY, SECOND_KEY] };
     let mut objects = config(version, keys);
-    let blue = json!({"name": "blue", "apiKeys": [BLUE_KEY], "ratePerS": RATE, "burst": BURST});
+    let blue =
+        json!({"name": "blue", "apiKeys": [BLUE_KEY], "ratePerS": RATE_PER_S, "burst": BURST});
     objects["tenants"].as_array_mut().expect("a list").push(blue);
     objects
 }
 
 /// Plays a seed, and returns what was seen. The output of the processes goes to `logs`.
-pub async fn play(seed: u64, logs: &Path) -> History {
+pub async fn run_seed(seed: u64, logs: &Path) -> History {
     let client = reqwest::Client::builder().timeout(Duration::from_secs(6)).build();
-    let mut world = World::start_linked(&objects(1, false), logs).await;
+    let mut fleet = RelayFleet::start_linked(&objects(1, false), logs).await;
     let mut machines = [
-        (Group::Core, std::mem::take(&mut world.cores)),
-        (Group::Store, std::mem::take(&mut world.stores)),
-        (Group::Front, std::mem::take(&mut world.fronts)),
+        (Group::Control, std::mem::take(&mut fleet.control_replicas)),
+        (Group::Store, std::mem::take(&mut fleet.stores)),
+        (Group::Front, std::mem::take(&mut fleet.fronts)),
     ];
     let run = Arc::new(Run {
-        world,
+        fleet,
         client: client.expect("a client"),
         history: Mutex::default(),
         version: AtomicU64::new(1),
@@ -126,21 +127,21 @@
     callers.spawn(async move { reader.read_versions().await });
     let mut operators = JoinSet::new();
     let begun = tokio::time::Instant::now();
-    for (at, event) in plan::draw(seed) {
+    for (at, event) in plan::generate(seed) {
         tokio::time::sleep_until(begun + at).await;
         match event {
             Event::Machine(group, machine, action) => {
                 let (_, machines) =
                     machines.iter_mut().find(|(g, _)| *g == group).expect("a group");
-                act(&mut machines[machine], action).await;
+                apply(&mut machines[machine], action).await;
             }
-            Event::Link(link, mode) => run.world.links[link].set(mode),
-            Event::Reset(link) => run.world.links[link].reset(),
+            Event::Link(link, mode) => run.fleet.links[link].set(mode),
+            Event::Reset(link) => run.fleet.links[link].reset(),
             Event::Publish => {
-                for core in 0..2 {
+                for replica in 0..2 {
                     let (run, config) = (run.clone(), run.next_config());
                     operators.spawn(async move {
-                        run.publish(&config, core).await;
+                        run.publish(&config, replica).await;
                     });
                 }
             }
@@ -149,47 +150,47 @@
                 let (run, config) = (run.clone(), run.next_config());
                 operators.spawn(async move {
                     if run.publish(&config, 2).await {
-                        run.note(|h| h.revoked = Some((SECOND_KEY, Instant::now())));
+                        run.record(|h| h.revoked = Some((SECOND_KEY, Instant::now())));
                     }
                 });
             }
         }
     }
-    tokio::time::sleep_until(begun + plan::CALM).await;
-    run.world.links.iter().for_each(|link| link.set(Mode::Pass));
-    run.note(|h| h.calm = Some(Instant::now()));
+    tokio::time::sleep_until(begun + plan::FAULTS_END).await;
+    run.fleet.links.iter().for_each(|link| link.set(Mode::Pass));
+    run.record(|h| h.faults_ended = Some(Instant::now()));
     for machine in machines.iter_mut().flat_map(|(_, m)| m) {
         machine.signal(Signal::SIGCONT);
         // A process that gets SIGHUP before its first instruction ends as any other does.
         let is_allowed = |status: &ExitStatus| status.signal() == Some(Signal::SIGHUP as i32);
-        if let Some(status) = machine.ended_early().filter(|status| !is_allowed(status)) {
-            run.note(|h| h.unserved.push(format!("a process has ended by itself: {status}")));
+        if let Some(status) = machine.take_unexpected_exit().filter(|status| !is_allowed(status)) {
+            run.record(|h| h.failures.push(format!("a process has ended by itself: {status}")));
         }
-        act(machine, Action::Start).await;
+        apply(machine, Action::Start).await;
     }
     while operators.join_next().await.is_some() {}
     for front in 0..2 {
-        let until = Instant::now() + RECOVERY;
-        while !load::is_served(&run, front).await {
+        let until = Instant::now() + RECOVERY_TIMEOUT;
+        while !load::serves(&run, front).await {
             if Instant::now() > until {
-                run.note(|h| h.unserved.push(format!("front {front} does not serve again")));
+                run.record(|h| h.failures.push(format!("front {front} does not serve again")));
                 break;
             }
             tokio::time::sleep(READ_INTERVAL).await;
         }
     }
     if plan::has_crashing_requests(seed) {
-        tokio::time::sleep_until(begun + plan::CALM + AFTERMATH).await;
+        tokio::time::sleep_until(begun + plan::FAULTS_END + AFTER_FAULTS).await;
     }
     run.is_over.store(true, Ordering::Relaxed);
     while callers.join_next().await.is_some() {}
     let mut history = std::mem::take(&mut *run.history.lock().expect("no panic while locked"));
-    history.ran = run.world.servers.runs().into_iter().map(ran).collect();
+    history.executions = run.fleet.servers.runs().into_iter().map(execution).collect();
     history
 }
 
-fn ran(run: crate::platform::servers::Run) -> Ran {
-    Ran {
+fn execution(run: crate::platform::servers::Run) -> Execution {
+    Execution {
         id: run.id,
         body: String::from_utf8_lossy(&run.body).into_owned(),
         team: run.team.unwrap_or_default(),
@@ -197,18 +198,18 @@
     }
 }
 
-async fn act(machine: &mut Machine, action: Action) {
+async fn apply(machine: &mut Machine, action: Action) {
     match action {
-        Action::Kill if machine.runs() => machine.kill(),
+        Action::Kill if machine.is_running() => machine.kill(),
         Action::Kill => {}
-        Action::Terminate => machine.end(),
+        Action::Terminate => machine.request_stop(),
         Action::Wipe => machine.wipe(),
         Action::Pause => machine.signal(Signal::SIGSTOP),
         Action::Resume => machine.signal(Signal::SIGCONT),
         Action::Reload => machine.signal(Signal::SIGHUP),
         Action::Start => {
-            machine.ended().await;
-            if !machine.runs() {
+            machine.wait_stopped().await;
+            if !machine.is_running() {
                 machine.restart();
             }
         }
--- a/tests/support/soak/plan.rs
+++ b/tests/support/soak/plan.rs
@@ -7,13 +7,13 @@
 use crate::platform::proxy::Mode;
 
 /// Time in which faults begin.
-pub const FAULTS: Duration = Duration::from_millis(7_000);
+pub const LAST_FAULT_START: Duration = Duration::from_millis(7_000);
 /// All faults have ended by then.
-pub const CALM: Duration = Duration::from_millis(11_000);
+pub const FAULTS_END: Duration = Duration::from_millis(11_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
-    Core,
+    Control,
     Store,
     Front,
 }
@@ -52,11 +52,11 @@
 }
 
 /// Events with their times, in order.
-pub fn draw(seed: u64) -> Vec<(Duration, Event)> {
+pub fn generate(seed: u64) -> Vec<(Duration, Event)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut events = Vec::new();
     let ms = Duration::from_millis;
-    machines(&mut rng, &mut events, Group::Core);
+    machines(&mut rng, &mut events, Group::Control);
     machines(&mut rng, &mut events, Group::Store);
     for front in 0..2 {
         outages(&mut rng, &mut events, Group::Front, front, 2);
@@ -67,7 +67,7 @@
             events.push((from, Event::Reset(link)));
             continue;
         }
-        let modes = [Mode::Delay, Mode::DeafFarEnd, Mode::DeafNearEnd, Mode::Silent];
+        let modes = [Mode::Delay, Mode::StallUpstream, Mode::StallDownstream, Mode::StallBoth];
         let mode = modes[rng.random_range(0..modes.len())];
         events.push((from, Event::Link(link, mode)));
         events.push((from + ms(rng.random_range(300..3_500)), Event::Link(link, Mode::Pass)));
@@ -111,11 +111,11 @@
     events: &mut Vec<(Duration, Event)>,
     group: Group,
     machine: usize,
-    most: u32,
+    max: u32,
 ) {
     let ms = Duration::from_millis;
     let mut from = ms(rng.random_range(300..5_000));
-    for _ in 0..rng.random_range(0..=most) {
+    for _ in 0..rng.random_range(0..=max) {
         let to = from + ms(rng.random_range(200..3_000));
         let (begin, end) = match rng.random_range(0..4) {
             0 => (Action::Kill, Action::Start),
@@ -123,7 +123,7 @@
             2 => (Action::Pause, Action::Resume),
             _ => (Action::Reload, Action::Reload),
         };
-        if from < FAULTS {
+        if from < LAST_FAULT_START {
             events.push((from, Event::Machine(group, machine, begin)));
             events.push((to, Event::Machine(group, machine, end)));
         }
--- a/tests/support/traffic.rs
+++ b/tests/support/traffic.rs
@@ -16,41 +16,43 @@
 use super::{Fleet, eventually};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
-const PAUSE: Duration = Duration::from_millis(50);
-const TURNS: u32 = 30;
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+const TURNS_PER_PROGRAM: u32 = 30;
 
 /// An answer as callers judge it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct CallOutcome {
     pub status: u16,
     pub code: String,
     pub ran: String,
 }
 
-impl Answer {
+impl CallOutcome {
     pub fn is(&self, code: &str, ran: &str) -> bool {
         self.code == code && self.ran == ran
     }
 }
 
 /// Sends a call; without an answer the status is 0.
-pub async fn answer(call: RequestBuilder) -> Answer {
+pub async fn send_call(call: RequestBuilder) -> CallOutcome {
     match call.timeout(CALL_TIMEOUT).send().await {
-        Ok(response) => read(response).await,
-        Err(_) => Answer::default(),
+        Ok(response) => parse_response(response).await,
+        Err(_) => CallOutcome::default(),
     }
 }
 
-async fn read(response: Response) -> Answer {
+async fn parse_response(response: Response) -> CallOutcome {
     let status = response.status().as_u16();
-    let Ok(body) = response.json::<serde_json::Value>().await else { return Answer::default() };
+    let Ok(body) = response.json::<serde_json::Value>().await else {
+        return CallOutcome::default();
+    };
     let text = |name: &str| body["error"][name].as_str().unwrap_or_default().to_owned();
-    Answer { status, code: text("code"), ran: text("ran") }
+    CallOutcome { status, code: text("code"), ran: text("ran") }
 }
 
 /// What callers were promised.
 #[derive(Default)]
-struct Promises {
+struct Acknowledged {
     /// Programs with the number of turns that were answered.
     turns: Mutex<Vec<(String, u32)>>,
     /// Keys of all orders, with whether they were answered.
@@ -59,7 +61,7 @@
 
 /// Callers that run programs and orders at all instances until they are stopped.
 pub struct Traffic {
-    promises: Arc<Promises>,
+    acknowledged: Arc<Acknowledged>,
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicUsize>,
     tasks: JoinSet<()>,
@@ -70,7 +72,7 @@
     entries: Vec<SocketAddr>,
     key: String,
     rng: StdRng,
-    promises: Arc<Promises>,
+    acknowledged: Arc<Acknowledged>,
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicUsize>,
 }
@@ -78,7 +80,7 @@
 impl Traffic {
     /// Starts callers of programs, and as many callers of orders.
     pub fn start(fleet: &Fleet, callers: u64) -> Self {
-        let promises = Arc::<Promises>::default();
+        let acknowledged = Arc::<Acknowledged>::default();
         let stop = Arc::<AtomicBool>::default();
         let answered = Arc::<AtomicUsize>::default();
         let mut tasks = JoinSet::new();
@@ -88,21 +90,21 @@
                 entries: fleet.members.iter().map(|m| m.entry).collect(),
                 key: fleet.objects.team_key().to_owned(),
                 rng: StdRng::seed_from_u64(n),
-                promises: promises.clone(),
+                acknowledged: acknowledged.clone(),
                 stop: stop.clone(),
                 answered: answered.clone(),
             };
             tasks.spawn(caller().run_programs(n));
             tasks.spawn(caller().run_orders(n));
         }
-        Self { promises, stop, answered, tasks }
+        Self { acknowledged, stop, answered, tasks }
     }
 
     /// Waits until calls that begin from now on are answered.
-    pub async fn goes_on(&self) {
-        let enough = self.answered.load(Ordering::Relaxed) + 4 * self.tasks.len();
+    pub async fn wait_for_progress(&self) {
+        let target = self.answered.load(Ordering::Relaxed) + 4 * self.tasks.len();
         let what = "further answers";
-        eventually(what, async || self.answered.load(Ordering::Relaxed) >= enough).await;
+        eventually(what, async || self.answered.load(Ordering::Relaxed) >= target).await;
     }
 
     /// Ends the callers and checks every promise: each answered turn is in the history, in order
@@ -112,7 +114,7 @@
         while let Some(ended) = self.tasks.join_next().await {
             ended.expect("no caller panics");
         }
-        let turns = std::mem::take(&mut *self.promises.turns.lock().expect("no panic"));
+        let turns = std::mem::take(&mut *self.acknowledged.turns.lock().expect("no panic"));
         assert!(!turns.is_empty(), "no turn was answered");
         for (program, answered) in turns {
             let history = fleet.history(&program).await;
@@ -121,7 +123,7 @@
                 .collect();
             assert_eq!(history, whole, "{program}: {answered} turns were answered");
         }
-        let orders = std::mem::take(&mut *self.promises.orders.lock().expect("no panic"));
+        let orders = std::mem::take(&mut *self.acknowledged.orders.lock().expect("no panic"));
         let executions = fleet.all_executions(stand_in).await;
         for (key, answered) in orders {
             let ran = executions.iter().find(|(k, _)| *k == key).map_or(0, |(_, n)| *n);
@@ -139,7 +141,7 @@
     async fn run_programs(mut self, caller: u64) {
         for n in 0.. {
             let program = format!("program-{caller}-{n}");
-            for turn in 1..=TURNS {
+            for turn in 1..=TURNS_PER_PROGRAM {
                 let body = serde_json::json!({
                     "model": "chat-model", "max_tokens": 2,
                     "messages": [{"role": "user", "content": content(&program, turn)}],
@@ -150,20 +152,20 @@
                     }
                     let call = self.call("/v1/chat/completions").json(&body);
                     let call = call.header("x-poplarspan-program", &program);
-                    let got = answer(call.header("x-poplarspan-turn", turn)).await;
+                    let got = send_call(call.header("x-poplarspan-turn", turn)).await;
                     if got.status == 200 {
                         break;
                     }
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
-                self.note_turn(&program, turn);
+                self.record_turn(&program, turn);
             }
         }
     }
 
-    fn note_turn(&self, program: &str, turn: u32) {
+    fn record_turn(&self, program: &str, turn: u32) {
         self.answered.fetch_add(1, Ordering::Relaxed);
-        let mut turns = self.promises.turns.lock().expect("no panic");
+        let mut turns = self.acknowledged.turns.lock().expect("no panic");
         match turns.iter_mut().find(|(p, _)| p == program) {
             Some(known) => known.1 = turn,
             None => turns.push((program.to_owned(), turn)),
@@ -173,19 +175,19 @@
     async fn run_orders(mut self, caller: u64) {
         for n in 0.. {
             let key = format!("order-{caller}-{n}");
-            let mut outcome = Answer::default();
+            let mut outcome = CallOutcome::default();
             while outcome.status != 200 && outcome.code != "outcome_unknown" {
                 if self.stop.load(Ordering::Relaxed) {
                     break;
                 }
                 let call = self.call("/orders").header("idempotency-key", &key).body("{}");
-                outcome = answer(call).await;
+                outcome = send_call(call).await;
                 if outcome.status != 200 {
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
             let answered = outcome.status == 200;
-            self.promises.orders.lock().expect("no panic").push((key, answered));
+            self.acknowledged.orders.lock().expect("no panic").push((key, answered));
             if self.stop.load(Ordering::Relaxed) {
                 return;
             }
--- a/tests/support/watch.rs
+++ b/tests/support/watch.rs
@@ -12,15 +12,15 @@
 
 use super::{Fleet, generation_of};
 
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Watches the generation in force at each instance until it is stopped.
-pub struct Watch {
+pub struct GenerationMonitor {
     stop: Arc<AtomicBool>,
     task: JoinHandle<Vec<u64>>,
 }
 
-impl Watch {
+impl GenerationMonitor {
     pub fn start(fleet: &Fleet) -> Self {
         let stop = Arc::<AtomicBool>::default();
         let (client, stopped) = (fleet.client.clone(), stop.clone());
@@ -29,18 +29,18 @@
         let task = tokio::spawn(async move {
             let mut highest = vec![0; members.len()];
             while !stopped.load(Ordering::Relaxed) {
-                for (i, (probe, has_disk)) in members.iter().enumerate() {
+                for (i, (probe, is_replica)) in members.iter().enumerate() {
                     let Some(generation) = generation_of(&client, *probe).await else { continue };
                     // Without a disk an instance starts without objects.
-                    let none_yet = generation == 0 && !has_disk;
+                    let not_loaded = generation == 0 && !is_replica;
                     assert!(
-                        none_yet || generation >= highest[i],
+                        not_loaded || generation >= highest[i],
                         "instance {i} went back from generation {} to {generation}",
                         highest[i]
                     );
                     highest[i] = highest[i].max(generation);
                 }
-                sleep(PAUSE).await;
+                sleep(POLL_INTERVAL).await;
             }
             highest
         });
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::{Fleet, calls::Seen};
+use support::{Fleet, calls::CallResponse};
 
 const FAULTS: [&str; 5] = ["truncate", "crossed", "silent", "crash", "late:5000"];
 
@@ -14,18 +14,18 @@
 }
 
 /// A whole answer, or a refusal, or a body that fails.
-fn check(what: &str, seen: &Seen, stream: bool) {
-    let Ok(body) = &seen.body else { return };
-    if seen.status != 200 {
-        assert!(!seen.code().is_empty(), "{what}: {seen:?}");
+fn check(what: &str, response: &CallResponse, stream: bool) {
+    let Ok(body) = &response.body else { return };
+    if response.status != 200 {
+        assert!(!response.code().is_empty(), "{what}: {response:?}");
         return;
     }
     if stream {
-        assert!(body.ends_with("data: [DONE]\n\n"), "{what}: {seen:?}");
-        assert!(body.matches("data: ").count() >= 4, "{what}: {seen:?}");
+        assert!(body.ends_with("data: [DONE]\n\n"), "{what}: {response:?}");
+        assert!(body.matches("data: ").count() >= 4, "{what}: {response:?}");
     } else {
         let body: Value = serde_json::from_str(body).expect("whole JSON");
-        assert_eq!(body["usage"]["completion_tokens"], 4, "{what}: {seen:?}");
+        assert_eq!(body["usage"]["completion_tokens"], 4, "{what}: {response:?}");
     }
 }
 
@@ -43,10 +43,10 @@
                     let call = call.header("x-poplarspan-deadline", 1500);
                     if program { call.header("x-poplarspan-program", &id) } else { call }
                 };
-                let seen = Seen::of(call(1).header("x-standin-fault", fault)).await;
-                check(&what, &seen, stream);
-                assert!(seen.status != 200 || seen.body.is_err(), "{what}: {seen:?}");
-                let again = Seen::of(call(0).header("idempotency-key", "other")).await;
+                let response = CallResponse::fetch(call(1).header("x-standin-fault", fault)).await;
+                check(&what, &response, stream);
+                assert!(response.status != 200 || response.body.is_err(), "{what}: {response:?}");
+                let again = CallResponse::fetch(call(0).header("idempotency-key", "other")).await;
                 check(&what, &again, stream);
             }
         }
@@ -92,9 +92,9 @@
                 } else {
                     call
                 };
-                let seen = Seen::of(call).await;
-                assert_eq!(seen.status, 200, "{what}: {seen:?}");
-                check(&what, &seen, n % 2 == 1);
+                let response = CallResponse::fetch(call).await;
+                assert_eq!(response.status, 200, "{what}: {response:?}");
+                check(&what, &response, n % 2 == 1);
             }
         }
         fleet.start_stand_in(killed);
--- a/tests/withdrawn_key.rs
+++ b/tests/withdrawn_key.rs
@@ -6,7 +6,7 @@
 
 use support::{
     Fleet, eventually,
-    traffic::{Answer, answer},
+    traffic::{CallOutcome, send_call},
 };
 use tokio::task::JoinSet;
 
@@ -17,8 +17,8 @@
 /// from the start of the operator's command to its end, which is more.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(7);
 
-fn unauthorized() -> Answer {
-    Answer { status: 401, code: "unauthorized".to_owned(), ran: "no".to_owned() }
+fn unauthorized() -> CallOutcome {
+    CallOutcome { status: 401, code: "unauthorized".to_owned(), ran: "no".to_owned() }
 }
 
 /// A withdrawn key stops within seconds, on open connections and for calls that wait in the queue.
@@ -34,17 +34,17 @@
     for i in 0..2 {
         let url = format!("http://{}/v1/models", fleet.members[i].entry);
         let models = fleet.client.get(url).bearer_auth(fleet.objects.team_key());
-        assert_eq!(answer(models).await.status, 200);
+        assert_eq!(send_call(models).await.status, 200);
     }
     let mut calls = JoinSet::new();
     for n in 0..CALLS {
         let program = fleet.chat(n % 2, "waits").header("x-poplarspan-program", format!("p-{n}"));
-        calls.spawn(answer(if n % 4 < 2 { program } else { fleet.chat(n % 2, "waits") }));
-        calls.spawn(answer(fleet.order(n % 2, &format!("order-{n}"), "{}")));
+        calls.spawn(send_call(if n % 4 < 2 { program } else { fleet.chat(n % 2, "waits") }));
+        calls.spawn(send_call(fleet.order(n % 2, &format!("order-{n}"), "{}")));
     }
     eventually("calls at the endpoints", async || {
         !fleet.all_executions(SERVICE).await.is_empty()
-            && fleet.ask(ENGINE, "/load").await["running"] != 0
+            && fleet.query_stand_in(ENGINE, "/load").await["running"] != 0
     })
     .await;
     fleet.objects.withdrawn = true;
@@ -54,8 +54,8 @@
     assert!(took < IN_FORCE_WITHIN, "in force after {took:?}");
     let ran = fleet.all_executions(SERVICE).await;
     for i in 0..2 {
-        assert_eq!(answer(fleet.chat(i, "late")).await, unauthorized());
-        assert_eq!(answer(fleet.order(i, "late", "{}")).await, unauthorized());
+        assert_eq!(send_call(fleet.chat(i, "late")).await, unauthorized());
+        assert_eq!(send_call(fleet.order(i, "late", "{}")).await, unauthorized());
     }
     let mut refused = 0;
     while let Some(answer) = calls.join_next().await {
--- a/tests/zone_loss.rs
+++ b/tests/zone_loss.rs
@@ -21,13 +21,13 @@
         (0..MEMBERS).partition(|i| fleet.members[*i].zone == zone);
     assert_eq!(lost.len(), 2);
     let publisher = Publisher::start(&fleet, &rest);
-    publisher.goes_on().await;
-    traffic.goes_on().await;
+    publisher.wait_for_progress().await;
+    traffic.wait_for_progress().await;
     for i in &lost {
         fleet.kill(*i);
     }
-    publisher.goes_on().await;
-    traffic.goes_on().await;
+    publisher.wait_for_progress().await;
+    traffic.wait_for_progress().await;
     let generation = publisher.stop().await;
     for i in rest {
         fleet.wait_generation(i, generation).await;
--- a/tests/zone_out.rs
+++ b/tests/zone_out.rs
@@ -12,7 +12,7 @@
 
 use support::{
     Fleet, eventually,
-    traffic::{Answer, answer},
+    traffic::{CallOutcome, send_call},
 };
 use tokio::{task::JoinSet, time::sleep};
 
@@ -21,12 +21,12 @@
 const OTHERS: [usize; 2] = [1, 2];
 const CALLERS: usize = 24;
 /// For calls that had been sent before.
-const A_FEW_SECONDS: Duration = Duration::from_secs(1);
+const IN_FLIGHT_GRACE: Duration = Duration::from_secs(1);
 
 /// Callers that keep queues at both instances, until they are stopped.
 struct Callers {
     stop: Arc<AtomicBool>,
-    tasks: JoinSet<Vec<Answer>>,
+    tasks: JoinSet<Vec<CallOutcome>>,
 }
 
 impl Callers {
@@ -45,7 +45,7 @@
                     }
                     let request = client.get(&url).bearer_auth(&key);
                     let key = format!("call-{n}-{call}");
-                    let got = answer(request.header("idempotency-key", key)).await;
+                    let got = send_call(request.header("idempotency-key", key)).await;
                     if got.status != 200 {
                         refused.push(got);
                     }
@@ -73,14 +73,14 @@
 }
 
 /// Checks that the first endpoint gets nothing while the others go on, and gets calls again after
-/// `put_back` is published.
-async fn check_out_and_back(fleet: &mut Fleet, put_back: impl FnOnce(&mut Fleet)) {
+/// `restore` is published.
+async fn check_out_and_back(fleet: &mut Fleet, restore: impl FnOnce(&mut Fleet)) {
     fleet.publish_and_wait_in_force().await;
-    sleep(A_FEW_SECONDS).await;
+    sleep(IN_FLIGHT_GRACE).await;
     let (first, others) = (served(fleet, FIRST).await, served_by_others(fleet).await);
     eventually("calls elsewhere", async || served_by_others(fleet).await > others + 100).await;
     assert_eq!(served(fleet, FIRST).await, first, "calls at the endpoint that was taken out");
-    put_back(fleet);
+    restore(fleet);
     fleet.publish_and_wait_in_force().await;
     eventually("calls at the endpoint again", async || served(fleet, FIRST).await > first).await;
 }
