--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Guards against a second run of a call that must run at most once, whatever its endpoint does.
+//! Guards against a second execution of a call that must run at most once, under any failure of its
+//! endpoint.
 
 mod support;
 
@@ -12,7 +13,8 @@
     ("orders-2", "service", &["--restart-after", "100ms", "--delay", "50ms"]),
 ];
 
-/// An endpoint that fails after it ran an order leads to a second run, by a retry or by a resend.
+/// An order must not run again, through the instance's retry or the caller's resend, after its
+/// endpoint has run it and then failed.
 #[tokio::test(flavor = "multi_thread")]
 async fn failing_endpoint() {
     let fleet = Fleet::with_stand_ins(2, &SERVICES).await;
@@ -28,7 +30,7 @@
             let expected = ("outcome_unknown".to_owned(), "unknown".to_owned());
             assert_eq!(again.refusal(), expected, "{fault}: {again:?}");
         }
-        eventually("the services", async || {
+        eventually("both services to restart", async || {
             fleet.try_query_stand_in(0, "/load").await.is_some()
                 && fleet.try_query_stand_in(1, "/load").await.is_some()
         })
@@ -37,7 +39,8 @@
     }
 }
 
-/// A status of failure is an answer: the order ran, and the answer is kept for resends.
+/// An error status from the endpoint is a response: the order ran, and resends get the recorded
+/// response.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_order() {
     let fleet = Fleet::with_stand_ins(1, &SERVICES).await;
@@ -48,8 +51,8 @@
     assert_eq!(fleet.executions_of("order-1").await, 1);
 }
 
-/// An endpoint that dies in the middle of an order leads to a run at another endpoint, and one that
-/// is dead before an order arrives leads to a refusal although the order could still run.
+/// An order whose endpoint is killed while it runs must not be sent to another endpoint. An order
+/// that arrives after its endpoint was killed must be sent to another one instead of being refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_endpoint() {
     let flags: &[&str] = &["--delay", "800ms"];
@@ -59,7 +62,7 @@
     let mut at = None;
     eventually("a running order", async || {
         for i in 0..2 {
-            let load = fleet.try_query_stand_in(i, "/load").await.expect("a load report");
+            let load = fleet.try_query_stand_in(i, "/load").await.expect("no load report");
             if load["running"] == 1 {
                 at = Some(i);
             }
@@ -67,14 +70,14 @@
         at.is_some()
     })
     .await;
-    let killed = at.expect("a service");
+    let killed = at.expect("no service runs the order");
     fleet.kill_stand_in(killed);
-    let first = call.await.expect("no panic");
+    let first = call.await.expect("task panicked");
     let unknown = ("outcome_unknown".to_owned(), "unknown".to_owned());
     assert_eq!(first.refusal(), unknown, "{first:?}");
     let again = CallResponse::fetch(fleet.order(0, "during", "{}")).await;
     assert_eq!(again.refusal(), unknown, "{again:?}");
-    assert_eq!(fleet.executions_of("during").await, 0, "the other service got the order");
+    assert_eq!(fleet.executions_of("during").await, 0, "the order was sent to the other service");
     for n in 0..4 {
         let key = format!("before-{n}");
         let answer = CallResponse::fetch(fleet.order(n % 2, &key, &key)).await;
@@ -89,14 +92,14 @@
     assert!(refused.headers.contains_key("retry-after"), "{refused:?}");
     fleet.start_stand_in(0);
     fleet.start_stand_in(1);
-    eventually("an answer after all", async || {
+    eventually("the order to succeed after the restart", async || {
         CallResponse::fetch(fleet.order(0, "nowhere", "{}")).await.status == 200
     })
     .await;
     assert_eq!(fleet.executions_of("nowhere").await, 1);
 }
 
-/// Copies of an order at several instances at the same moment run side by side.
+/// Copies of an order that arrive at several instances at the same time must not run in parallel.
 #[tokio::test(flavor = "multi_thread")]
 async fn parallel_copies() {
     let fleet = Fleet::with_stand_ins(2, &SERVICES).await;
@@ -114,14 +117,14 @@
     }
 }
 
-/// A caller that hangs up leaves its order open, so that a resend never learns how it ended.
+/// An order whose caller disconnects must still be recorded, so that a resend gets its response.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_gone() {
     let flags: &[&str] = &["--delay", "300ms"];
     let fleet = Fleet::with_stand_ins(1, &[("orders-1", "service", flags)]).await;
     let order = fleet.order(1, "order-1", "{}").timeout(Duration::from_millis(150));
-    order.send().await.expect_err("the caller hangs up");
-    eventually("the recorded answer", async || {
+    order.send().await.expect_err("the client timeout must expire first");
+    eventually("the recorded response", async || {
         let again = CallResponse::fetch(fleet.order(0, "order-1", "{}")).await;
         assert!(again.status == 200 || again.code() == "conflict", "{again:?}");
         again.status == 200 && again.is_replay()
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Guards against callers that make an instance fail, wait or grow by what they send.
+//! Guards against input that makes an instance crash, hang or grow in memory.
 
 mod support;
 
@@ -23,7 +23,7 @@
     assert_eq!(response.status, 200, "{response:?}\n{}", fleet.log(1));
 }
 
-/// A malformed call is answered without a clear error, or reaches an endpoint.
+/// A malformed call must be refused with a specific error and must not be executed.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_calls() {
     let fleet = fleet().await;
@@ -56,13 +56,13 @@
     ];
     let before = fleet.try_query_stand_in(0, "/load").await;
     for (what, call, status, code) in cases {
-        // A refused body may be answered while it is still being sent.
+        // The instance may respond and close while the refused body is still being sent.
         let Ok(answer) = call.send().await else {
             assert!(what.ends_with("body"), "{what}");
             continue;
         };
         assert_eq!(answer.status(), status, "{what}");
-        let answer: serde_json::Value = answer.json().await.expect("a refusal in JSON");
+        let answer: serde_json::Value = answer.json().await.expect("refusal is not JSON");
         assert_eq!(answer["error"]["code"], code, "{what}");
         assert_eq!(answer["error"]["ran"], "no", "{what}");
     }
@@ -70,7 +70,8 @@
     check_serving(&fleet).await;
 }
 
-/// Bytes that are no HTTP, oversized heads and slow senders occupy an instance for ever, or end it.
+/// Bytes that are not HTTP, oversized heads and slow senders must neither hold connections forever
+/// nor crash the instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn raw_bytes() {
     let fleet = fleet().await;
@@ -83,16 +84,16 @@
     let memory = fleet.resident_bytes(1);
     for address in [entry, probe] {
         for bytes in [&garbage[..], large_head.as_bytes(), &broken_frames] {
-            let answer = send_raw(address, bytes).await.expect("a closed connection");
+            let answer = send_raw(address, bytes).await.expect("connection was not closed");
             assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
         }
         let slow = ["", "PRI * HTT", "GET /healthz HTTP/1.1\r\nhost: a\r\nx: "];
         let slow = slow.map(|start| send_slowly(address, start.as_bytes()));
         for answer in join_all(slow).await {
-            assert!(!answer.expect("a closed connection").starts_with("HTTP/1.1 2"));
+            assert!(!answer.expect("connection was not closed").starts_with("HTTP/1.1 2"));
         }
-        // Neither may a connection without a byte stay open.
-        let silent = TcpStream::connect(address).await.expect("a connection");
+        // A connection without any data must be closed, too.
+        let silent = TcpStream::connect(address).await.expect("failed to connect");
         assert!(read_to_close(silent).await.is_some());
     }
     let head = format!(
@@ -100,17 +101,18 @@
          content-length: 100000\r\n\r\n",
         fleet.objects.team_key()
     );
-    let answer = send_slowly(entry, head.as_bytes()).await.expect("a closed connection");
+    let answer = send_slowly(entry, head.as_bytes()).await.expect("connection was not closed");
     assert!(answer.starts_with("HTTP/1.1 400") && answer.contains("bad_request"), "{answer}");
-    let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
+    let socket = UdpSocket::bind("127.0.0.1:0").await.expect("failed to bind a UDP socket");
     for chunk in garbage.chunks(1200).cycle().take(2000) {
-        socket.send_to(chunk, fleet.members[1].peer).await.expect("sent");
+        socket.send_to(chunk, fleet.members[1].peer).await.expect("failed to send");
     }
     check_serving(&fleet).await;
     assert!(fleet.resident_bytes(1) < memory + MAX_GROWTH_BYTES, "{memory}");
 }
 
-/// Callers above the limits wait without an answer, or take the place of others for good.
+/// Callers above the limits on connections and memory must be refused at once, and must not keep
+/// others from being served afterwards.
 #[tokio::test(flavor = "multi_thread")]
 async fn too_many() {
     let mut fleet = fleet().await;
@@ -118,15 +120,15 @@
     let memory = fleet.resident_bytes(1);
     let entry = fleet.members[1].entry;
     let fresh = reqwest::Client::builder().no_proxy().pool_max_idle_per_host(0).build();
-    fleet.client = fresh.expect("client");
+    fleet.client = fresh.expect("failed to build the HTTP client");
     let mut open = Vec::new();
     for _ in 0..60 {
-        open.push(TcpStream::connect(entry).await.expect("a connection"));
+        open.push(TcpStream::connect(entry).await.expect("failed to connect"));
     }
     let answers = join_all(open.into_iter().map(read_to_close)).await;
     let rejected = answers.iter().flatten().filter(|answer| answer.contains("overloaded")).count();
-    assert!(answers.iter().all(Option::is_some), "a connection stays open");
-    assert!(rejected >= 30, "{rejected} callers were rejected");
+    assert!(answers.iter().all(Option::is_some), "a connection was not closed");
+    assert!(rejected >= 30, "only {rejected} callers were refused as overloaded");
     check_serving(&fleet).await;
     let large = "a".repeat(300_000);
     let calls = (0..12).map(|n| CallResponse::fetch(fleet.chat(1, &format!("{n} {large}"))));
--- a/tests/crash_containment.rs
+++ b/tests/crash_containment.rs
@@ -1,4 +1,4 @@
-//! Guards against one request that takes down endpoint after endpoint.
+//! Guards against a single request that crashes one endpoint after another.
 
 mod support;
 
@@ -24,8 +24,8 @@
     (0..fleet.stand_ins.len()).filter(crashes).count()
 }
 
-/// A request that crashes endpoints reaches more than two of them, because its caller resends it to
-/// other instances, or gets no final answer.
+/// A request that crashes endpoints must reach at most two of them, also if its caller resends it
+/// to other instances, and must get a final error.
 #[tokio::test(flavor = "multi_thread")]
 async fn resent_request() {
     let fleet = engines().await;
@@ -43,14 +43,14 @@
     for other in join_all(others).await {
         assert_eq!(other.status, 200, "{other:?}");
     }
-    for copy in copies.await.expect("no panic") {
+    for copy in copies.await.expect("task panicked") {
         assert_eq!(copy.code(), refused.0, "{copy:?}");
     }
     assert_eq!(crashed(&fleet), 2);
 }
 
-/// Copies that are sent to all instances in parallel, after an answer that leaves one more run,
-/// crash one endpoint each.
+/// Copies sent to all instances in parallel, after the request has crashed one endpoint, must
+/// crash at most one more in total.
 #[tokio::test(flavor = "multi_thread")]
 async fn parallel_resends() {
     let names = ["orders-1", "orders-2", "orders-3", "orders-4", "orders-5"];
@@ -74,7 +74,8 @@
     assert_eq!(other.status, 200, "{other:?}");
 }
 
-/// A request that was refused reaches endpoints again after a restart of all instances.
+/// A request that was refused for crashing endpoints must stay refused after a restart of all
+/// instances.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_after_restart() {
     let mut fleet = engines().await;
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,4 +1,5 @@
-//! A request that ends each server that runs it comes back under new ids, at any front.
+//! Guards against requests that crash every server that runs them and that callers resend under new
+//! ids at any front.
 
 #[path = "support/platform.rs"]
 mod platform;
@@ -11,22 +12,22 @@
 use futures::future::join_all;
 use platform::{Call, KEY, RelayFleet, config, eventually, servers::RESTART_DELAY};
 
-/// Servers that such a request may end before it is known.
+/// Servers that such a request may crash before it is refused.
 const MAX_CRASHES: usize = 3;
-/// Further runs of copies that come in parallel, later than [`RETRY_GRACE`] after the third.
+/// Executions of parallel copies allowed later than [`RETRY_GRACE`] after the third execution.
 const MAX_RETRIES: usize = 3;
 const RETRY_GRACE: Duration = Duration::from_secs(3);
 const RESENDS: usize = 6;
-/// All servers are back, and fronts use them again.
+/// Time after which all servers have restarted and fronts use them again.
 const RECOVERY_DELAY: Duration = RESTART_DELAY.saturating_add(Duration::from_secs(1));
 const REFUSED_STATUS: u16 = 422;
 
 async fn check_served(fleet: &RelayFleet, path: &str, call: Call<'_>) {
     let served = async || fleet.call(0, path, "other", call).await.status == 200;
-    eventually("others are served", served).await;
+    eventually("other calls are served", served).await;
 }
 
-/// Sends the same request again and again, to both fronts in turn; returns the last answer's status.
+/// Sends the same request `resends` times, to both fronts in turn; returns the last status.
 async fn resend(fleet: &RelayFleet, path: &str, resends: usize) -> u16 {
     let mut status = 0;
     for n in 0..resends {
@@ -41,40 +42,40 @@
     let runs = fleet.servers.runs_of_path(path);
     let third = runs[MAX_CRASHES - 1].at;
     let late = runs.iter().filter(|run| run.at > third + RETRY_GRACE).count();
-    assert!(late <= MAX_RETRIES, "{late} late runs of {}", runs.len());
+    assert!(late <= MAX_RETRIES, "{late} late executions of {}", runs.len());
 }
 
 async fn check_crash_limit(path: &str) {
     let fleet = RelayFleet::start(&config(3, &[KEY])).await;
     let status = resend(&fleet, path, RESENDS).await;
     let ended = fleet.servers.runs_of_path(path).len();
-    assert!(ended <= MAX_CRASHES, "{ended} servers have ended");
+    assert!(ended <= MAX_CRASHES, "{ended} servers have crashed");
     assert_eq!(status, REFUSED_STATUS);
     check_served(&fleet, "/safe/x", Call::default()).await;
-    // The same place with another body is another request.
+    // The same path with another body is a different request.
     let path = path.replace("/crash", "/x");
     check_served(&fleet, &path, Call { body: "other", ..Call::default() }).await;
 }
 
-/// Guards against a request that is sent on after three servers have ended under it.
+/// A request must not be sent to a server again after three servers have crashed while running it.
 #[tokio::test(flavor = "multi_thread")]
 async fn ends_three_servers_only() {
     check_crash_limit("/safe/crash").await;
 }
 
-/// Guards against the same where each attempt reaches one server.
+/// The same for requests that must not be repeated, so that each attempt reaches one server.
 #[tokio::test(flavor = "multi_thread")]
 async fn unrepeatable_ends_three() {
     check_crash_limit("/once/crash").await;
 }
 
-/// Guards against the same where servers end in the middle of their answers.
+/// The same for servers that crash in the middle of a streamed response.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_ends_three() {
     check_crash_limit("/stream/midway/crash").await;
 }
 
-/// Guards against copies of such a request that come to all fronts at once.
+/// Copies of such a request that arrive at all fronts at the same time must be refused, too.
 #[tokio::test(flavor = "multi_thread")]
 async fn copies_in_parallel() {
     let fleet = RelayFleet::start(&config(3, &[KEY])).await;
@@ -90,7 +91,7 @@
     check_served(&fleet, "/safe/x", Call::default()).await;
 }
 
-/// Guards against resends that come to another front before it has heard of the request.
+/// Resends must be refused at another front, also if it did not know of the request yet.
 #[tokio::test(flavor = "multi_thread")]
 async fn resent_at_once() {
     let fleet = RelayFleet::start(&config(3, &[KEY])).await;
@@ -107,7 +108,7 @@
     check_served(&fleet, "/safe/x", Call::default()).await;
 }
 
-/// Guards against a refused request that runs again after a restart of all processes.
+/// A refused request must not run again after a restart of the control replicas and fronts.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_after_restart() {
     let mut fleet = RelayFleet::start(&config(3, &[KEY])).await;
@@ -124,7 +125,7 @@
     assert_eq!(fleet.servers.runs_of_path("/safe/crash").len(), ended);
 }
 
-/// Guards against a refusal that outlives the fault: after a minute the request is tried again.
+/// The refusal must not outlive the fault: after a minute the request is tried again.
 #[tokio::test(flavor = "multi_thread")]
 async fn served_once_mended() {
     let fleet = RelayFleet::start(&config(3, &[KEY])).await;
@@ -136,12 +137,13 @@
         let id = format!("mended-{n}");
         fleet.call((n % 2) as u8, "/safe/crash", &id, Call::default()).await.status == 200
     };
-    // The refusal lasts as long as the patience of the test.
+    // The refusal lasts as long as `WAIT_TIMEOUT`, so part of it passes before the wait.
     tokio::time::sleep(RECOVERY_DELAY * 5).await;
-    eventually("a request that is mended is served", served).await;
+    eventually("the request is served after the fix", served).await;
 }
 
-/// Guards against the loss of suspects when control ends before the third server.
+/// Suspected requests must not be forgotten when all control replicas are killed before the third
+/// crash.
 #[tokio::test(flavor = "multi_thread")]
 async fn suspect_after_leader_loss() {
     let mut fleet = RelayFleet::start(&config(3, &[KEY])).await;
@@ -154,10 +156,10 @@
     check_served(&fleet, "/safe/x", Call::default()).await;
     assert_eq!(resend(&fleet, "/safe/crash", 3).await, REFUSED_STATUS);
     let ended = fleet.servers.runs_of_path("/safe/crash").len();
-    assert!(ended <= MAX_CRASHES, "{ended} servers have ended");
+    assert!(ended <= MAX_CRASHES, "{ended} servers have crashed");
 }
 
-/// Guards against the refusal of requests that only ran beside one that ends servers.
+/// Requests that only ran at the same time as a crashing one must not be refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn bystanders_are_served() {
     const CALLERS: usize = 12;
--- a/tests/endless_bytes.rs
+++ b/tests/endless_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes that never end, from servers in trouble and from callers: the call ends in its time, nothing
-//! of them passes for a whole answer, and the front keeps within its memory.
+//! Guards against responses and requests that never end: the call must end at its timeout, must not
+//! be reported as a complete success, and the front must keep its memory limit.
 
 #[path = "support/platform.rs"]
 mod platform;
@@ -7,14 +7,14 @@
 use std::time::{Duration, Instant};
 
 use futures::future::join_all;
-use platform::{Answer, Call, KEY, RelayFleet, config};
+use platform::{Call, CallResponse, KEY, RelayFleet, config};
 use serde_json::Value;
 use tokio::{io::AsyncWriteExt, net::TcpStream, time::sleep};
 
-/// Memory of the smallest machines with a front.
+/// Memory of the smallest machine that runs a front, in MiB.
 const MAX_FRONT_MIB: u64 = 88;
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after its timeout in which a call has its final answer.
+/// Time after its timeout within which a call must have its final response.
 const ANSWER_GRACE: Duration = Duration::from_millis(500);
 const CALLS: usize = 48;
 const BODIES: usize = 60;
@@ -22,14 +22,15 @@
 
 fn with_timeout() -> Value {
     let mut config = config(3, &[KEY]);
-    for route in config["routes"].as_array_mut().expect("routes") {
-        route["timeoutMs"] = u64::try_from(TIMEOUT.as_millis()).expect("small").into();
+    for route in config["routes"].as_array_mut().expect("no list of routes") {
+        route["timeoutMs"] =
+            u64::try_from(TIMEOUT.as_millis()).expect("timeout out of range").into();
     }
     config["limits"]["maxBodyBytes"] = (4 << 20).into();
     config
 }
 
-fn is_whole_success(answer: &Answer) -> bool {
+fn is_complete_success(answer: &CallResponse) -> bool {
     answer.status == 200 && answer.body.is_ok()
 }
 
@@ -38,7 +39,7 @@
         let since = Instant::now();
         let id = format!("{path}-{n}");
         let answer = fleet.call(0, path, &id, Call::default()).await;
-        assert!(!is_whole_success(&answer), "{path} passed for an answer");
+        assert!(!is_complete_success(&answer), "{path} was reported as a complete success");
         assert!(since.elapsed() < TIMEOUT + ANSWER_GRACE, "{path} took {:?}", since.elapsed());
     };
     let most = async {
@@ -74,28 +75,30 @@
     }
 }
 
-/// A refusal whose body never comes holds the call up no longer than a moment.
+/// A refusal whose body never arrives must not delay the call until its timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_without_body() {
     let fleet = RelayFleet::start(&with_timeout()).await;
     let since = Instant::now();
     let answer = fleet.call(0, "/once/faulty/refusal", "refused", Call::default()).await;
-    assert_eq!(answer.status, 503, "nothing has run");
+    assert_eq!(answer.status, 503, "the refusal says that the call did not run");
     assert!(since.elapsed() < TIMEOUT, "{:?}", since.elapsed());
 }
 
-/// Callers that send most of a large body each, and no more.
+/// Callers that each send all but one byte of a large body must not exhaust the memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn from_callers() {
     let fleet = RelayFleet::start(&with_timeout()).await;
     let send = async |n: usize| {
-        let mut stream = TcpStream::connect(fleet.front_address(0)).await.expect("a front");
+        let mut stream = TcpStream::connect(fleet.front_address(0))
+            .await
+            .expect("failed to connect to the front");
         let head = format!(
             "POST /safe/x HTTP/1.1\r\nhost: calls.example\r\nrequest-id: large-{n}\r\n\
              api-key: {KEY}\r\ncontent-length: {}\r\n\r\n",
             BODY_BYTES + 1
         );
-        // A refused caller's connection is closed before it has sent everything.
+        // The front may close the connection of a refused caller while it is still sending.
         let _ = stream.write_all(head.as_bytes()).await;
         let _ = stream.write_all(&vec![b'a'; BODY_BYTES]).await;
         stream
@@ -108,7 +111,7 @@
         sleep(Duration::from_millis(20)).await;
     }
     drop(streams);
-    // What they held is free again.
+    // The memory of the abandoned bodies must be free again.
     sleep(TIMEOUT).await;
     let large = "x".repeat(BODY_BYTES);
     let answer = fleet.call(0, "/safe/x", "after", Call { body: &large, ..Call::default() }).await;
--- a/tests/fleet_rate.rs
+++ b/tests/fleet_rate.rs
@@ -1,4 +1,4 @@
-//! Guards against a team that gets more than its rate by calling many instances.
+//! Guards against a team that exceeds its rate by calling many instances.
 
 mod support;
 
@@ -19,7 +19,7 @@
     Fleet::configured(3, stand_ins, |fleet| fleet.objects.rate = (RATE, BURST)).await
 }
 
-/// Calls of one team at one instance, at an even pace, until the time is over.
+/// Sends calls of one team to one instance at a fixed interval; returns the responses.
 async fn send(
     fleet: &Fleet,
     i: usize,
@@ -44,24 +44,25 @@
         tokio::time::sleep(pace).await;
     }
     let answers = futures::future::join_all(calls).await;
-    // A killed instance gives no answers.
-    answers.into_iter().filter_map(|answer| answer.expect("no panic")).collect()
+    // Calls to a killed instance have no response.
+    answers.into_iter().filter_map(|answer| answer.expect("task panicked")).collect()
 }
 
-/// Number of calls of the team that reached the service.
+/// Number of calls with this key that reached the service.
 async fn reached(fleet: &Fleet, key: &str) -> u64 {
-    let list: Value = fleet.try_query_stand_in(0, "/executions").await.expect("a list");
-    let counted = list.as_array().expect("a list").iter().find(|e| e["key"] == key);
-    counted.map_or(0, |e| e["executions"].as_u64().expect("a count"))
+    let list: Value = fleet.try_query_stand_in(0, "/executions").await.expect("not a list");
+    let counted = list.as_array().expect("not a list").iter().find(|e| e["key"] == key);
+    counted.map_or(0, |e| e["executions"].as_u64().expect("not a count"))
 }
 
 fn check_bound(reached: u64, started: Instant) {
     let most = f64::from(BURST) + f64::from(RATE) * started.elapsed().as_secs_f64();
-    assert!(reached as f64 <= most, "{reached} calls, and at most {most} are within the rate");
-    assert!(reached > u64::from(RATE), "the team got next to nothing: {reached}");
+    assert!(reached as f64 <= most, "{reached} calls reached the service; the rate allows {most}");
+    assert!(reached > u64::from(RATE), "only {reached} calls reached the service");
 }
 
-/// The instances together let more through than the rate, or refuse another team within its rate.
+/// The instances together must keep to the rate of a team, and must not refuse another team within
+/// its rate.
 #[tokio::test(flavor = "multi_thread")]
 async fn greedy_team() {
     let fleet = limited().await;
@@ -78,7 +79,7 @@
     );
     check_bound(reached(&fleet, greedy).await, started);
     for refused in [a, b, c, d].iter().flatten().filter(|response| response.status != 200) {
-        // A token that comes just before the deadline leaves no time for the call.
+        // A rate token that arrives just before the deadline leaves no time for the call.
         assert!(["rate_limited", "overloaded", "deadline"].contains(&refused.code().as_str()));
         assert!(refused.ran() == "no" || refused.code() == "deadline", "{refused:?}");
         assert!(refused.headers.contains_key("retry-after"), "{refused:?}");
@@ -87,17 +88,18 @@
     assert_eq!(reached(&fleet, modest).await, other.len() as u64);
 }
 
-/// A new owner of a team's bucket starts with a full one while grants of the former are in use.
+/// The new owner of a team's token bucket must not start with a full bucket while grants of the
+/// previous owner are still in use.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_owner() {
     let mut fleet = limited().await;
     let greedy = fleet.objects.team_key().to_owned();
     let started = Instant::now();
     let pace = Duration::from_millis(25);
-    // Each entry instance in turn, as any of them may own the bucket.
+    // Any entry instance may own the bucket, so each is killed in turn.
     for killed in 1..4 {
         let until = Instant::now() + Duration::from_secs(4);
-        let victim = fleet.members[killed].process.take().expect("the instance runs");
+        let victim = fleet.members[killed].process.take().expect("instance is not running");
         let kill = async {
             tokio::time::sleep(Duration::from_secs(1)).await;
             victim.kill();
--- a/tests/frozen_instance.rs
+++ b/tests/frozen_instance.rs
@@ -1,5 +1,5 @@
-//! Guards against calls under a withdrawn key, and against stale statements, when an instance goes
-//! on after it was frozen for longer than its lease.
+//! Guards against calls under a withdrawn key, and against stale status replies, when an instance
+//! resumes after a suspension (SIGSTOP) longer than its lease.
 
 mod support;
 
@@ -15,11 +15,11 @@
 const CALLS: usize = 24;
 
 fn process(fleet: &Fleet, i: usize) -> &Process {
-    fleet.members[i].process.as_ref().expect("the instance runs")
+    fleet.members[i].process.as_ref().expect("instance is not running")
 }
 
-/// Calls that an instance had accepted, or finds when it goes on, do not run once the key was
-/// withdrawn meanwhile.
+/// Calls that an instance had accepted before the suspension, or receives when it resumes, must not
+/// run if the key was withdrawn in the meantime.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_withdrawn_meanwhile() {
     let mut fleet = Fleet::prepare(3, 1).await;
@@ -31,7 +31,7 @@
     check_frozen(&mut fleet, ENTRY).await;
 }
 
-/// The same for the leader of group 0, which must not go on as a leader either.
+/// The same for the leader of group 0, which must not continue to act as leader either.
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_frozen() {
     let mut fleet = Fleet::prepare(3, 0).await;
@@ -51,15 +51,16 @@
             calls.spawn(send_call(fleet.order(frozen, &format!("{when}-{n}"), "{}")));
         }
     };
-    // More than the service takes at once, so that some wait in the instance.
+    // More calls than the service accepts at once, so that some are queued in the instance.
     send(fleet, &mut calls, "before");
-    eventually("the first calls", async || !fleet.all_executions(SERVICE).await.is_empty()).await;
+    eventually("the first executions", async || !fleet.all_executions(SERVICE).await.is_empty())
+        .await;
     process(fleet, frozen).freeze();
     send(fleet, &mut calls, "meanwhile");
     fleet.objects.withdrawn = true;
-    let through = (0..3).find(|i| *i != frozen).expect("another replica");
+    let through = (0..3).find(|i| *i != frozen).expect("no other replica");
     let generation = fleet.generation();
-    // Returns once it is in force, which waits for the end of the lease.
+    // Returns once the withdrawal is in force, after the end of the lease.
     fleet.publish(through, generation, "withdrawal").success();
     fleet.set_published_generation(generation + 1);
     sleep(FREEZE_TIME).await;
@@ -74,7 +75,7 @@
     send(fleet, &mut calls, "after");
     let mut answered = 0;
     while let Some(answer) = calls.join_next().await {
-        answered += usize::from(answer.expect("no panic").status == 200);
+        answered += usize::from(answer.expect("task panicked").status == 200);
     }
     assert!(answered <= ran.len(), "{answered} answers, {ran:?}");
     assert_eq!(fleet.all_executions(SERVICE).await, ran, "calls that ran after the withdrawal");
@@ -83,5 +84,5 @@
     let url = format!("http://{}/v1/models", fleet.members[frozen].entry);
     let models = |key: &str| send_call(fleet.client.get(&url).bearer_auth(key));
     assert!(models(fleet.objects.team_key()).await.is("unauthorized", "no"));
-    assert_eq!(models(fleet.objects.second_key()).await.status, 200, "other keys work again");
+    assert_eq!(models(fleet.objects.second_key()).await.status, 200, "other keys must be accepted");
 }
--- a/tests/graceful_drain.rs
+++ b/tests/graceful_drain.rs
@@ -1,4 +1,4 @@
-//! Guards against calls that are cut when an instance is asked to stop.
+//! Guards against calls that are cut when an instance is terminated.
 
 mod support;
 
@@ -8,15 +8,15 @@
 use serde_json::json;
 use support::{Fleet, calls::CallResponse, eventually};
 
-/// Open streams, waiting calls, calls of programs and orders are cut by SIGTERM, the balancer is
-/// told too late, or the exit status tells of a failure.
+/// SIGTERM must not cut open streams, queued calls, calls of programs or orders. Readiness must end
+/// before the process exits, so that load balancers stop sending, and the exit status must be 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn open_calls() {
     let engine: &[&str] = &["--token-interval", "20ms", "--capacity", "4"];
     let service: &[&str] = &["--delay", "1500ms"];
     let stand_ins = [("engine-1", "engine", engine), ("orders-1", "service", service)];
     let mut fleet = Fleet::configured(2, &stand_ins, |fleet| {
-        // The engine runs four calls at once; further ones wait at the instance.
+        // The engine runs four calls at once; the instance queues the others.
         fleet.objects.capacity = 4;
     })
     .await;
@@ -33,31 +33,31 @@
     let orders = (0..3).map(|n| fleet.order(1, &format!("order-{n}"), "{}"));
     let orders: Vec<_> = orders.map(|order| tokio::spawn(CallResponse::fetch(order))).collect();
     let gone = fleet.order(1, "order-gone", "{}").timeout(Duration::from_millis(500));
-    gone.send().await.expect_err("the caller hangs up");
+    gone.send().await.expect_err("the client timeout must expire first");
     eventually("running calls", async || {
-        let engine = fleet.try_query_stand_in(0, "/load").await.expect("a load report");
-        let service = fleet.try_query_stand_in(1, "/load").await.expect("a load report");
+        let engine = fleet.try_query_stand_in(0, "/load").await.expect("no load report");
+        let service = fleet.try_query_stand_in(1, "/load").await.expect("no load report");
         engine["running"].as_u64() >= Some(1) && service["running"].as_u64() >= Some(1)
     })
     .await;
     let process = fleet.terminate(1);
     let ready = format!("http://{}/readyz", fleet.members[1].probe);
-    eventually("the end of readiness", async || match fleet.client.get(&ready).send().await {
+    eventually("/readyz to report 503", async || match fleet.client.get(&ready).send().await {
         Ok(answer) => answer.status() == 503,
-        Err(_) => panic!("the instance ended before its readiness did"),
+        Err(_) => panic!("the instance exited before /readyz reported 503"),
     })
     .await;
     for (n, call) in join_all(calls).await.into_iter().enumerate() {
-        let response = call.expect("no panic");
+        let response = call.expect("task panicked");
         assert_eq!(response.status, 200, "{n}: {response:?}");
-        let body = response.body.as_deref().expect("a whole body");
+        let body = response.body.as_deref().expect("incomplete body");
         assert!(n % 2 == 1 || body.ends_with("data: [DONE]\n\n"), "{n}: {body}");
         assert!(n % 2 == 0 || body.contains("\"completion_tokens\":20"), "{n}: {body}");
     }
     for order in join_all(orders).await {
-        assert_eq!(order.expect("no panic").status, 200);
+        assert_eq!(order.expect("task panicked").status, 200);
     }
-    let status = tokio::task::spawn_blocking(|| process.wait()).await.expect("no panic");
+    let status = tokio::task::spawn_blocking(|| process.wait()).await.expect("task panicked");
     assert_eq!(status.code(), Some(0), "{}", fleet.log(1));
     for n in ["order-0", "order-1", "order-2", "order-gone"] {
         let again = CallResponse::fetch(fleet.order(2, n, "{}")).await;
--- a/tests/isolated_instance.rs
+++ b/tests/isolated_instance.rs
@@ -1,4 +1,5 @@
-//! Guards against calls and statements of an instance that is cut off from the rest.
+//! Guards against calls served, and stale replies given, by an instance that is cut off from the
+//! fleet.
 
 mod support;
 
@@ -24,7 +25,8 @@
     CallOutcome { status: 503, code: "no_lease".to_owned(), ran: "no".to_owned() }
 }
 
-/// Checks that an instance without a lease refuses every keyed call and serves open routes.
+/// Checks that an instance without a lease refuses every call that needs a key and serves open
+/// routes.
 async fn check_without_lease(fleet: &Fleet, i: usize) {
     let name = format!("refused-{i}");
     eventually("the end of the lease", async || {
@@ -37,7 +39,11 @@
         let url = format!("http://{}/v1/models", fleet.members[i].entry);
         let models = fleet.client.get(url).bearer_auth(fleet.objects.team_key());
         assert_eq!(send_call(models).await, no_lease());
-        assert_eq!(send_call(open_call(fleet, i)).await.status, 200, "open routes go on");
+        assert_eq!(
+            send_call(open_call(fleet, i)).await.status,
+            200,
+            "open routes are served without a lease"
+        );
     }
     assert_eq!(fleet.executions(1, &name).await, 0);
 }
@@ -48,8 +54,8 @@
     assert_eq!(send_call(fleet.order(i, &format!("back-{i}"), "{}")).await.status, 200);
 }
 
-/// An entry instance that is cut off stops keyed calls once its lease is out, does not hold
-/// publications up, and serves again afterwards.
+/// An entry instance that is cut off must refuse keyed calls once its lease has expired, must not
+/// delay publications, and must serve again after the cut.
 async fn check_entry_cut_off(cuts: &[&dyn Fn(&Fleet)]) {
     let mut fleet = Fleet::start(3, 1).await;
     add_open_route(&mut fleet);
@@ -60,7 +66,11 @@
         fleet.publish(0, generation, &format!("cut-{n}")).success();
         fleet.set_published_generation(generation + 1);
         check_without_lease(&fleet, ENTRY).await;
-        assert_eq!(fleet.generation_at(ENTRY).await, Some(generation), "nothing got through");
+        assert_eq!(
+            fleet.generation_at(ENTRY).await,
+            Some(generation),
+            "a publication reached the isolated instance"
+        );
         fleet.network.heal();
         check_serving(&fleet, ENTRY).await;
         fleet.wait_generation(ENTRY, generation + 1).await;
@@ -82,8 +92,7 @@
     .await;
 }
 
-/// A leader that is cut off steps down: it gives itself no lease, and states nothing that is no
-/// longer so.
+/// A leader that is cut off must step down: it must not grant itself a lease or give stale replies.
 async fn check_leader_cut_off(cut: impl Fn(&Fleet, usize, &[usize])) {
     let mut fleet = Fleet::start(3, 0).await;
     add_open_route(&mut fleet);
@@ -96,7 +105,7 @@
     fleet.publish(rest[0], generation, "request-of-the-rest").success();
     fleet.set_published_generation(generation + 1);
     for _ in 0..3 {
-        check_no_stale_statement(&fleet, old, generation + 1);
+        check_no_stale_reply(&fleet, old, generation + 1);
     }
     check_without_lease(&fleet, old).await;
     fleet.network.heal();
@@ -117,8 +126,8 @@
         .await;
 }
 
-/// The instance may pass the question on to the new leader, if it can reach it.
-fn check_no_stale_statement(fleet: &Fleet, old: usize, generation: u64) {
+/// The old leader may forward a query to the new leader if it can reach it.
+fn check_no_stale_reply(fleet: &Fleet, old: usize, generation: u64) {
     let operator = fleet.operator().with_timeout("1s");
     let status = operator.status(old);
     assert!(status.is_null() || status["generation"] == generation, "{status}");
--- a/tests/leader_loss.rs
+++ b/tests/leader_loss.rs
@@ -1,5 +1,4 @@
-//! Guards against the loss of anything acknowledged, and against a standstill, when the leader of
-//! a group is killed.
+//! Guards against lost acknowledgements and loss of progress when the leader of a group is killed.
 
 mod support;
 
@@ -8,7 +7,7 @@
 const ENTRY: usize = 3;
 const SERVICE: usize = 1;
 
-/// Kills the leader of a group under publications and program calls.
+/// Kills the leader of a group while publications and calls of programs run.
 async fn check_leader_loss(group: u64) {
     let mut fleet = Fleet::start(3, 1).await;
     let traffic = Traffic::start(&fleet, 3);
--- a/tests/leaving_endpoints.rs
+++ b/tests/leaving_endpoints.rs
@@ -1,11 +1,11 @@
-//! What a server says of its departure in an answer binds the front that passed the answer on.
+//! Guards against calls to a server that has announced in a response that it is leaving.
 
 #[path = "support/platform.rs"]
 mod platform;
 
 use platform::{Call, KEY, RelayFleet, config, eventually};
 
-/// Calls after the answer; with three servers some would go to the one that leaves.
+/// Calls after the announcement; with three servers some would reach the leaving one.
 const CALLS: usize = 30;
 
 async fn check_unused(fleet: &RelayFleet, leaving: usize, what: &str) {
@@ -13,14 +13,12 @@
         let id = format!("{what}-{n}");
         assert_eq!(fleet.call(0, "/safe/x", &id, Call::default()).await.status, 200, "{id}");
         let runs = fleet.servers.runs_of(&id);
-        assert!(
-            runs.iter().all(|run| run.server != leaving),
-            "{id} reached the server that leaves"
-        );
+        assert!(runs.iter().all(|run| run.server != leaving), "{id} reached the leaving server");
     }
 }
 
-/// The list goes on naming the server as ready, and the front is cut off from control for a while.
+/// The announcement must hold although the list still names the server as ready, both while the
+/// front cannot reach a control replica and afterwards.
 #[tokio::test(flavor = "multi_thread")]
 async fn told_by_answer() {
     let mut fleet = RelayFleet::start(&config(3, &[KEY])).await;
@@ -36,16 +34,17 @@
         replica.restart();
     }
     let served = async || fleet.call(0, "/safe/x", "back", Call::default()).await.status == 200;
-    eventually("control is back", served).await;
+    eventually("calls are served after the restart of control", served).await;
     check_unused(&fleet, leaving, "in-touch").await;
 }
 
-/// Another server at the address of one that was listed speaks for itself only.
+/// An announcement from another server at the address of a listed one must not affect the listed
+/// server.
 #[tokio::test(flavor = "multi_thread")]
 async fn told_by_another() {
     let fleet = RelayFleet::start(&config(3, &[KEY])).await;
     let answer = fleet.call(0, "/once/misdirected", "other", Call::default()).await;
-    assert_eq!(answer.status, 503, "nothing has run");
+    assert_eq!(answer.status, 503, "the call did not run");
     let served = async || fleet.call(0, "/safe/x", "own", Call::default()).await.status == 200;
     eventually("the listed servers are used", served).await;
 }
--- a/tests/lost_disk.rs
+++ b/tests/lost_disk.rs
@@ -1,5 +1,5 @@
-//! Guards against a replica that votes after it has lost what it promised, and against a repair
-//! that loses what was acknowledged.
+//! Guards against a replica that votes after the loss of its data folder, and against a replacement
+//! that loses acknowledged data.
 
 mod support;
 
@@ -15,8 +15,9 @@
 const LOST: usize = 0;
 const NEW_REPLICA: u64 = 4;
 
-/// A lost folder is not made anew by itself, its number never votes again, another number takes
-/// its place while traffic runs, and the loss of one more replica right after loses nothing.
+/// A lost data folder must not be recreated by `serve`, and its replica number must never vote
+/// again. A replica with another number replaces it under traffic, and the loss of one more replica
+/// right afterwards must lose nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn replaced_voter() {
     let mut fleet = Fleet::start(3, 1).await;
@@ -24,17 +25,17 @@
     let publisher = Publisher::start(&fleet, &[ENTRY]);
     traffic.wait_for_progress().await;
     fleet.kill(LOST);
-    std::fs::remove_dir_all(fleet.data_folder(1)).expect("the folder exists");
+    std::fs::remove_dir_all(fleet.data_folder(1)).expect("failed to remove the data folder");
     fleet.start_member(LOST);
-    eventually("the end of a process without its folder", async || {
+    eventually("a process without its data folder to exit", async || {
         fleet.members[LOST].process.as_mut().is_some_and(Process::has_ended)
     })
     .await;
-    assert!(!fleet.data_folder(1).exists(), "serve must not make a folder");
+    assert!(!fleet.data_folder(1).exists(), "serve must not create a data folder");
     fleet.init_replica(1, Some(3));
     fleet.start_member(LOST);
     for i in [1, 2] {
-        eventually("the refusal of the new folder", async || {
+        eventually("the refusal of the new data folder", async || {
             fleet.log(i).contains("replica 1 has another data folder")
         })
         .await;
@@ -54,7 +55,7 @@
     traffic.wait_for_progress().await;
     publisher.wait_for_progress().await;
     let status = fleet.status(ENTRY);
-    let voters = status["replicas"].as_array().expect("replicas").iter();
+    let voters = status["replicas"].as_array().expect("no list of replicas").iter();
     let of_group = |r: &&serde_json::Value| r["group"] == 0 && r["voter"] == true;
     let voters: Vec<u64> = voters.filter(of_group).filter_map(|r| r["replica"].as_u64()).collect();
     assert_eq!(voters, [2, 3, NEW_REPLICA]);
@@ -64,8 +65,8 @@
     traffic.stop_and_check(&fleet, SERVICE).await;
 }
 
-/// With one of the two remaining voters down there is no majority, unless the replica with the new
-/// folder counts.
+/// Checks that nothing is committed while one of the two remaining voters is down: there is no
+/// majority unless the replica with the new folder votes.
 async fn check_no_vote(fleet: &mut Fleet, generation: u64) {
     fleet.kill(2);
     let operator = fleet.operator().with_timeout("5s");
@@ -75,19 +76,19 @@
     fleet.start_member(2);
     fleet.wait_ready(2).await;
     fleet.set_published_generation(generation);
-    // The outcome of the publication was unknown; this settles it.
+    // The first publication may still be committed or not; after this one the generation is known.
     let settled = fleet.operator().publish(ENTRY, &text, generation, "settling", &[]);
-    let current = fleet.status(ENTRY)["generation"].as_u64().expect("a generation");
+    let current = fleet.status(ENTRY)["generation"].as_u64().expect("no generation");
     assert_eq!(current, generation + 1, "{}", settled.stderr);
     fleet.set_published_generation(current);
 }
 
-/// A folder for a replica can't be made over another one.
+/// `init` must not overwrite an existing data folder.
 #[test]
 fn init_twice() {
-    let folder = tempfile::tempdir().expect("temporary folder");
+    let folder = tempfile::tempdir().expect("failed to create a temporary folder");
     let data = folder.path().join("data");
-    let data = data.to_str().expect("plain path");
+    let data = data.to_str().expect("path is not UTF-8");
     let init = ["init", "--data-dir", data, "--replica", "1", "--voters", "1"];
     run(&init).success();
     assert!(!run(&init).status.success(), "a second init must not replace the first");
--- a/tests/lost_instance.rs
+++ b/tests/lost_instance.rs
@@ -1,4 +1,4 @@
-//! Guards against calls that hang, run twice or hold memory after their instance was killed.
+//! Guards against calls that hang, run twice or hold engine memory after their instance was killed.
 
 mod support;
 
@@ -13,8 +13,9 @@
 const SERVICE: usize = 1;
 const ORDER: &str = "order-1";
 
-/// Another instance takes an idempotent turn over, a call that must run at most once has an unknown
-/// outcome, and engines release what the program held.
+/// After the loss of the instance another one must take over an idempotent turn, a call that must
+/// run at most once must have an unknown outcome, and engines must release the program's memory at
+/// its end.
 #[tokio::test(flavor = "multi_thread")]
 async fn open_calls() {
     let mut fleet = Fleet::prepare(3, 1).await;
@@ -29,7 +30,7 @@
     let turn_at = |i: usize| send_call(turn(i));
     let order_at = |i: usize| send_call(fleet.order(i, ORDER, "{}"));
     let lost = [tokio::spawn(turn_at(ENTRY)), tokio::spawn(order_at(ENTRY))];
-    eventually("the calls at their endpoints", async || {
+    eventually("both calls to reach their endpoints", async || {
         fleet.executions(SERVICE, ORDER).await == 1
             && fleet.query_stand_in(ENGINE, "/held").await == serde_json::json!(["team-a/trip"])
     })
@@ -37,7 +38,11 @@
     let calls = (turn(OTHER), fleet.order(OTHER, ORDER, "{}"));
     fleet.kill(ENTRY);
     for call in lost {
-        assert_eq!(call.await.expect("no panic"), CallOutcome::default(), "cut with its instance");
+        assert_eq!(
+            call.await.expect("task panicked"),
+            CallOutcome::default(),
+            "a call must fail with its instance"
+        );
     }
     let (turn, order) = tokio::join!(until_settled(calls.0), until_settled(calls.1));
     assert_eq!(turn.status, 200, "{turn:?}");
@@ -47,24 +52,24 @@
     assert_ne!(
         fleet.query_stand_in(ENGINE, "/held").await,
         serde_json::json!([]),
-        "the program goes on"
+        "an open program keeps its memory"
     );
     let url = format!("http://{}/v1/programs/trip/finish", fleet.members[OTHER].entry);
     let finish = fleet.client.post(url).bearer_auth(fleet.objects.team_key());
     assert_eq!(send_call(finish).await.status, 200);
-    eventually("the release", async || {
+    eventually("the engine to release its memory", async || {
         fleet.query_stand_in(ENGINE, "/held").await == serde_json::json!([])
     })
     .await;
     let again = send_call(fleet.order(1, ORDER, "{}")).await;
-    assert!(again.is("outcome_unknown", "unknown"), "stays unknown: {again:?}");
+    assert!(again.is("outcome_unknown", "unknown"), "the outcome must stay unknown: {again:?}");
 }
 
-/// Resends a call while the ledger still counts it as running.
+/// Resends a call until the ledger no longer considers it running.
 async fn until_settled(call: reqwest::RequestBuilder) -> CallOutcome {
     let mut last = CallOutcome::default();
     eventually("the end of the lease", async || {
-        last = send_call(call.try_clone().expect("a body in memory")).await;
+        last = send_call(call.try_clone().expect("body cannot be cloned")).await;
         last.code != "conflict"
     })
     .await;
--- a/tests/order_handover.rs
+++ b/tests/order_handover.rs
@@ -1,4 +1,5 @@
-//! Operators' orders at replicas that do not lead: each is carried to the one that does.
+//! Guards against operator requests that are lost at control replicas that do not lead: each must
+//! be forwarded to the leader.
 
 #[path = "support/platform.rs"]
 mod platform;
@@ -15,14 +16,15 @@
     time::{Instant, sleep},
 };
 
-/// An operator turns to another replica after this time.
+/// Time after which an operator tries another replica.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time in which an order has an ack although one replica is silent.
+/// Time within which a request must be acknowledged although one replica is suspended.
 const ACK_TIMEOUT: Duration = Duration::from_secs(4);
-/// Long enough for an election.
+/// Suspension that is long enough for an election.
 const FREEZE_TIME: Duration = Duration::from_millis(2_500);
 
-/// Sends an order to one replica; None if there is no answer in time. No redirect is followed.
+/// Sends a request to one replica and returns the status; None if there is no response within
+/// [`REQUEST_TIMEOUT`]. Redirects are not followed.
 async fn request_at(
     fleet: &RelayFleet,
     replica: u8,
@@ -35,7 +37,7 @@
         .pool_max_idle_per_host(0)
         .timeout(REQUEST_TIMEOUT)
         .build()
-        .expect("a client");
+        .expect("failed to build the HTTP client");
     let url = format!("http://{}{path}", fleet.control_address(replica));
     let answer = client.request(method, url).body(body.to_owned()).send().await.ok()?;
     Some(answer.status().as_u16())
@@ -45,7 +47,7 @@
     request_at(fleet, replica, Method::PUT, "/-/config", &config.to_string()).await
 }
 
-/// Sends an order without waiting for its answer.
+/// Sends a request without waiting for the response.
 async fn send_raw(
     fleet: &RelayFleet,
     replica: u8,
@@ -53,15 +55,17 @@
     path: &str,
     body: &str,
 ) -> TcpStream {
-    let mut stream = TcpStream::connect(fleet.control_address(replica)).await.expect("a replica");
+    let mut stream = TcpStream::connect(fleet.control_address(replica))
+        .await
+        .expect("failed to connect to the replica");
     let length = body.len();
     let request =
         format!("{method} {path} HTTP/1.1\r\nhost: core\r\ncontent-length: {length}\r\n\r\n{body}");
-    stream.write_all(request.as_bytes()).await.expect("sent");
+    stream.write_all(request.as_bytes()).await.expect("failed to send");
     stream
 }
 
-/// The first replica that has led, by its log.
+/// First replica whose log says that it leads.
 fn leader(fleet: &RelayFleet) -> u8 {
     for replica in 0..3 {
         let text = std::fs::read_to_string(fleet.log_of(&format!("core-{}", 10 + replica)));
@@ -69,12 +73,12 @@
             return replica;
         }
     }
-    panic!("no replica leads");
+    panic!("no replica has become leader");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn acked_by_each() {
-    let logs = tempfile::tempdir().expect("temporary folder");
+    let logs = tempfile::tempdir().expect("failed to create a temporary folder");
     let fleet = RelayFleet::start_linked(&config(3, &[KEY]), logs.path()).await;
     for replica in 0..3u8 {
         let version = 10 + u64::from(replica);
@@ -90,7 +94,7 @@
             publish_at(&fleet, replica, &Value::String(invalid)).await.is_some_and(|s| s == 400)
         );
     }
-    // An ack that is lost: the same order again, at another replica.
+    // The acknowledgement is lost, so the same request is sent to another replica.
     let lost = config(20, &[KEY]).to_string();
     let stream = send_raw(&fleet, 0, "PUT", "/-/config", &lost).await;
     sleep(REQUEST_TIMEOUT / 4).await;
@@ -102,7 +106,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_leader() {
-    let logs = tempfile::tempdir().expect("temporary folder");
+    let logs = tempfile::tempdir().expect("failed to create a temporary folder");
     let fleet = RelayFleet::start_linked(&config(3, &[KEY]), logs.path()).await;
     let frozen = leader(&fleet);
     fleet.control_replicas[usize::from(frozen)].signal(Signal::SIGSTOP);
@@ -112,35 +116,35 @@
     let mut acked = false;
     for turn in 0.. {
         let status = publish_at(&fleet, others[turn % 2], &changed).await;
-        assert_ne!(status, Some(307), "an operator was led astray");
+        assert_ne!(status, Some(307), "an operator was redirected");
         acked = status == Some(200);
         if acked || since.elapsed() > ACK_TIMEOUT {
             break;
         }
     }
     assert!(acked && since.elapsed() < ACK_TIMEOUT, "{:?}", since.elapsed());
-    // The other one does as well, and keeps to what was ordered.
+    // Both replicas acknowledge, and the lower version changes nothing.
     assert_eq!(publish_at(&fleet, others[0], &config(29, &[KEY])).await, Some(200));
     assert_eq!(publish_at(&fleet, others[1], &changed).await, Some(200));
     fleet.control_replicas[usize::from(frozen)].signal(Signal::SIGCONT);
 }
 
-/// An order that waited at a frozen replica does not undo a later one.
+/// A request that was queued at a suspended replica must not undo a later one.
 #[tokio::test(flavor = "multi_thread")]
 async fn order_from_before_suspension() {
-    let logs = tempfile::tempdir().expect("temporary folder");
+    let logs = tempfile::tempdir().expect("failed to create a temporary folder");
     let fleet = RelayFleet::start_linked(&config(3, &[KEY]), logs.path()).await;
     let lead = leader(&fleet);
     for frozen in [(lead + 1) % 3, lead] {
         fleet.control_replicas[usize::from(frozen)].signal(Signal::SIGSTOP);
-        // The operator turns elsewhere, but its connection stays open.
+        // The operator tries another replica, but this connection stays open.
         let waiting = send_raw(&fleet, frozen, "POST", "/-/evacuate/z1", "").await;
-        let other = (0..3).find(|replica| *replica != frozen).expect("another replica");
+        let other = (0..3).find(|replica| *replica != frozen).expect("no other replica");
         for method in [Method::POST, Method::DELETE] {
             let done = async || {
                 request_at(&fleet, other, method.clone(), "/-/evacuate/z1", "").await == Some(200)
             };
-            eventually("the other replicas carry it out", done).await;
+            eventually("the other replicas apply the request", done).await;
         }
         sleep(FREEZE_TIME).await;
         fleet.control_replicas[usize::from(frozen)].signal(Signal::SIGCONT);
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A front that is told to stop under load: whoever reaches it gets an answer.
+//! Guards against calls without a response while a front under load is terminated.
 
 #[path = "support/platform.rs"]
 mod platform;
@@ -9,16 +9,16 @@
 use platform::{Call, KEY, RelayFleet, config};
 use tokio::time::{Instant, sleep};
 
-/// Keeps the front busy for as long as the calls come: some 5 s of work.
+/// Takes about 5 s, so that the front stays up while the calls are sent.
 const LONG_STREAM: &str = "/stream/paced/events/250";
-/// From before the front closes its idle connections until after that.
+/// Covers the time before and after the front closes its idle connections.
 const CALL_TIME: Duration = Duration::from_millis(4_500);
 const CALL_INTERVAL: Duration = Duration::from_millis(15);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn new_connections() {
     let mut config = config(3, &[KEY]);
-    // Short enough for calls to be taken until shortly before the end.
+    // Short, so that the front accepts calls until shortly before its exit.
     config["routes"][1]["timeoutMs"] = 1_000.into();
     let fleet = RelayFleet::start(&config).await;
     let fleet = &fleet;
@@ -31,12 +31,12 @@
             if Instant::now() >= until {
                 return n;
             }
-            // Each on a connection of its own.
+            // Each call uses a new connection.
             let answer = fleet.call(0, "/once/x", &format!("call-{n}"), Call::default()).await;
             assert!(matches!(answer.status, 200 | 503), "call {n}: {:?}", answer.body);
             sleep(CALL_INTERVAL).await;
         }
-        unreachable!("the loop ends by a return")
+        unreachable!("the loop only ends by returning")
     };
     let (stream, calls) = tokio::join!(stream, calls);
     assert!(calls > 50, "{calls} calls");
--- a/tests/program_budgets.rs
+++ b/tests/program_budgets.rs
@@ -1,4 +1,4 @@
-//! Guards against programs that use more than their budget, alone or with their sub-agents.
+//! Guards against programs that exceed their budget, alone or with their sub-agents.
 
 mod support;
 
@@ -18,21 +18,21 @@
     Fleet::configured(1, &engine, |fleet| fleet.objects.budget_tokens = BUDGET).await
 }
 
-/// Tokens that the program and its sub-agents have used, from their histories.
+/// Tokens that programs have used, summed over their histories.
 async fn used(fleet: &Fleet, programs: &[String]) -> u64 {
     let mut sum = 0;
     for program in programs {
         let url = format!("http://{}/v1/programs/{program}/history", fleet.members[0].entry);
         let history = fleet.client.get(url).bearer_auth(fleet.objects.team_key());
         let history: serde_json::Value =
-            history.send().await.expect("an answer").json().await.expect("JSON");
+            history.send().await.expect("no response").json().await.expect("not valid JSON");
         let Some(turns) = history["turns"].as_array() else { continue };
         sum += turns.iter().filter_map(|t| t["cost_tokens"].as_u64()).sum::<u64>();
     }
     sum
 }
 
-/// Sub-agents that run in parallel at several instances each get the whole budget.
+/// Sub-agents that run in parallel at several instances must share one budget.
 #[tokio::test(flavor = "multi_thread")]
 async fn parallel_agents() {
     let fleet = limited().await;
@@ -60,34 +60,43 @@
     assert_eq!(more.code(), "budget_exceeded", "{more:?}");
 }
 
-/// A stream that its caller gave up is charged as if it had run to its end, or not at all.
+/// A stream that its caller cancels must be charged for the tokens it used: neither for its maximum
+/// nor for nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancelled_stream() {
     let fleet = limited().await;
     let call = fleet.chat_with(1, "question", json!({"stream": true, "max_tokens": 900}));
-    let mut answer = call.header("x-poplarspan-program", "trip").send().await.expect("a head");
+    let mut answer =
+        call.header("x-poplarspan-program", "trip").send().await.expect("no response head");
     assert_eq!(answer.status(), 200);
     for _ in 0..20 {
-        answer.chunk().await.expect("an event").expect("an event");
+        answer.chunk().await.expect("failed to read an event").expect("failed to read an event");
     }
     let early = fleet.chat_with(1, "beside", json!({"max_tokens": 300}));
     let early = early.header("x-poplarspan-program", "aside").header("x-poplarspan-parent", "trip");
     assert_eq!(
         CallResponse::fetch(early).await.code(),
         "budget_exceeded",
-        "the stream reserves its worst case"
+        "an open stream must reserve its maximum"
     );
     drop(answer);
     let call = |tokens: u64, i: usize| {
         let call = fleet.chat_with(i, &format!("{tokens} more"), json!({"max_tokens": tokens}));
         CallResponse::fetch(call.header("x-poplarspan-program", "trip"))
     };
-    eventually("the settled budget", async || call(300, 0).await.status == 200).await;
+    eventually("the reservation of the stream to be released", async || {
+        call(300, 0).await.status == 200
+    })
+    .await;
     let whole = call(975, 1).await;
-    assert_eq!(whole.code(), "budget_exceeded", "the tokens of the stream are free: {whole:?}");
+    assert_eq!(
+        whole.code(),
+        "budget_exceeded",
+        "the tokens of the stream were not charged: {whole:?}"
+    );
 }
 
-/// A program goes on past its number of turns.
+/// A program must not exceed its number of turns.
 #[tokio::test(flavor = "multi_thread")]
 async fn turn_limit() {
     let engine: &[(&str, &str, &[&str])] = &[("engine-1", "engine", &["--token-interval", "1ms"])];
@@ -104,7 +113,7 @@
     assert_eq!(response.refusal(), ("budget_exceeded".to_owned(), "no".to_owned()), "{response:?}");
 }
 
-/// A long conversation is stored again in every turn of its history.
+/// The history must not store the earlier messages of a conversation again in every turn.
 #[tokio::test(flavor = "multi_thread")]
 async fn history_size() {
     let engine: &[(&str, &str, &[&str])] = &[("engine-1", "engine", &["--token-interval", "1ms"])];
@@ -119,7 +128,7 @@
     }
     let url = format!("http://{}/v1/programs/talk/history", fleet.members[0].entry);
     let history = fleet.client.get(url).bearer_auth(fleet.objects.team_key());
-    let history = CallResponse::fetch(history).await.body.expect("a history");
+    let history = CallResponse::fetch(history).await.body.expect("no history");
     for message in ["first question", "question after 1", "question after 3"] {
         assert_eq!(history.matches(message).count(), 1, "{message}: {history}");
     }
--- a/tests/racing_operators.rs
+++ b/tests/racing_operators.rs
@@ -1,5 +1,5 @@
-//! Guards against two winners of one race, against a publication that is accepted without its
-//! objects, and against a second outcome of a resend.
+//! Guards against two concurrent publications that both succeed, against an accepted publication
+//! without its objects, and against a resend with a different outcome.
 
 mod support;
 
@@ -11,10 +11,10 @@
 const OPERATORS: usize = 3;
 const ROUNDS: u64 = 4;
 
-/// Adds operators with keys of their own to the object file.
+/// Adds operators with their own keys to the object file.
 fn add_operators(fleet: &mut Fleet) -> Vec<Secret> {
     let secrets: Vec<_> =
-        (0..OPERATORS).map(|_| generate_secret().expect("random bytes")).collect();
+        (0..OPERATORS).map(|_| generate_secret().expect("failed to get random bytes")).collect();
     for (n, secret) in secrets.iter().enumerate() {
         let digest = secret.digest();
         fleet.objects.extra +=
@@ -23,17 +23,18 @@
     secrets
 }
 
-/// Runs the same thing for every operator at the same time.
+/// Runs a command for every operator concurrently.
 fn race(count: usize, run: impl Fn(usize) -> CommandOutput + Sync) -> Vec<CommandOutput> {
     thread::scope(|scope| {
         let run = &run;
         let all: Vec<_> = (0..count).map(|n| scope.spawn(move || run(n))).collect();
-        all.into_iter().map(|t| t.join().expect("no panic")).collect()
+        all.into_iter().map(|t| t.join().expect("task panicked")).collect()
     })
 }
 
-/// Of operators with the same expected generation one wins, its objects are in force, and the
-/// others are told who won, also when they ask again after a change of the leader.
+/// Of several publications with the same expected generation exactly one must succeed and take
+/// effect. The other operators must be told who published, also when they resend after a change of
+/// leader.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_winner() {
     let mut fleet = Fleet::start(3, 1).await;
@@ -54,7 +55,7 @@
         let objects = fleet.operate(0, &["get"]).success().stdout;
         for n in 0..OPERATORS {
             let present = objects.contains(&format!("\"marker-{}\"", generation * 10 + n as u64));
-            assert_eq!(present, n == winner, "objects of operator {n}, winner {winner}");
+            assert_eq!(present, n == winner, "objects of operator {n} while operator {winner} won");
         }
         generation += 1;
     }
@@ -67,7 +68,7 @@
     assert_eq!(status["generation"], generation, "a resend must not publish again");
 }
 
-/// Checks that one operator won, and that the others were told so. Returns the winner.
+/// Checks that one operator succeeded and that the others were told who it was. Returns its index.
 fn check_race(outcomes: &[CommandOutput], expected: u64) -> usize {
     let winners: Vec<usize> =
         (0..outcomes.len()).filter(|n| outcomes[*n].status.success()).collect();
@@ -80,8 +81,8 @@
     winners[0]
 }
 
-/// Copies of one publication through several instances, sent while the leader dies, have one
-/// outcome.
+/// Copies of one publication, sent through several instances while the leader is killed, must have
+/// the same outcome.
 #[tokio::test(flavor = "multi_thread")]
 async fn resend_after_loss() {
     let mut fleet = Fleet::start(3, 1).await;
@@ -109,10 +110,10 @@
         fleet.kill(leader);
         let told = format!("published as generation {}\n", generation + 1);
         for copy in copies {
-            assert_eq!(copy.await.expect("accepted"), told);
+            assert_eq!(copy.await.expect("publication failed"), told);
         }
         let late = operator.publish(3, &text, generation, &request, &["--no-wait"]);
-        assert_eq!(late.success().stdout, told, "a resend to the new leader");
+        assert_eq!(late.success().stdout, told, "a resend to the new leader has another outcome");
         let objects = fleet.operate(3, &["get"]).success().stdout;
         assert!(objects.starts_with(&format!("generation {}\n", generation + 1)), "{objects}");
         assert!(objects.contains(&format!("\"marker-{generation}\"")), "{objects}");
@@ -122,8 +123,8 @@
     }
 }
 
-/// An operator who guesses the next generation is never told that objects are in force that are
-/// not.
+/// A publication that expects a generation that does not exist yet must not be reported as in force
+/// unless its objects are.
 #[tokio::test(flavor = "multi_thread")]
 async fn guessed_generation() {
     let fleet = Fleet::start(1, 0).await;
--- a/tests/random_faults.rs
+++ b/tests/random_faults.rs
@@ -1,7 +1,7 @@
-//! Guards against what no single scenario shows: random faults, one after the other and together,
-//! under traffic and publications.
+//! Guards against failures that no single scenario covers: random faults, one after another, under
+//! traffic and publications.
 //!
-//! `POPLARSPAN_SOAK_SEED` and `POPLARSPAN_SOAK_SECONDS` set another schedule.
+//! `POPLARSPAN_SOAK_SEED` and `POPLARSPAN_SOAK_SECONDS` select another schedule.
 
 mod support;
 
@@ -33,7 +33,7 @@
 impl Fault {
     fn random(rng: &mut StdRng) -> Self {
         let i = rng.random_range(0..MEMBERS);
-        let other = (0..MEMBERS).filter(|o| *o != i).choose(rng).expect("several instances");
+        let other = (0..MEMBERS).filter(|o| *o != i).choose(rng).expect("fewer than two instances");
         match rng.random_range(0..11) {
             0..3 => Self::Kill(i),
             3 => Self::Terminate(i),
@@ -46,7 +46,7 @@
 
     fn begin(self, fleet: &mut Fleet) {
         let process = |fleet: &Fleet, i: usize, run: fn(&support::process::Process)| {
-            run(fleet.members[i].process.as_ref().expect("it runs"));
+            run(fleet.members[i].process.as_ref().expect("process is not running"));
         };
         match self {
             Self::Kill(i) => fleet.kill(i),
@@ -62,24 +62,29 @@
         match self {
             Self::Kill(i) => fleet.start_member(i),
             Self::Terminate(i) => {
-                let process = fleet.members[i].process.take().expect("it was started");
+                let process = fleet.members[i].process.take().expect("process was not started");
                 let ended = tokio::task::spawn_blocking(|| process.wait()).await;
-                assert!(ended.expect("no panic").success(), "instance {i} cut calls");
+                assert!(
+                    ended.expect("task panicked").success(),
+                    "instance {i} exited with an error"
+                );
                 fleet.start_member(i);
             }
-            Self::Freeze(i) => fleet.members[i].process.as_ref().expect("it runs").resume(),
+            Self::Freeze(i) => {
+                fleet.members[i].process.as_ref().expect("process is not running").resume()
+            }
             Self::Isolate(_) | Self::CutOneWay(..) => fleet.network.heal(),
             Self::KillAll => (0..MEMBERS).for_each(|i| fleet.start_member(i)),
         }
     }
 }
 
-/// Every acknowledged turn is in its history in order, no order runs twice, no generation goes back,
-/// and everything goes on afterwards.
+/// Every acknowledged turn must be in its history in order, no order may run twice, no instance may
+/// return to an older generation, and calls and publications must succeed after the faults.
 #[tokio::test(flavor = "multi_thread")]
 async fn random_schedule() {
     let number = |name: &str, default| {
-        env::var(name).map_or(default, |v| v.parse().expect("a whole number"))
+        env::var(name).map_or(default, |v| v.parse().expect("not a whole number"))
     };
     let seed = number("POPLARSPAN_SOAK_SEED", DEFAULT_SEED);
     let seconds = number("POPLARSPAN_SOAK_SECONDS", DEFAULT_SECONDS);
@@ -109,6 +114,9 @@
         fleet.wait_generation(i, generation).await;
     }
     let highest = monitor.stop().await;
-    assert!(highest.iter().all(|g| *g <= generation), "{highest:?} after {generation}");
+    assert!(
+        highest.iter().all(|g| *g <= generation),
+        "generations {highest:?} exceed {generation}"
+    );
     traffic.stop_and_check(&fleet, SERVICE).await;
 }
--- a/tests/status_warnings.rs
+++ b/tests/status_warnings.rs
@@ -1,11 +1,11 @@
-//! Guards against a placement of control replicas that does not survive the loss of a zone and that
-//! nobody notices.
+//! Guards against an unreported placement of control replicas that cannot survive the loss of a
+//! zone.
 
 mod support;
 
 use support::{Fleet, eventually};
 
-/// `status` warns, and says so in its exit status, when one zone holds a majority of the voters.
+/// `status` must print a warning and exit with status 3 if one zone holds a majority of the voters.
 #[tokio::test(flavor = "multi_thread")]
 async fn majority_in_one_zone() {
     let mut fleet = Fleet::prepare(3, 0).await;
@@ -22,5 +22,5 @@
     .await;
     let outcome = fleet.operate(2, &["status"]);
     assert!(outcome.stdout.contains(expected), "{}", outcome.stdout);
-    assert_eq!(outcome.status.code(), Some(3), "scripts see the warning, too");
+    assert_eq!(outcome.status.code(), Some(3), "the exit status must report the warning");
 }
--- a/tests/support/calls.rs
+++ b/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! What callers see of an answer, and what stand-ins say about the calls that reached them.
+//! Responses as callers receive them, and fleets with chosen stand-ins.
 
 use std::{
     ops::{Deref, DerefMut},
@@ -11,32 +11,32 @@
 
 use super::{Fleet, WAIT_TIMEOUT, eventually, process::Process};
 
-/// Makes a new connection for each request.
+/// Client that opens a new connection for each request.
 static UNPOOLED_CLIENT: LazyLock<reqwest::Client> = LazyLock::new(|| {
     let client = reqwest::Client::builder().no_proxy().pool_max_idle_per_host(0);
-    client.build().expect("client")
+    client.build().expect("failed to build the HTTP client")
 });
 
-/// An answer as its caller saw it.
+/// A response as its caller received it.
 #[derive(Debug)]
 pub struct CallResponse {
     pub status: StatusCode,
     pub headers: reqwest::header::HeaderMap,
-    /// The body, if it arrived whole.
+    /// The body, or an error if it was cut.
     pub body: Result<String, String>,
 }
 
 impl CallResponse {
-    /// Sends a request and reads its answer to the end.
+    /// Sends a request and reads the response to its end.
     pub async fn fetch(request: RequestBuilder) -> Self {
         let request = request.timeout(WAIT_TIMEOUT);
-        let answer = request.send().await.expect("the head of an answer");
+        let answer = request.send().await.expect("no response head");
         let (status, headers) = (answer.status(), answer.headers().clone());
         let body = answer.text().await.map_err(|e| e.to_string());
         Self { status, headers, body }
     }
 
-    /// Field of the refusal; null when this is none.
+    /// Field of the error object in the body; null if there is none.
     fn field(&self, name: &str) -> Value {
         let body = self.body.as_deref().unwrap_or_default();
         let body: Value = serde_json::from_str(body).unwrap_or_default();
@@ -51,7 +51,7 @@
         self.field("ran").as_str().unwrap_or_default().to_owned()
     }
 
-    /// Code of the refusal, and whether the call ran.
+    /// Error code, and whether the call ran: `yes`, `no` or `unknown`.
     pub fn refusal(&self) -> (String, String) {
         (self.code(), self.ran())
     }
@@ -61,10 +61,10 @@
     }
 }
 
-/// Keeps the number of fleets of one test binary within what a busy machine bears.
+/// Limits the fleets that one test binary runs at once, for busy machines.
 static FLEET_PERMITS: Semaphore = Semaphore::const_new(3);
 
-/// A fleet with its place among those that run at once.
+/// A fleet that holds one of the [`FLEET_PERMITS`].
 pub struct CallFleet {
     fleet: Fleet,
     _permit: SemaphorePermit<'static>,
@@ -85,7 +85,8 @@
 }
 
 impl Fleet {
-    /// Starts one control replica, some entry instances, and stand-ins: name, kind and flags.
+    /// Starts one control replica, `entries` entry instances, and stand-ins given as name, kind and
+    /// flags.
     pub async fn with_stand_ins(
         entries: u64,
         stand_ins: &[(&str, &'static str, &[&str])],
@@ -93,20 +94,20 @@
         Self::configured(entries, stand_ins, |_| {}).await
     }
 
-    /// As [`Fleet::with_stand_ins`], with changes before anything starts.
+    /// Like [`Fleet::with_stand_ins`], but applies `change` before any process starts.
     pub async fn configured(
         entries: u64,
         stand_ins: &[(&str, &'static str, &[&str])],
         change: impl FnOnce(&mut Self),
     ) -> CallFleet {
-        let permit = FLEET_PERMITS.acquire().await.expect("never closed");
+        let permit = FLEET_PERMITS.acquire().await.expect("semaphore is closed");
         let mut fleet = Self::prepare(1, entries).await;
         change(&mut fleet);
         for (name, kind, flags) in stand_ins {
             fleet.add_stand_in(name, kind, flags);
         }
         if stand_ins.iter().all(|(_, kind, _)| *kind != "engine") {
-            // The object file has a chat route, which some endpoint must serve.
+            // The object file has a chat route, so at least one endpoint must serve the model.
             fleet.add_stand_in("spare-engine", "engine", &[]);
         }
         fleet.start_all().await;
@@ -116,11 +117,11 @@
         CallFleet { fleet, _permit: permit }
     }
 
-    /// Waits until every instance has answered a call of a program: rates start with a pause, and
-    /// the program groups are found first.
+    /// Waits until every instance has completed a call of a program. New instances refuse calls
+    /// until their rate limits are active and they have found the program groups.
     pub async fn warm_up(&self) {
         for i in self.live() {
-            eventually("a first answer", async || {
+            eventually("a successful first call", async || {
                 if CallResponse::fetch(self.chat(i, "warm up")).await.status != 200 {
                     return false;
                 }
@@ -135,52 +136,53 @@
         assert_eq!(CallResponse::fetch(finish).await.status, 200);
     }
 
-    /// Starts a chat call with a body of its own.
+    /// Builds a chat request; the fields of `more` are added to the body or replace its own.
     pub fn chat_with(&self, i: usize, content: &str, more: Value) -> RequestBuilder {
         let url = format!("http://{}/v1/chat/completions", self.members[i].entry);
         let mut body = json!({
             "model": "chat-model", "max_tokens": 4,
             "messages": [{"role": "user", "content": content}],
         });
-        for (name, value) in more.as_object().expect("an object") {
+        for (name, value) in more.as_object().expect("not an object") {
             body[name] = value.clone();
         }
         self.client.post(url).bearer_auth(self.objects.team_key()).json(&body)
     }
 
-    /// Executions under a key at all services together.
+    /// Number of executions under an idempotency key, summed over all running services.
     pub async fn executions_of(&self, key: &str) -> u64 {
         let mut sum = 0;
         for i in 0..self.stand_ins.len() {
             if self.stand_ins[i].kind == "service" && self.stand_ins[i].process.is_some() {
-                let list = self.try_query_stand_in(i, "/executions").await.expect("a list");
-                let counted = list.as_array().expect("a list").iter().find(|e| e["key"] == key);
-                sum += counted.map_or(0, |e| e["executions"].as_u64().expect("a count"));
+                let list = self.try_query_stand_in(i, "/executions").await.expect("not a list");
+                let counted = list.as_array().expect("not a list").iter().find(|e| e["key"] == key);
+                sum += counted.map_or(0, |e| e["executions"].as_u64().expect("not a count"));
             }
         }
         sum
     }
 
-    /// What a stand-in answers to a `GET`, over a new connection, as open ones may be stalled.
+    /// Sends a `GET` to a stand-in over a new connection, since open ones may be stalled. None if
+    /// there is no JSON response.
     pub async fn try_query_stand_in(&self, i: usize, path: &str) -> Option<Value> {
         let url = format!("http://{}{path}", self.stand_ins[i].address);
         UNPOOLED_CLIENT.get(url).timeout(WAIT_TIMEOUT).send().await.ok()?.json().await.ok()
     }
 
-    /// Kills a stand-in without warning.
+    /// Sends SIGKILL to a stand-in and waits for its exit.
     pub fn kill_stand_in(&mut self, i: usize) {
-        self.stand_ins[i].process.take().expect("the stand-in runs").kill();
+        self.stand_ins[i].process.take().expect("stand-in is not running").kill();
     }
 
-    /// What a stand-in has logged.
+    /// Log of a stand-in.
     pub fn stand_in_log(&self, i: usize) -> String {
         let path = self.folder.path().join(&self.stand_ins[i].name);
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Asks an instance to stop and returns its process.
+    /// Sends SIGTERM to an instance and returns its process.
     pub fn terminate(&mut self, i: usize) -> Process {
-        let process = self.members[i].process.take().expect("the instance runs");
+        let process = self.members[i].process.take().expect("instance is not running");
         process.terminate();
         process
     }
--- a/tests/support/faulty.rs
+++ b/tests/support/faulty.rs
@@ -1,6 +1,7 @@
-//! Answers of servers in trouble: bytes that are no answer, without an end, until the caller closes.
+//! Malformed, endless and truncated responses.
 //!
-//! A server takes this part for a connection whose first request asks for it by its path.
+//! A server sends one of these on a connection if the path of its first request contains
+//! [`PATH_MARKER`] and the name of the fault.
 
 use std::time::Duration;
 
@@ -12,10 +13,10 @@
 
 const PATH_MARKER: &str = "/faulty/";
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Nothing that a test waits for takes longer.
+/// Longer than any wait of a test.
 const STALL_TIME: Duration = Duration::from_secs(120);
 
-/// The fault that the first request asks for, if any.
+/// Returns the fault that the first request of a connection asks for, without consuming bytes.
 pub async fn requested_fault(stream: &TcpStream) -> Option<String> {
     let mut buf = [0; 4096];
     let len = stream.peek(&mut buf).await.ok()?;
@@ -24,7 +25,7 @@
     Some(path.split_once(PATH_MARKER)?.1.to_owned())
 }
 
-/// Sends the faulty answer until the other side closes.
+/// Sends a faulty response; endless ones are sent until the peer closes the connection.
 pub async fn send_response(stream: &mut TcpStream, kind: &str) {
     let mut buf = vec![0; CHUNK_BYTES];
     let Ok(len) = stream.read(&mut buf).await else { return };
@@ -52,7 +53,7 @@
         "trailer" => (format!("{sealed}{chunked}0\r\nx-a: "), text),
         "event" => (format!("{sealed}{streamed}"), chunk(&text)),
         "events" => (format!("{sealed}{streamed}"), chunk(&event)),
-        // Ends in the middle of an event, with nothing that tells its length.
+        // Ends within an event; neither a length nor chunks mark the end.
         "cut" => {
             let cut = "content-type: text/event-stream\r\n\r\ndata: a\n\ndata: b";
             (format!("{sealed}{cut}"), String::new())
@@ -72,11 +73,11 @@
     if repeated.is_empty() {
         return sleep(STALL_TIME).await;
     }
-    // Ends when the other side has closed.
+    // Writing fails once the peer has closed the connection.
     while stream.write_all(repeated.as_bytes()).await.is_ok() {}
 }
 
-/// Answers one request, and sends the same answer again when the next one has arrived.
+/// Responds to one request, and sends the same response again to the next one.
 async fn send_twice(stream: &mut TcpStream, sealed: &str) {
     let answer = format!("{sealed}content-length: 4\r\n\r\ncopy");
     if stream.write_all(answer.as_bytes()).await.is_err() {
@@ -84,7 +85,7 @@
     }
     let mut buf = [0; 4096];
     if let Ok(1..) = stream.read(&mut buf).await {
-        // The caller may have closed.
+        // The peer may have closed the connection.
         let _ = stream.write_all(answer.as_bytes()).await;
         sleep(STALL_TIME).await;
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Starts fleets of real processes on loopback, and breaks them.
+//! Runs fleets of real processes on loopback and injects faults.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 pub mod calls;
 pub mod network;
@@ -29,13 +29,13 @@
     time::{Instant, sleep},
 };
 
-/// Longest wait for a state that is expected to come; no test asserts how long it took.
+/// Upper bound on waits for an expected state. No test asserts how long a wait took.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const LOG_LINES_SHOWN: usize = 20;
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Fleets that run at a time, so that a busy machine does not starve them of heartbeats.
+/// Limits the fleets that run at once, so that heartbeats are not delayed on a busy machine.
 static FLEET_PERMITS: Semaphore = Semaphore::const_new(3);
 
 /// One instance of a fleet.
@@ -50,7 +50,7 @@
     pub process: Option<Process>,
 }
 
-/// A fleet of processes in a temporary folder, ended when dropped.
+/// A fleet of processes in a temporary folder. Dropping it kills the processes.
 pub struct Fleet {
     pub members: Vec<Member>,
     pub stand_ins: Vec<StandIn>,
@@ -58,13 +58,13 @@
     pub network: Network,
     pub client: reqwest::Client,
     generation: u64,
-    /// Numbers the files that operators' commands read.
+    /// Number of the next input file for an operator's command.
     files: Arc<AtomicU64>,
     folder: TempDir,
     _permit: SemaphorePermit<'static>,
 }
 
-/// A stand-in endpoint.
+/// A stand-in endpoint process.
 pub struct StandIn {
     pub name: String,
     pub address: SocketAddr,
@@ -74,8 +74,8 @@
 }
 
 impl Fleet {
-    /// Starts `replicas` control replicas and `entries` entry instances, waits for a leader, and
-    /// publishes an object set with one engine and one service.
+    /// Starts `replicas` control replicas, `entries` entry instances, one engine and one service,
+    /// and publishes an object set with them.
     pub async fn start(replicas: u64, entries: u64) -> Self {
         let mut fleet = Self::prepare(replicas, entries).await;
         fleet.add_stand_in("engine-1", "engine", &["--token-interval", "2ms"]);
@@ -86,10 +86,10 @@
         fleet
     }
 
-    /// Makes folders, certificates and addresses, but starts nothing.
+    /// Creates folders and certificates and chooses addresses, but starts no process.
     pub async fn prepare(replicas: u64, entries: u64) -> Self {
-        let permit = FLEET_PERMITS.acquire().await.expect("never closed");
-        let folder = tempfile::tempdir().expect("temporary folder");
+        let permit = FLEET_PERMITS.acquire().await.expect("semaphore is closed");
+        let folder = tempfile::tempdir().expect("failed to create a temporary folder");
         run(&["certs", "--out", &path(&folder, "tls")]).success();
         let network = Network::new();
         let mut members = Vec::new();
@@ -106,7 +106,8 @@
                 process: None,
             });
         }
-        let client = reqwest::Client::builder().no_proxy().build().expect("client");
+        let client =
+            reqwest::Client::builder().no_proxy().build().expect("failed to build the HTTP client");
         let objects = ObjectFile::new();
         let stand_ins = Vec::new();
         let fleet = Self {
@@ -126,10 +127,11 @@
         fleet
     }
 
-    /// Makes the data folder of a replica; without `voters` it joins an existing fleet.
+    /// Creates the data folder of a replica. The voters are 1 to `voters`; without `voters` the
+    /// replica joins an existing fleet.
     pub fn init_replica(&self, replica: u64, voters: Option<u64>) {
         let folder = self.data_folder(replica);
-        let folder = folder.to_str().expect("plain path");
+        let folder = folder.to_str().expect("path is not UTF-8");
         let number = replica.to_string();
         let mut args = vec!["init", "--data-dir", folder, "--replica", &number];
         let list = voters.map(|v| (1..=v).map(|n| n.to_string()).collect::<Vec<_>>().join(","));
@@ -162,11 +164,11 @@
         stand_in.process = Some(Process::start(&args, &self.folder.path().join(&stand_in.name)));
     }
 
-    /// Checks that no stand-in has ended by itself, for instance because of a bad flag.
+    /// Checks that no stand-in has exited, for instance because of an invalid flag.
     pub fn check_stand_ins(&mut self) {
         for stand_in in &mut self.stand_ins {
             let ended = stand_in.process.as_mut().is_some_and(Process::has_ended);
-            assert!(!ended, "stand-in {} has ended", stand_in.name);
+            assert!(!ended, "stand-in {} has exited", stand_in.name);
         }
     }
 
@@ -194,7 +196,7 @@
         i
     }
 
-    /// Starts instance `i`, for the first time or again.
+    /// Starts or restarts instance `i`.
     pub fn start_member(&mut self, i: usize) {
         let replicas: Vec<String> = self
             .members
@@ -217,7 +219,7 @@
         args.extend(["--advertise-address", &advertised, "--probe-address", &probe]);
         args.extend(["--drain-grace", "100ms", "--drain-timeout", "30s", "--seeds", &seeds]);
         if let Some(folder) = &folder {
-            args.extend(["--data-dir", folder.to_str().expect("plain path")]);
+            args.extend(["--data-dir", folder.to_str().expect("path is not UTF-8")]);
             args.extend(["--replicas", &replicas]);
         }
         let tls = self.tls("instance");
@@ -234,7 +236,7 @@
         flags.iter().map(|f| (*f).to_owned()).zip(files).flat_map(|(f, v)| [f, v]).collect()
     }
 
-    /// The operator of the object file.
+    /// Returns the operator whose key is in the object file.
     pub fn operator(&self) -> Operator {
         Operator {
             folder: self.folder.path().to_owned(),
@@ -246,20 +248,21 @@
         }
     }
 
-    /// Runs an operator's command through instance `i`.
+    /// Runs an operator command that connects to instance `i`.
     pub fn operate(&self, i: usize, args: &[&str]) -> process::CommandOutput {
         self.operator().run(i, args)
     }
 
-    /// Publishes the object file through instance `i`, expecting `generation`.
+    /// Publishes the object file through instance `i` with `generation` as the expected generation.
     pub fn publish(&self, i: usize, generation: u64, request: &str) -> process::CommandOutput {
         self.operator().publish(i, &self.objects.text(), generation, request, &[])
     }
 
-    /// Publishes the object file as the next generation and waits until it is in force.
+    /// Publishes the object file as the next generation and waits until every running instance is
+    /// ready.
     pub async fn publish_and_wait(&mut self) {
         let request = format!("request-{}", self.generation);
-        let live = self.live().next().expect("an instance runs");
+        let live = self.live().next().expect("no instance is running");
         self.publish(live, self.generation, &request).success();
         self.generation += 1;
         for i in self.live().collect::<Vec<_>>() {
@@ -267,15 +270,15 @@
         }
     }
 
-    /// Publishes the object file as the next generation, through a running instance, and waits
-    /// until it is in force.
+    /// Publishes the object file as the next generation through a running instance, without
+    /// blocking the runtime. The command returns once the generation is in force.
     pub async fn publish_and_wait_in_force(&mut self) {
         let operator = self.operator();
         let (text, generation) = (self.objects.text(), self.generation);
-        let i = self.live().next().expect("an instance runs");
+        let i = self.live().next().expect("no instance is running");
         let request = format!("request-{generation}");
         let publish = move || operator.publish(i, &text, generation, &request, &[]).success();
-        tokio::task::spawn_blocking(publish).await.expect("accepted");
+        tokio::task::spawn_blocking(publish).await.expect("publication failed");
         self.generation += 1;
     }
 
@@ -283,23 +286,23 @@
         self.generation
     }
 
-    /// Notes that others have published up to a generation.
+    /// Sets the generation that was reached by publications outside of this type.
     pub fn set_published_generation(&mut self, generation: u64) {
         self.generation = generation;
     }
 
-    /// Running instances.
+    /// Indices of the running instances.
     pub fn live(&self) -> impl Iterator<Item = usize> {
         let running = |(i, m): (usize, &Member)| m.process.as_ref().map(|_| i);
         self.members.iter().enumerate().filter_map(running)
     }
 
-    /// What `status` says, through instance `i`.
+    /// Output of `status --json` through instance `i`, or null if the command fails.
     pub fn status(&self, i: usize) -> serde_json::Value {
         self.operator().status(i)
     }
 
-    /// Index of the instance that leads a group, through instance `i`.
+    /// Index of the instance that leads a group, according to instance `i`.
     pub fn leader(&self, i: usize, group: u64) -> Option<usize> {
         let status = self.status(i);
         let replicas = status["replicas"].as_array()?;
@@ -316,11 +319,11 @@
             leader.is_some()
         })
         .await;
-        leader.expect("just found")
+        leader.expect("leader was just found")
     }
 
     pub async fn wait_for_leader(&self) {
-        let live = self.live().next().expect("an instance runs");
+        let live = self.live().next().expect("no instance is running");
         eventually("a leader", async || !self.status(live)["replicas"].is_null()).await;
     }
 
@@ -332,12 +335,12 @@
         .await;
     }
 
-    /// Kills instance `i` without warning.
+    /// Sends SIGKILL to instance `i` and waits for its exit.
     pub fn kill(&mut self, i: usize) {
-        self.members[i].process.take().expect("the instance runs").kill();
+        self.members[i].process.take().expect("instance is not running").kill();
     }
 
-    /// Starts a chat call at instance `i`.
+    /// Builds a chat request to instance `i`.
     pub fn chat(&self, i: usize, content: &str) -> reqwest::RequestBuilder {
         let url = format!("http://{}/v1/chat/completions", self.members[i].entry);
         let body = serde_json::json!({
@@ -347,37 +350,44 @@
         self.client.post(url).bearer_auth(self.objects.team_key()).json(&body)
     }
 
-    /// Starts a non-idempotent call at instance `i`.
+    /// Builds a request to instance `i` that must run at most once.
     pub fn order(&self, i: usize, key: &str, body: &str) -> reqwest::RequestBuilder {
         let url = format!("http://{}/orders", self.members[i].entry);
         let request = self.client.post(url).bearer_auth(self.objects.team_key());
         request.header("idempotency-key", key).body(body.to_owned())
     }
 
-    /// How often the stand-in service ran the request with an idempotency key.
+    /// Number of times that the stand-in service ran the request with an idempotency key.
     pub async fn executions(&self, stand_in: usize, key: &str) -> u64 {
         let all = self.all_executions(stand_in).await;
         all.iter().find(|(k, _)| k == key).map_or(0, |(_, n)| *n)
     }
 
-    /// How often the stand-in service ran each request, by idempotency key. Requests without a key
-    /// are left out.
+    /// Number of times that the stand-in service ran each request, by idempotency key. Requests
+    /// without a key are left out.
     pub async fn all_executions(&self, stand_in: usize) -> Vec<(String, u64)> {
         let list = self.query_stand_in(stand_in, "/executions").await;
         let read =
             |e: &serde_json::Value| Some((e["key"].as_str()?.into(), e["executions"].as_u64()?));
-        let all = list.as_array().expect("a list").iter().filter_map(read);
+        let all = list.as_array().expect("not a list").iter().filter_map(read);
         all.filter(|(key, _): &(String, u64)| !key.is_empty()).collect()
     }
 
-    /// What a stand-in answers on one of its own paths.
+    /// Sends a `GET` to one of the stand-in's own paths and returns its JSON response.
     pub async fn query_stand_in(&self, stand_in: usize, path: &str) -> serde_json::Value {
         let url = format!("http://{}{path}", self.stand_ins[stand_in].address);
-        self.client.get(url).send().await.expect("answer").json().await.expect("JSON")
-    }
-
-    /// Turns of a program of the first team with the contents of their prompts, once a running
-    /// instance answers.
+        self.client
+            .get(url)
+            .send()
+            .await
+            .expect("no response")
+            .json()
+            .await
+            .expect("not valid JSON")
+    }
+
+    /// Turns of a program of the first team, with the contents of their prompts. Retries until a
+    /// running instance responds.
     pub async fn history(&self, program: &str) -> Vec<(u64, String)> {
         let mut turns = Vec::new();
         eventually("a history", async || {
@@ -397,12 +407,12 @@
         turns
     }
 
-    /// Generation in force at instance `i`, as its metrics say; None while it does not answer.
+    /// Generation in force at instance `i` according to its metrics; None if it does not respond.
     pub async fn generation_at(&self, i: usize) -> Option<u64> {
         generation_of(&self.client, self.members[i].probe).await
     }
 
-    /// Waits until the objects of a generation are in force at instance `i`.
+    /// Waits until at least this generation is in force at instance `i`.
     pub async fn wait_generation(&self, i: usize, generation: u64) {
         eventually("a generation", async || {
             self.generation_at(i).await.is_some_and(|g| g >= generation)
@@ -410,13 +420,13 @@
         .await;
     }
 
-    /// What all processes have logged, for the report of a failure.
+    /// Log of instance `i`.
     pub fn log(&self, i: usize) -> String {
         std::fs::read_to_string(self.folder.path().join(&self.members[i].name)).unwrap_or_default()
     }
 }
 
-/// Shows what the processes have logged when a test fails.
+/// Prints the end of every log when a test fails.
 impl Drop for Fleet {
     fn drop(&mut self) {
         if std::thread::panicking() {
@@ -438,22 +448,22 @@
 }
 
 fn parse_turn(turn: &serde_json::Value) -> (u64, String) {
-    let number = turn["turn"].as_u64().expect("a number");
-    let request = turn["request"].as_str().expect("the body of the call");
-    let request: serde_json::Value = serde_json::from_str(request).expect("JSON");
-    let content = request["messages"][0]["content"].as_str().expect("a prompt");
+    let number = turn["turn"].as_u64().expect("not a number");
+    let request = turn["request"].as_str().expect("no request body");
+    let request: serde_json::Value = serde_json::from_str(request).expect("not valid JSON");
+    let content = request["messages"][0]["content"].as_str().expect("no prompt");
     (number, content.to_owned())
 }
 
 fn path(folder: &TempDir, name: &str) -> String {
-    folder.path().join(name).to_str().expect("plain path").to_owned()
+    folder.path().join(name).to_str().expect("path is not UTF-8").to_owned()
 }
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds. Panics after [`WAIT_TIMEOUT`].
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let until = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < until, "{what} did not come within {WAIT_TIMEOUT:?}");
+        assert!(Instant::now() < until, "timed out after {WAIT_TIMEOUT:?} waiting for {what}");
         sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/support/objects.rs
+++ b/tests/support/objects.rs
@@ -4,23 +4,23 @@
 
 use poplarspan::objects::{Secret, generate_secret};
 
-/// An object file that grows with the fleet, with the keys that it names.
+/// Contents of an object file, and the secrets whose digests it holds.
 pub struct ObjectFile {
     team: Secret,
     second: Secret,
     operator: Secret,
     endpoints: Vec<EndpointEntry>,
-    /// Zones that are out.
+    /// Zones with `state = "out"`.
     pub zones_out: Vec<String>,
-    /// Leaves the key of the first team out.
+    /// Whether the key of the first team is left out.
     pub withdrawn: bool,
-    /// Rate and burst of the first team.
+    /// Rate in calls per second and burst in calls of the first team.
     pub rate: (u32, u32),
-    /// Tokens of the budget of each program.
+    /// Token budget of each program.
     pub budget_tokens: u64,
-    /// Calls at once that each endpoint is said to bear.
+    /// Configured capacity of each endpoint, in concurrent calls.
     pub capacity: u32,
-    /// More text at the end of the file.
+    /// Text appended to the file.
     pub extra: String,
 }
 
@@ -33,7 +33,7 @@
 
 impl ObjectFile {
     pub fn new() -> Self {
-        let secret = || generate_secret().expect("random bytes");
+        let secret = || generate_secret().expect("failed to get random bytes");
         Self {
             team: secret(),
             second: secret(),
@@ -55,7 +55,7 @@
 
     pub fn set_leaving(&mut self, name: &str, leaving: bool) {
         let found = self.endpoints.iter_mut().find(|e| e.name == name);
-        found.expect("a known endpoint").leaving = leaving;
+        found.expect("unknown endpoint").leaving = leaving;
     }
 
     pub fn team_key(&self) -> &str {
@@ -70,7 +70,7 @@
         self.operator.expose()
     }
 
-    /// The file as an operator would write it.
+    /// Returns the file as TOML.
     pub fn text(&self) -> String {
         let mut text = String::from("format = 1\n");
         for zone in ["zone-1", "zone-2", "zone-3"] {
--- a/tests/support/operator.rs
+++ b/tests/support/operator.rs
@@ -1,4 +1,4 @@
-//! Commands of operators.
+//! Operator commands.
 
 use std::{
     net::SocketAddr,
@@ -11,7 +11,7 @@
 
 use super::process::{CommandOutput, run};
 
-/// Runs commands as one operator; its clones may run commands side by side.
+/// Runs commands as one operator. Clones may run commands concurrently.
 #[derive(Clone)]
 pub struct Operator {
     pub(super) folder: PathBuf,
@@ -20,24 +20,24 @@
     /// Peer addresses of the instances, by index.
     pub(super) control: Vec<SocketAddr>,
     pub(super) timeout: &'static str,
-    /// Numbers the files that commands read.
+    /// Number of the next input file for a command.
     pub(super) files: Arc<AtomicU64>,
 }
 
 impl Operator {
-    /// The operator with another key.
+    /// Uses another operator key.
     pub fn with_key(mut self, key: &str) -> Self {
         key.clone_into(&mut self.key);
         self
     }
 
-    /// The operator with less patience.
+    /// Uses another command timeout.
     pub fn with_timeout(mut self, timeout: &'static str) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Runs a command through instance `i`.
+    /// Runs a command that connects to instance `i`.
     pub fn run(&self, i: usize, args: &[&str]) -> CommandOutput {
         let key = self.write_file("key", &self.key);
         let control = self.control[i].to_string();
@@ -48,7 +48,7 @@
         run(&all)
     }
 
-    /// Publishes an object file, with further flags.
+    /// Publishes an object file with additional flags.
     pub fn publish(
         &self,
         i: usize,
@@ -65,7 +65,7 @@
         self.run(i, &args)
     }
 
-    /// What `status` says, or null.
+    /// Output of `status --json`, or null if there is no JSON.
     pub fn status(&self, i: usize) -> serde_json::Value {
         let outcome = self.run(i, &["status", "--json"]);
         serde_json::from_str(&outcome.stdout).unwrap_or(serde_json::Value::Null)
@@ -74,7 +74,7 @@
     fn write_file(&self, name: &str, text: &str) -> String {
         let number = self.files.fetch_add(1, Ordering::Relaxed);
         let file = self.folder.join(format!("{number}-{name}"));
-        std::fs::write(&file, text).expect("a file");
-        file.to_str().expect("plain path").to_owned()
+        std::fs::write(&file, text).expect("failed to write the file");
+        file.to_str().expect("path is not UTF-8").to_owned()
     }
 }
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -1,7 +1,7 @@
-//! A stand-in of the users' platform for a relay fleet: machines on loopback addresses of their own,
-//! the list of servers, an operator and callers. Its servers are in `servers.rs`.
+//! Simulates the users' platform around a relay fleet: machines with their own loopback addresses,
+//! the list of servers, an operator and callers. The servers are in `servers.rs`.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::{
     convert::Infallible,
@@ -44,21 +44,21 @@
 const FRONT_PORT: u16 = 8368;
 const READY_PORT: u16 = 8369;
 const SERVER_PORT: u16 = 8080;
-/// Long enough for a busy machine; no test waits for it to pass.
+/// Upper bound on waits for an expected state, long enough for a busy machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Fleets of one process whose addresses differ.
+/// Number of fleets of one process that have distinct addresses.
 const MAX_FLEETS: u8 = 60;
 
 pub const HOST: &str = "calls.example";
 pub const KEY: &str = "key-of-red";
 
-/// A machine with one process of the fleet.
+/// A machine that runs one process of the fleet.
 pub struct Machine {
     settings: PathBuf,
     tls: PathBuf,
     data: Option<PathBuf>,
-    /// Where its output goes, if it is kept.
+    /// File for the standard output, if it is kept.
     log: Option<PathBuf>,
     is_stopping: bool,
     child: Option<Child>,
@@ -69,7 +69,7 @@
         let file = |name: &str| self.tls.join(name).display().to_string();
         let output = self.log.as_ref().map_or_else(Stdio::null, |path| {
             let log = std::fs::File::options().create(true).append(true).open(path);
-            log.expect("a log file").into()
+            log.expect("failed to open the log file").into()
         });
         let child = Command::new(PROGRAM)
             .arg("node")
@@ -82,38 +82,39 @@
             .stdout(output)
             .stderr(Stdio::inherit())
             .spawn()
-            .expect("the program starts");
+            .expect("failed to start the program");
         self.child = Some(child);
         self.is_stopping = false;
     }
 
-    /// Sends the process a signal, if it runs.
+    /// Sends a signal to the process if it is running.
     pub fn signal(&self, signal: Signal) {
         let Some(child) = &self.child else { return };
-        let pid = Pid::from_raw(i32::try_from(child.id()).expect("a pid"));
-        // Fails only when it has ended by itself.
+        let pid = Pid::from_raw(i32::try_from(child.id()).expect("pid out of range"));
+        // Fails only if the process has already exited.
         let _ = kill(pid, signal);
     }
 
-    /// Memory that the process uses now, in MiB.
+    /// Resident memory of the process in MiB (`VmRSS`).
     pub fn memory_mib(&self) -> u64 {
-        let child = self.child.as_ref().expect("it runs");
+        let child = self.child.as_ref().expect("process is not running");
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id()));
-        let status = status.expect("a running process");
-        let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("its memory");
-        let kib: u64 = line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("KiB");
+        let status = status.expect("cannot read the process status");
+        let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("no VmRSS line");
+        let kib: u64 =
+            line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("no size in KiB");
         kib >> 10
     }
 
-    /// How the process has ended, if it has without being asked to.
+    /// Returns the exit status if the process has exited without a request to stop.
     pub fn take_unexpected_exit(&mut self) -> Option<ExitStatus> {
         let child = self.child.as_mut().filter(|_| !self.is_stopping)?;
-        let status = child.try_wait().expect("a process of ours")?;
+        let status = child.try_wait().expect("failed to poll the child process")?;
         self.child = None;
         Some(status)
     }
 
-    /// Asks the process to end, without waiting for it.
+    /// Sends SIGTERM without waiting for the exit.
     pub fn request_stop(&mut self) {
         self.signal(Signal::SIGTERM);
         self.is_stopping = true;
@@ -123,10 +124,10 @@
         self.child.is_some()
     }
 
-    /// Returns once the process has ended. One that was not asked to end goes on.
+    /// Waits for the exit if the process was asked to stop; returns at once otherwise.
     pub async fn wait_stopped(&mut self) {
         while let Some(child) = self.child.as_mut().filter(|_| self.is_stopping) {
-            if child.try_wait().expect("a process of ours").is_some() {
+            if child.try_wait().expect("failed to poll the child process").is_some() {
                 self.child = None;
             } else {
                 tokio::time::sleep(POLL_INTERVAL).await;
@@ -134,67 +135,72 @@
         }
     }
 
-    /// Kills the process.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
-        let mut child = self.child.take().expect("it runs");
-        child.kill().expect("it runs");
-        child.wait().expect("it ends");
+        let mut child = self.child.take().expect("process is not running");
+        child.kill().expect("failed to signal the process");
+        child.wait().expect("failed to wait for the process");
     }
 
-    /// Asks the process to end, and returns whether it reports success.
+    /// Sends SIGTERM, waits for the exit, and returns whether the exit status is success.
     pub async fn terminate(&mut self) -> bool {
-        let mut child = self.child.take().expect("it runs");
-        let pid = Pid::from_raw(i32::try_from(child.id()).expect("a pid"));
-        kill(pid, Signal::SIGTERM).expect("it runs");
-        let ended = tokio::task::spawn_blocking(move || child.wait().expect("it ends"));
-        ended.await.expect("no panic").success()
+        let mut child = self.child.take().expect("process is not running");
+        let pid = Pid::from_raw(i32::try_from(child.id()).expect("pid out of range"));
+        kill(pid, Signal::SIGTERM).expect("failed to signal the process");
+        let ended = tokio::task::spawn_blocking(move || {
+            child.wait().expect("failed to wait for the process")
+        });
+        ended.await.expect("task panicked").success()
     }
 
-    /// Starts the process again, with what is on its disk.
+    /// Starts the process again on its existing data, without bootstrap.
     pub fn restart(&mut self) {
-        let text = std::fs::read_to_string(&self.settings).expect("settings");
+        let text =
+            std::fs::read_to_string(&self.settings).expect("cannot access the settings file");
         let text = text.replace("bootstrap = true", "bootstrap = false");
-        std::fs::write(&self.settings, text).expect("settings");
+        std::fs::write(&self.settings, text).expect("cannot access the settings file");
         self.start();
     }
 
-    /// Loses the disk.
+    /// Empties the data folder, as after the loss of a disk.
     pub fn wipe(&mut self) {
-        let data = self.data.as_ref().expect("a machine with a disk");
-        std::fs::remove_dir_all(data).expect("the disk");
-        std::fs::create_dir(data).expect("an empty disk");
+        let data = self.data.as_ref().expect("machine has no data folder");
+        std::fs::remove_dir_all(data).expect("failed to remove the data folder");
+        std::fs::create_dir(data).expect("failed to create the data folder");
     }
 }
 
 impl Drop for Machine {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Fails only when it has ended by itself.
+            // Fails only if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// A fleet with three control replicas, three stores and two fronts before three servers.
+/// A relay fleet with three control replicas, several stores and two fronts, and three servers
+/// behind them.
 pub struct RelayFleet {
     pub control_replicas: Vec<Machine>,
     pub stores: Vec<Machine>,
     pub fronts: Vec<Machine>,
     pub servers: Servers,
     subnet: [u8; 3],
-    /// Links to the fronts and to the servers, if callers and fronts are to use such.
+    /// Links to the two fronts and then to the servers; empty if connections are direct.
     pub links: Vec<Arc<Link>>,
     logs: Option<PathBuf>,
     pub client: reqwest::Client,
     _dir: tempfile::TempDir,
 }
 
-/// Addresses of one test: other tests, also in other processes, have others.
+/// First three bytes of the addresses of one fleet. They differ from those of other tests, also in
+/// other processes.
 fn unique_subnet() -> [u8; 3] {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let pid = std::process::id();
-    // A long run takes the addresses of fleets that have ended again.
+    // Long runs reuse the addresses of fleets that have stopped.
     let fleet = NEXT.fetch_add(1, Ordering::Relaxed) % MAX_FLEETS;
     [127, 64 + (pid % 128) as u8, ((pid / 128) % 4) as u8 * MAX_FLEETS + fleet]
 }
@@ -205,27 +211,27 @@
         Ipv4Addr::new(a, b, c, machine)
     }
 
-    /// Starts everything, and returns when the fronts are ready.
+    /// Starts all processes, publishes `config` and waits until the fronts are ready.
     pub async fn start(config: &Value) -> Self {
         Self::start_with(config, 3, false, None).await
     }
 
-    /// Starts everything, with so many stores.
+    /// Like [`RelayFleet::start`], with a given number of stores.
     pub async fn start_stores(config: &Value, stores: u8) -> Self {
         Self::start_with(config, stores, false, None).await
     }
 
-    /// Starts everything with links that can be disturbed, two groups of stores, and the output of
-    /// the processes kept in a folder.
+    /// Like [`RelayFleet::start`], with links that can inject faults, two groups of stores, and the
+    /// output of the processes in `logs`.
     pub async fn start_linked(config: &Value, logs: &Path) -> Self {
         Self::start_with(config, 4, true, Some(logs.to_owned())).await
     }
 
     async fn start_with(config: &Value, stores: u8, linked: bool, logs: Option<PathBuf>) -> Self {
-        let dir = tempfile::tempdir().expect("temporary folder");
+        let dir = tempfile::tempdir().expect("failed to create a temporary folder");
         let tls = dir.path().join("tls");
         let made = Command::new(PROGRAM).args(["certs", "--out"]).arg(&tls).output();
-        assert!(made.expect("the program runs").status.success());
+        assert!(made.expect("failed to run the program").status.success());
         let mut fleet = Self {
             control_replicas: Vec::new(),
             stores: Vec::new(),
@@ -234,7 +240,10 @@
             subnet: unique_subnet(),
             links: Vec::new(),
             logs,
-            client: reqwest::Client::builder().pool_max_idle_per_host(0).build().expect("a client"),
+            client: reqwest::Client::builder()
+                .pool_max_idle_per_host(0)
+                .build()
+                .expect("failed to build the HTTP client"),
             _dir: dir,
         };
         let root = fleet._dir.path().to_owned();
@@ -275,18 +284,18 @@
         }
     }
 
-    /// Where callers find a front.
+    /// Address at which callers reach a front.
     pub fn front_address(&self, front: u8) -> SocketAddr {
         let first = if self.links.is_empty() { 30 } else { 40 };
         SocketAddr::from((self.ip(first + front), FRONT_PORT))
     }
 
-    /// File with the output of a machine's process, if it is kept.
+    /// File with the output of a machine's process. Panics if output is not kept.
     pub fn log_of(&self, machine: &str) -> PathBuf {
-        self.logs.as_ref().expect("logs are kept").join(format!("{machine}.log"))
+        self.logs.as_ref().expect("logs are not kept").join(format!("{machine}.log"))
     }
 
-    /// Where operators find a control replica.
+    /// Address at which operators reach a control replica.
     pub fn control_address(&self, replica: u8) -> SocketAddr {
         SocketAddr::from((self.ip(10 + replica), CONTROL_PORT))
     }
@@ -305,7 +314,7 @@
             _ => ("storage", String::new()),
         };
         let data_line = data.as_ref().map_or_else(String::new, |data| {
-            std::fs::create_dir(data).expect("a disk");
+            std::fs::create_dir(data).expect("failed to create the data folder");
             format!("dataDir = \"{}\"\n", data.display())
         });
         let text = format!(
@@ -319,7 +328,7 @@
             list = SocketAddr::from((self.ip(1), SERVER_PORT)),
         );
         let settings = root.join(format!("{name}.toml"));
-        std::fs::write(&settings, text).expect("settings");
+        std::fs::write(&settings, text).expect("cannot access the settings file");
         let log = self.logs.as_ref().map(|logs| logs.join(format!("{name}.log")));
         Machine { settings, tls: tls.to_owned(), data, log, is_stopping: false, child: None }
     }
@@ -337,10 +346,12 @@
                     "slots": 8, "state": "ready", "coldLeftMs": 0})
             })
             .collect();
-        // An entry of another writer.
+        // An entry in another writer's format, which the fleet must skip.
         list.push(json!({"id": 7, "service": "s", "state": "sleeping"}));
         let page = json!({"instances": list, "nextToken": null}).to_string();
-        let socket = TcpListener::bind((self.ip(1), SERVER_PORT)).await.expect("an address");
+        let socket = TcpListener::bind((self.ip(1), SERVER_PORT))
+            .await
+            .expect("failed to bind the instance list");
         tokio::spawn(async move {
             while let Ok((stream, _)) = socket.accept().await {
                 let page = page.clone();
@@ -349,7 +360,7 @@
                     async move { Ok::<_, Infallible>(Response::new(Full::new(Bytes::from(page)))) }
                 });
                 tokio::spawn(async move {
-                    // A reader that leaves needs no report.
+                    // A client may disconnect at any time.
                     let _ =
                         http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
@@ -357,23 +368,24 @@
         });
     }
 
-    /// Sends an order to one replica after another until one answers it; returns the status.
+    /// Sends an operator request to the control replicas in turn until one responds without a
+    /// server error; returns status and body.
     pub async fn operator_request(&self, method: &str, path: &str, body: String) -> (u16, String) {
-        let method: reqwest::Method = method.parse().expect("a method");
+        let method: reqwest::Method = method.parse().expect("invalid method");
         let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         for turn in 0u8.. {
-            assert!(tokio::time::Instant::now() < until, "no replica answers {path}");
+            assert!(tokio::time::Instant::now() < until, "no control replica responded to {path}");
             let url = format!("http://{}:{CONTROL_PORT}{path}", self.ip(10 + turn % 3));
             let sent = self.client.request(method.clone(), url).body(body.clone()).send().await;
             match sent {
                 Ok(answer) if !answer.status().is_server_error() => {
                     let status = answer.status().as_u16();
-                    return (status, answer.text().await.expect("a whole answer"));
+                    return (status, answer.text().await.expect("incomplete response"));
                 }
                 Ok(_) | Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
-        unreachable!("the loop ends by a return")
+        unreachable!("the loop only ends by returning")
     }
 
     pub async fn publish(&self, config: &Value) -> u16 {
@@ -388,8 +400,8 @@
         eventually("a front becomes ready", is_ready).await;
     }
 
-    /// Makes a call with its id.
-    pub async fn call(&self, front: u8, path: &str, id: &str, call: Call<'_>) -> Answer {
+    /// Sends a call with this request id.
+    pub async fn call(&self, front: u8, path: &str, id: &str, call: Call<'_>) -> CallResponse {
         let url = format!("http://{}{path}", self.front_address(front));
         let mut req = self
             .client
@@ -406,14 +418,14 @@
         }
         let answer = match req.send().await {
             Ok(answer) => answer,
-            Err(e) => return Answer { status: 0, headers: Default::default(), body: Err(e) },
+            Err(e) => return CallResponse { status: 0, headers: Default::default(), body: Err(e) },
         };
         let (status, headers) = (answer.status().as_u16(), answer.headers().clone());
-        Answer { status, headers, body: answer.text().await }
+        CallResponse { status, headers, body: answer.text().await }
     }
 }
 
-/// What a caller sends beside the path and the id.
+/// What a caller sends besides the path and the request id.
 #[derive(Clone, Copy)]
 pub struct Call<'a> {
     pub key: Option<&'a str>,
@@ -427,30 +439,34 @@
     }
 }
 
-/// What a caller gets.
-pub struct Answer {
+/// What a caller receives. Without a response the status is 0.
+pub struct CallResponse {
     pub status: u16,
     pub headers: reqwest::header::HeaderMap,
-    /// An error if the answer was cut short.
+    /// The body, or an error if it was cut.
     pub body: Result<String, reqwest::Error>,
 }
 
-impl Answer {
+impl CallResponse {
     pub fn text(&self) -> &str {
-        self.body.as_deref().expect("a whole answer")
+        self.body.as_deref().expect("incomplete response")
     }
 }
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds. Panics after [`WAIT_TIMEOUT`].
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(tokio::time::Instant::now() < until, "in vain: {what}");
+        assert!(
+            tokio::time::Instant::now() < until,
+            "timed out after {WAIT_TIMEOUT:?} waiting until {what}"
+        );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A config with a route of each kind: `/safe/`, `/once/`, `/stream/` and `/kept/`.
+/// A config with one route of each kind: `/safe/`, `/once/` (unsafe), `/stream/`, and `/kept/` (a
+/// stream with retained turns).
 pub fn config(version: u64, keys: &[&str]) -> Value {
     let route = |name: &str, kind: &str, is_kept: bool| {
         json!({"name": name, "host": HOST, "prefix": format!("/{name}/"), "kind": kind,
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy on loopback whose connections can be delayed, silenced in one or both directions, reset.
+//! A TCP proxy on loopback that can delay data, stall one or both directions, and reset
+//! connections.
 
 use std::{
     net::SocketAddr,
@@ -16,33 +17,34 @@
     time::sleep,
 };
 
-/// What a link does with what it is to carry.
+/// How a link handles the data of its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mode {
     Pass,
-    /// Everything arrives later.
+    /// Adds [`LATENCY`] to each read.
     Delay,
-    /// Nothing arrives at the far end any more, and nobody is told.
+    /// Holds back data to the upstream server; the connection stays open.
     StallUpstream,
-    /// Nothing arrives at the near end any more, and nobody is told.
+    /// Holds back data to the client; the connection stays open.
     StallDownstream,
+    /// Holds back data in both directions; the connection stays open.
     StallBoth,
 }
 
 const LATENCY: Duration = Duration::from_millis(150);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A link to one address.
+/// A proxy for one upstream address.
 pub struct Link {
     mode: AtomicU8,
     resets: watch::Sender<u32>,
 }
 
 impl Link {
-    /// Listens on `near` and connects to `far`.
+    /// Listens on `listen` and forwards each connection to `upstream`.
     pub async fn open(listen: SocketAddr, upstream: SocketAddr) -> Arc<Self> {
-        let socket = TcpListener::bind(listen).await.expect("an address of its own");
+        let socket = TcpListener::bind(listen).await.expect("failed to bind the listener");
         let link =
             Arc::new(Self { mode: AtomicU8::new(Mode::Pass as u8), resets: watch::Sender::new(0) });
         let accepting = link.clone();
@@ -92,12 +94,13 @@
         };
         if is_reset {
             for (rx, tx) in [(client_rx, client_tx), (upstream_rx, upstream_tx)] {
-                reset(rx.reunite(tx).expect("the halves of one connection"));
+                reset(rx.reunite(tx).expect("halves of different connections"));
             }
         }
     }
 
-    /// Copies until one end has ended. A connection that was silenced stays so until it ends.
+    /// Copies until either side closes. Data that was read waits while the mode is one of
+    /// `stalled_in`.
     async fn copy(
         &self,
         rx: &mut tcp::OwnedReadHalf,
@@ -120,6 +123,6 @@
 }
 
 fn reset(stream: TcpStream) {
-    // Without it the connection ends in order, which is a fault as well.
+    // If this fails, the connection closes cleanly, which is also a fault.
     let _ = stream.set_zero_linger();
 }
--- a/tests/support/publisher.rs
+++ b/tests/support/publisher.rs
@@ -1,4 +1,4 @@
-//! An operator who publishes one generation after the other.
+//! An operator that publishes one generation after another.
 
 use std::{
     fmt::Write,
@@ -12,10 +12,10 @@
 
 use super::{Fleet, eventually, operator::Operator};
 
-/// Tries of a command, each of which waits for long.
+/// Attempts of a command; each has the timeout of the operator.
 const MAX_ATTEMPTS: usize = 5;
 
-/// Publishes until it is stopped. Each publication adds an object, and all must stay.
+/// Publishes until it is stopped. Each publication adds one object and checks that none is lost.
 pub struct Publisher {
     stop: Arc<AtomicBool>,
     published: Arc<AtomicU64>,
@@ -23,7 +23,7 @@
 }
 
 impl Publisher {
-    /// Starts to publish through the instances of `through` in turn.
+    /// Starts publishing through the instances of `through` in turn.
     pub fn start(fleet: &Fleet, through: &[usize]) -> Self {
         let stop = Arc::<AtomicBool>::default();
         let published = Arc::new(AtomicU64::new(fleet.generation()));
@@ -33,16 +33,16 @@
         Self { stop, published, task: tokio::task::spawn_blocking(run) }
     }
 
-    /// Waits until publications that begin from now on are in force.
+    /// Waits until a publication that begins after this call is in force.
     pub async fn wait_for_progress(&self) {
         let target = self.published.load(Ordering::Relaxed) + 2;
         eventually("publications", async || self.published.load(Ordering::Relaxed) >= target).await;
     }
 
-    /// Stops, and returns the generation that was reached.
+    /// Stops and returns the last published generation.
     pub async fn stop(self) -> u64 {
         self.stop.store(true, Ordering::Relaxed);
-        self.task.await.expect("no publication is lost");
+        self.task.await.expect("publisher failed");
         self.published.load(Ordering::Relaxed)
     }
 }
@@ -70,7 +70,7 @@
     }
 }
 
-/// Reads the objects, and asks again while the instance or the leader is lost.
+/// Reads the objects; retries while the instance or the leader is unavailable.
 fn get_objects(operator: &Operator, i: usize) -> String {
     for _ in 0..MAX_ATTEMPTS {
         let outcome = operator.run(i, &["get"]);
@@ -78,10 +78,10 @@
             return outcome.stdout;
         }
     }
-    panic!("get had no answer {MAX_ATTEMPTS} times");
+    panic!("get failed {MAX_ATTEMPTS} times");
 }
 
-/// Publishes, and resends under the same request id while the answer is lost.
+/// Publishes; retries with the same request id while no response arrives.
 fn publish_until_answered(operator: &Operator, i: usize, text: &str, generation: u64) {
     let request = format!("publication-{}", generation + 1);
     for _ in 0..MAX_ATTEMPTS {
@@ -91,21 +91,21 @@
             assert!(outcome.stdout.starts_with(&answer), "{}", outcome.stdout);
             return;
         }
-        // Nobody else publishes.
+        // There is no other publisher, so the publication cannot conflict.
         assert!(!outcome.stderr.contains("not published"), "{}", outcome.stderr);
     }
-    panic!("generation {} had no answer {MAX_ATTEMPTS} times", generation + 1);
+    panic!("publishing generation {} failed {MAX_ATTEMPTS} times", generation + 1);
 }
 
-/// An object that shows that a generation is contained in the set.
+/// An object whose presence shows that the set contains a generation.
 pub fn marker(generation: u64) -> String {
     format!(
         "[[budget]]\nname = \"marker-{generation}\"\ntokens = 1\nturns = 1\nlifetime = \"1h\"\n"
     )
 }
 
-/// Number below the first marker of a file.
+/// Number of the generation before the first marker of a file.
 fn first_marker(text: &str) -> u64 {
-    let (_, rest) = text.split_once("marker-").expect("a marker was written");
-    rest.split('"').next().and_then(|n| n.parse::<u64>().ok()).expect("a number") - 1
+    let (_, rest) = text.split_once("marker-").expect("no marker in the file");
+    rest.split('"').next().and_then(|n| n.parse::<u64>().ok()).expect("not a number") - 1
 }
--- a/tests/support/raw.rs
+++ b/tests/support/raw.rs
@@ -1,4 +1,4 @@
-//! Callers that do not keep to HTTP, and instances with low limits.
+//! Callers that send invalid or slow requests, and instances with low limits.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,15 +10,16 @@
 
 use super::{Fleet, WAIT_TIMEOUT, process::Process};
 
-/// Sends bytes and returns what comes back until the other side closes; None when it never does.
+/// Sends bytes and returns what is received until the peer closes the connection; None if it does
+/// not close within [`WAIT_TIMEOUT`].
 pub async fn send_raw(address: SocketAddr, bytes: &[u8]) -> Option<String> {
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
-    // The other side may close before it has read everything.
+    let mut stream = TcpStream::connect(address).await.expect("failed to connect");
+    // The peer may close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
     read_to_close(stream).await
 }
 
-/// Reads until the other side closes; None when it never does.
+/// Reads until the peer closes the connection; None if nothing arrives for [`WAIT_TIMEOUT`].
 pub async fn read_to_close(mut stream: TcpStream) -> Option<String> {
     let mut all = Vec::new();
     let mut buf = [0; 4096];
@@ -30,25 +31,26 @@
     }
 }
 
-/// Sends one byte after another, without an end.
+/// Sends `start` and then single bytes until the peer closes the connection; returns what is
+/// received, or None if it does not close within [`WAIT_TIMEOUT`].
 pub async fn send_slowly(address: SocketAddr, start: &[u8]) -> Option<String> {
-    let stream = TcpStream::connect(address).await.expect("a connection");
+    let stream = TcpStream::connect(address).await.expect("failed to connect");
     let (mut rx, mut tx) = stream.into_split();
-    tx.write_all(start).await.expect("the start");
+    tx.write_all(start).await.expect("failed to send the start");
     let sender = tokio::spawn(async move {
         while tx.write_all(b"a").await.is_ok() {
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
     });
     let mut all = Vec::new();
-    // A reset is the end as well.
+    // A reset also ends the connection.
     let read = timeout(WAIT_TIMEOUT, rx.read_to_end(&mut all)).await;
     sender.abort();
     read.ok().map(|_| String::from_utf8_lossy(&all).into_owned())
 }
 
 impl Fleet {
-    /// Starts an entry instance again, with further flags.
+    /// Kills an entry instance and starts it with additional flags.
     pub async fn restart_with(&mut self, i: usize, flags: &[&str]) {
         self.kill(i);
         let member = &self.members[i];
@@ -74,13 +76,13 @@
         self.warm_up().await;
     }
 
-    /// Memory of an instance in bytes, as the kernel counts it.
+    /// Resident memory of an instance in bytes (`VmRSS`).
     pub fn resident_bytes(&self, i: usize) -> u64 {
-        let process = self.members[i].process.as_ref().expect("the instance runs");
+        let process = self.members[i].process.as_ref().expect("instance is not running");
         let path = format!("/proc/{}/status", process.id());
-        let status = std::fs::read_to_string(path).expect("a running process");
-        let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("a size");
+        let status = std::fs::read_to_string(path).expect("cannot read the process status");
+        let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("no VmRSS line");
         let kib = line.split_whitespace().nth(1).and_then(|n| n.parse::<u64>().ok());
-        kib.expect("a number") * 1024
+        kib.expect("not a number") * 1024
     }
 }
--- a/tests/support/servers.rs
+++ b/tests/support/servers.rs
@@ -1,4 +1,4 @@
-//! Servers with faults on request.
+//! HTTP servers whose faults are selected by the request path.
 
 use std::{
     net::SocketAddr,
@@ -26,16 +26,16 @@
 
 use super::faulty;
 
-/// Work of a server for a request, or for an event, on paths that ask for it.
+/// Processing time per request or event, on paths that ask for it.
 const WORK_TIME: Duration = Duration::from_millis(20);
 
-/// Work of a server for requests that are to be under way for a while.
+/// Processing time of requests on paths that end in `/slow`.
 const SLOW_WORK_TIME: Duration = Duration::from_millis(500);
-/// Time after which a server that has crashed is back.
+/// Time from a crash until the server listens again.
 pub const RESTART_DELAY: Duration = Duration::from_secs(2);
 pub const SERVERS: usize = 3;
 
-/// A request that a server has run.
+/// One execution of a request by a server.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub at: Instant,
@@ -47,47 +47,47 @@
     pub saw_key: bool,
 }
 
-/// What the servers have run, and what they are told to do.
+/// Executions of all servers, and the controls of their faults.
 #[derive(Clone, Default)]
 pub struct Servers {
     runs: Arc<Mutex<Vec<Run>>>,
-    /// Counts how often each server has crashed.
+    /// Number of crashes of each server.
     crashes: [watch::Sender<u32>; SERVERS],
-    /// Whether requests that would end a server are answered.
+    /// Whether requests that otherwise crash a server succeed.
     pub is_fixed: Arc<AtomicBool>,
 }
 
 impl Servers {
     pub fn runs(&self) -> Vec<Run> {
-        self.runs.lock().expect("no panic while locked").clone()
+        self.runs.lock().expect("lock is poisoned").clone()
     }
 
-    /// Runs of one request.
+    /// Executions of the request with this id.
     pub fn runs_of(&self, id: &str) -> Vec<Run> {
         self.runs().into_iter().filter(|r| r.id == id).collect()
     }
 
-    /// Runs of one path, under whichever id.
+    /// Executions on this path, under any request id.
     pub fn runs_of_path(&self, path: &str) -> Vec<Run> {
         self.runs().into_iter().filter(|r| r.path == path).collect()
     }
 
-    /// Ends a server, with all that it runs; it is back after [`RESTART_DELAY`].
+    /// Crashes a server: its connections close, and it listens again after [`RESTART_DELAY`].
     pub fn crash(&self, server: usize) {
         self.crashes[server].send_modify(|count| *count += 1);
     }
 
-    /// Serves on an address, again after each crash.
+    /// Serves on an address and restarts after each crash.
     pub async fn serve(self, server: usize, address: SocketAddr) {
         let mut crashes = self.crashes[server].subscribe();
         loop {
-            let socket = TcpListener::bind(address).await.expect("an address of its own");
+            let socket = TcpListener::bind(address).await.expect("failed to bind the listener");
             crashes.borrow_and_update();
             loop {
                 let stream = tokio::select! {
                     biased;
                     _ = crashes.changed() => break,
-                    accepted = socket.accept() => accepted.expect("a connection").0,
+                    accepted = socket.accept() => accepted.expect("failed to connect").0,
                 };
                 let (servers, mut crash) = (self.clone(), crashes.clone());
                 tokio::spawn(async move {
@@ -107,7 +107,7 @@
             return faulty::send_response(&mut stream, &kind).await;
         }
         let service = service_fn(move |req| self.clone().handle(server, req));
-        // Ends with an error when it is to lose an answer.
+        // Returns an error on paths that close the connection without a response.
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     }
 
@@ -125,10 +125,10 @@
         if expected.as_deref() != Some(&*server_name(server)) {
             return Ok(response(421, &id, false, Bytes::new()));
         }
-        // The first server is full for requests that ask for it.
+        // On this path the first server refuses the request as overloaded.
         if path.ends_with("/full-at-first") && server == 0 {
             let mut full = response(503, &id, false, Bytes::new());
-            full.headers_mut().insert("not-run", "1".parse().expect("a header"));
+            full.headers_mut().insert("not-run", "1".parse().expect("invalid header value"));
             return Ok(full);
         }
         let body = req.into_body().collect().await.map_err(std::io::Error::other)?.to_bytes();
@@ -141,7 +141,7 @@
             team,
             saw_key,
         };
-        self.runs.lock().expect("no panic while locked").push(run);
+        self.runs.lock().expect("lock is poisoned").push(run);
         if path.ends_with("/crash") && self.is_fixed.load(Ordering::Relaxed) {
             return Ok(response(200, &id, true, body));
         }
@@ -149,7 +149,7 @@
             let event = Bytes::from_static(b"id: 1\ndata: out1\n\n");
             let first = stream::iter([Ok(Frame::data(event))]);
             let rest = stream::once(async move {
-                // The first event is on its way.
+                // Lets the first event be sent before the crash.
                 tokio::time::sleep(WORK_TIME).await;
                 self.crash(server);
                 std::future::pending().await
@@ -165,7 +165,7 @@
             tokio::time::sleep(SLOW_WORK_TIME).await;
         }
         if path.ends_with("/lost") {
-            // Closes the connection without an answer.
+            // Closes the connection without a response.
             return Err(std::io::Error::other("lost on request"));
         }
         if path.ends_with("/forged") {
@@ -173,12 +173,16 @@
         }
         if path.ends_with("/leaving") {
             let mut leaving = response(200, &id, true, body);
-            leaving.headers_mut().insert("server-leaving", "1".parse().expect("a header"));
+            leaving
+                .headers_mut()
+                .insert("server-leaving", "1".parse().expect("invalid header value"));
             return Ok(leaving);
         }
         if path.ends_with("/misdirected") {
             let mut other = response(421, &id, false, Bytes::new());
-            other.headers_mut().insert("server-leaving", "1".parse().expect("a header"));
+            other
+                .headers_mut()
+                .insert("server-leaving", "1".parse().expect("invalid header value"));
             return Ok(other);
         }
         if path.ends_with("/named") {
@@ -186,7 +190,7 @@
             return Ok(response(200, &id, true, Bytes::from(format!("body of {id}"))));
         }
         if let Some((before, events)) = path.rsplit_once("/events/") {
-            let count: usize = events.parse().expect("a number of events");
+            let count: usize = events.parse().expect("no number of events in the path");
             let pause = if before.ends_with("/paced") { WORK_TIME } else { Duration::ZERO };
             let events = stream::iter(1..=count).then(move |n| async move {
                 tokio::time::sleep(pause).await;
@@ -194,7 +198,7 @@
             });
             let mut streamed = response(200, &id, true, Bytes::new())
                 .map(|_| BoxBody::new(StreamBody::new(events)));
-            let kind = "text/event-stream".parse().expect("a header");
+            let kind = "text/event-stream".parse().expect("invalid header value");
             streamed.headers_mut().insert("content-type", kind);
             return Ok(streamed);
         }
@@ -213,7 +217,7 @@
     if sealed {
         builder = builder.header("server-seal", format!("seal-{id}"));
     }
-    builder.body(body).expect("a valid answer")
+    builder.body(body).expect("invalid response")
 }
 
 pub fn server_name(server: usize) -> String {
--- a/tests/support/soak/check.rs
+++ b/tests/support/soak/check.rs
@@ -1,4 +1,4 @@
-//! What must hold of everything that callers and servers have seen.
+//! Checks on the records of callers and servers.
 
 use std::{
     collections::BTreeMap,
@@ -7,43 +7,43 @@
 
 use crate::platform::KEY;
 
-/// What a caller asked for.
+/// Kind of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Kind {
     Safe,
     Once,
-    /// Ends each server that runs it, whichever id it has.
+    /// Crashes every server that runs it, under any request id.
     Crashing {
         path: &'static str,
     },
-    /// A stream of so many events that counts against the budget of its program.
+    /// A stream of `events` events that counts against the budget of its program.
     Budgeted {
         program: String,
         events: usize,
     },
-    /// A kept turn with what the servers must get: all that was said before, and its own input.
+    /// A kept turn. `input` is what the servers must receive: the previous turns and its own input.
     Kept {
         events: usize,
         input: String,
     },
 }
 
-/// What became of a call.
+/// A call and its response.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
     pub id: String,
     pub kind: Kind,
     pub key: &'static str,
     pub sent: Instant,
-    /// 0 if there was no answer.
+    /// 0 if there was no response.
     pub status: u16,
     pub seal: Option<String>,
     pub body: String,
-    /// Whether the answer ended in order.
-    pub is_whole: bool,
+    /// Whether the response was received to its end.
+    pub is_complete: bool,
 }
 
-/// A request that a server has run.
+/// One execution of a request by a server.
 #[derive(Clone, Debug)]
 pub struct Execution {
     pub id: String,
@@ -52,44 +52,47 @@
     pub at: Instant,
 }
 
-/// All that was seen in a run.
+/// Everything that was recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     pub calls: Vec<CallRecord>,
     pub executions: Vec<Execution>,
-    /// Versions in the order in which one reader got them.
+    /// Config versions in the order in which one reader received them.
     pub versions: Vec<u64>,
-    /// When a key was taken away, by the operator's answer.
+    /// A withdrawn key, with the time at which the operator received the acknowledgement.
     pub revoked: Option<(&'static str, Instant)>,
-    /// When all faults had ended.
+    /// Time at which all faults had ended.
     pub faults_ended: Option<Instant>,
-    /// What was not served once all faults had ended.
+    /// Unexpected exits, and what did not recover after the faults.
     pub failures: Vec<String>,
 }
 
 pub const TOKENS_PER_EVENT: u64 = 10;
-/// Budget of each program, and the most of one turn.
+/// Token budget of each program, and the maximum of one turn.
 pub const BUDGET_TOKENS: u64 = 200;
 pub const MAX_TURN_TOKENS: u64 = 50;
-/// Rate and burst of the team `blue`, and how far they may be exceeded in a window.
+/// Rate limit of the team `blue`. In a window it may be exceeded by a fraction of
+/// [`ALLOWED_EXCESS`] and by [`SLACK_CALLS`] calls.
 pub const RATE_PER_S: f64 = 20.0;
 pub const BURST: f64 = 20.0;
 const WINDOW: Duration = Duration::from_secs(5);
 const ALLOWED_EXCESS: f64 = 0.1;
 const SLACK_CALLS: f64 = 20.0;
-/// A key that was taken away stops after this time at the latest.
+/// Time after which a withdrawn key must be refused.
 const REVOCATION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Runs of a request that come later than this after it has ended so many servers.
+/// Once a request has crashed [`MAX_CRASHES`] servers and [`RETRY_GRACE`] has passed, at most
+/// [`MAX_RETRIES`] further executions are allowed.
 const MAX_CRASHES: usize = 3;
 const MAX_RETRIES: usize = 3;
 const RETRY_GRACE: Duration = Duration::from_secs(3);
-/// Refusals of other requests as such that end servers: a few, and so many in a thousand calls.
+/// Other requests may be refused as crashing: [`MAX_REFUSED`], plus
+/// [`MAX_REFUSED_PER_THOUSAND`] per thousand calls.
 const REFUSED_STATUS: u16 = 422;
 const MAX_REFUSED: usize = 5;
 const MAX_REFUSED_PER_THOUSAND: usize = 2;
 
 impl History {
-    /// All that is wrong; empty if nothing is.
+    /// Returns every violation found; empty if all checks pass.
     pub fn findings(&self) -> Vec<String> {
         let mut runs: BTreeMap<&str, Vec<&Execution>> = BTreeMap::new();
         for execution in &self.executions {
@@ -107,19 +110,20 @@
         findings.extend(self.crashing(&runs));
         findings.extend(self.unrelated_refusals());
         if let Some(at) = self.versions.windows(2).position(|w| w[0] > w[1]) {
-            findings.push(format!("version {:?} went back", &self.versions[at..at + 2]));
+            findings.push(format!("config versions decreased: {:?}", &self.versions[at..at + 2]));
         }
         findings
     }
 
-    /// How much of what was seen.
+    /// Summarizes calls, executions and versions in one line.
     pub fn summary(&self) -> String {
         let mut statuses: BTreeMap<u16, usize> = BTreeMap::new();
         self.calls.iter().for_each(|s| *statuses.entry(s.status).or_default() += 1);
-        let cut = self.calls.iter().filter(|s| s.status == 200 && !s.is_whole).count();
+        let cut = self.calls.iter().filter(|s| s.status == 200 && !s.is_complete).count();
         let (executions, versions) = (self.executions.len(), self.versions.last());
         format!(
-            "calls by status {statuses:?}, {cut} cut, {executions} runs, last version {versions:?}"
+            "calls by status {statuses:?}, {cut} cut, {executions} executions, last version \
+             {versions:?}"
         )
     }
 
@@ -132,7 +136,10 @@
             }
         }
         let over = used.iter().filter(|(_, used)| **used > BUDGET_TOKENS + MAX_TURN_TOKENS);
-        over.map(|(program, used)| format!("{program}: {used} tokens of {BUDGET_TOKENS}")).collect()
+        over.map(|(program, used)| {
+            format!("{program}: used {used} tokens of a budget of {BUDGET_TOKENS}")
+        })
+        .collect()
     }
 
     fn rate(&self) -> Option<String> {
@@ -144,7 +151,8 @@
         let count =
             |from: &Instant| at.iter().filter(|t| *t >= from && **t < *from + WINDOW).count();
         let worst = at.iter().map(count).max()?;
-        (worst as f64 > most).then(|| format!("{worst} calls of a team in a window of {most}"))
+        (worst as f64 > most)
+            .then(|| format!("{worst} calls of a team in one window, at most {most} allowed"))
     }
 
     fn crashing(&self, runs: &BTreeMap<&str, Vec<&Execution>>) -> Vec<String> {
@@ -163,8 +171,9 @@
                 + RETRY_GRACE;
             let late = at.iter().filter(|at| **at > from).count();
             if late > MAX_RETRIES {
-                findings
-                    .push(format!("{path}: {late} runs after {MAX_CRASHES} servers have ended"));
+                findings.push(format!(
+                    "{path}: {late} executions after {MAX_CRASHES} servers had crashed"
+                ));
             }
         }
         findings
@@ -177,7 +186,7 @@
             self.calls.iter().filter(is_other).filter(|s| s.status == REFUSED_STATUS).count();
         let most = MAX_REFUSED + calls * MAX_REFUSED_PER_THOUSAND / 1_000;
         (refused > most)
-            .then(|| format!("{refused} of {calls} other calls refused, at most {most}"))
+            .then(|| format!("{refused} of {calls} other calls refused, at most {most} allowed"))
     }
 
     fn revocation(&self) -> Vec<String> {
@@ -185,7 +194,7 @@
         let late =
             |s: &&CallRecord| s.key == key && s.sent > at + REVOCATION_TIMEOUT && s.status == 200;
         let served = self.calls.iter().filter(late);
-        served.map(|s| format!("{}: served with a key that was taken away", s.id)).collect()
+        served.map(|s| format!("{}: served with a withdrawn key", s.id)).collect()
     }
 }
 
@@ -196,26 +205,26 @@
         report(format!("ran {} times", runs.len()));
     }
     if matches!(call.status, 401 | 402 | 404 | 408 | 421 | 429 | 503) && !runs.is_empty() {
-        report(format!("has run, in spite of {}", call.status));
+        report(format!("was executed although its status is {}", call.status));
     }
     if call.status == 404 {
-        report("is said not to exist".to_owned());
+        report("was answered with status 404".to_owned());
     }
     if call.status == 401 && call.key == KEY {
-        report("refused with a key in force".to_owned());
+        report("refused with a valid key".to_owned());
     }
     if call.status == 200 && call.seal.as_deref() != Some(&*format!("seal-{}", call.id)) {
-        report(format!("answer with the seal {:?}", call.seal));
+        report(format!("wrong seal {:?}", call.seal));
     }
     match &call.kind {
         Kind::Safe | Kind::Once => {
-            if call.status == 200 && call.is_whole && call.body != expected_body(&call.id) {
-                report(format!("wrong answer {:?}", call.body));
+            if call.status == 200 && call.is_complete && call.body != expected_body(&call.id) {
+                report(format!("wrong body {:?}", call.body));
             }
         }
         Kind::Crashing { .. } => {
             if call.status == 200 {
-                report("is answered, though no server has answered it".to_owned());
+                report("succeeded although no server responded".to_owned());
             }
         }
         Kind::Budgeted { events, .. } | Kind::Kept { events, .. } => {
@@ -223,19 +232,21 @@
             if call.status == 200 && !all.starts_with(&call.body) {
                 report(format!("wrong stream {:?}", call.body));
             }
-            if call.status == 200 && call.is_whole && call.body != all {
-                report(format!("stream that ended early {:?}", call.body));
+            if call.status == 200 && call.is_complete && call.body != all {
+                report(format!("incomplete stream without an error {:?}", call.body));
             }
         }
     }
     if let Kind::Kept { input, .. } = &call.kind {
         let wrong = runs.iter().filter(|r| r.body != *input);
-        findings.extend(wrong.map(|r| format!("the server got {:?}, not {input:?}", r.body)));
+        findings.extend(
+            wrong.map(|r| format!("the server received {:?} instead of {input:?}", r.body)),
+        );
     }
     findings
 }
 
-/// What a server answers to a call that is no stream.
+/// Body of a response that is not a stream.
 pub fn expected_body(id: &str) -> String {
     format!("body of {id}")
 }
--- a/tests/support/soak/load.rs
+++ b/tests/support/soak/load.rs
@@ -1,4 +1,4 @@
-//! Callers of a run. They keep their connections until these are closed.
+//! Callers of a run. They reuse their connections until these are closed.
 
 use std::{
     sync::Arc,
@@ -17,29 +17,29 @@
 use crate::platform::{HOST, KEY};
 
 const CALL_INTERVAL: Duration = Duration::from_millis(30);
-/// Between two attempts of a request that ends servers.
+/// Between two attempts of a crashing request.
 const CRASH_INTERVAL: Duration = Duration::from_millis(1_000);
 const DEADLINE_MS: u64 = 3_000;
-/// Attempts to go on from a kept turn at the end.
+/// Attempts to continue the last kept turn once the run is over.
 const LAST_ATTEMPTS: u32 = 40;
 
-/// Starts the callers; they end once the run is over.
+/// Starts the callers; they stop once the run is over.
 pub(super) fn start(run: &Arc<Run>, seed: u64) -> JoinSet<()> {
     let mut callers = JoinSet::new();
     let count = if has_crashing_requests(seed) { 16 } else { 14 };
     for number in 0..count {
         let rng = SmallRng::seed_from_u64(seed.wrapping_mul(100) + number);
         let client = reqwest::Client::builder().timeout(Duration::from_secs(6)).build();
-        let client = client.expect("a client");
+        let client = client.expect("failed to build the HTTP client");
         let mut caller =
             Caller { run: run.clone(), rng, client, name: format!("c{number}"), calls: 0 };
         callers.spawn(async move {
             match number {
                 0..=2 => caller.plain(KEY).await,
                 3 => caller.plain(SECOND_KEY).await,
-                // Together they ask for more than the team's rate.
+                // Together they exceed the team's rate.
                 4..=5 | 11..=13 => caller.plain(BLUE_KEY).await,
-                // Two callers share each program.
+                // Callers 6 and 7 share their programs.
                 6..=8 => caller.budgeted(number / 2).await,
                 9..=10 => caller.kept().await,
                 14 => caller.crashing("/safe/crash").await,
@@ -50,7 +50,7 @@
     callers
 }
 
-/// Whether a front answers a call.
+/// Whether a call at a front succeeds.
 pub(super) async fn serves(run: &Run, front: u8) -> bool {
     let url = format!("http://{}/safe/named", run.fleet.front_address(front));
     let id = format!("last-{front}-{}", rand::random::<u32>());
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends a request again and again that ends each server that runs it.
+    /// Repeats a request that crashes every server that runs it.
     async fn crashing(&mut self, path: &'static str) {
         while !self.run.is_over() {
             self.call(Kind::Crashing { path }, KEY, path, &[], "in").await;
@@ -90,7 +90,8 @@
     async fn budgeted(&mut self, shared: u64) {
         let count = format!("5,{MAX_TURN_TOKENS}");
         for number in 0.. {
-            // A program ends when it is told that its budget is spent, or after a while.
+            // Continues with a new program once the budget is spent, or after a bounded number of
+            // turns.
             for _ in 0..2 * BUDGET_TOKENS / MAX_TURN_TOKENS + 4 {
                 if self.run.is_over() {
                     return;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A chain of kept turns; the last one must be there when all is over.
+    /// Runs a chain of kept turns. The last one must still be available once the run is over.
     async fn kept(&mut self) {
         let (mut previous, mut transcript) = (None::<String>, String::new());
         let mut attempts = 0;
@@ -123,14 +124,15 @@
             let own = format!("in{} ", self.calls);
             let kind = Kind::Kept { events, input: format!("{transcript}{own}") };
             let mut headers = vec![
-                // Other programs go on from the turn now and then.
+                // The program id changes after every third call, so that other programs continue
+                // the chain.
                 ("program-id", format!("kept-{}-{}", self.name, self.calls / 3)),
                 ("token-count", format!("5,{MAX_TURN_TOKENS}")),
             ];
             headers.extend(previous.iter().map(|p| ("previous-turn", p.clone())));
             let path = format!("/kept/paced/events/{events}");
             let call = self.call(kind, KEY, &path, &headers, &own).await;
-            if call.status != 200 || !call.is_whole {
+            if call.status != 200 || !call.is_complete {
                 continue;
             }
             if is_last {
@@ -141,7 +143,7 @@
             previous = Some(call.id);
         }
         let name = &self.name;
-        self.run.record(|h| h.failures.push(format!("{name}: a kept turn cannot be continued")));
+        self.run.record(|h| h.failures.push(format!("{name}: cannot continue a kept turn")));
     }
 
     async fn call(
@@ -170,18 +172,18 @@
             status: 0,
             seal: None,
             body: String::new(),
-            is_whole: false,
+            is_complete: false,
         };
         if let Ok(answer) = req.body(body.to_owned()).send().await {
             call.status = answer.status().as_u16();
             let seal = answer.headers().get("server-seal");
             call.seal = seal.and_then(|s| s.to_str().ok()).map(str::to_owned);
             let mut body = answer.bytes_stream();
-            call.is_whole = true;
+            call.is_complete = true;
             while let Some(piece) = body.next().await {
                 match piece {
                     Ok(piece) => call.body += &String::from_utf8_lossy(&piece),
-                    Err(_) => call.is_whole = false,
+                    Err(_) => call.is_complete = false,
                 }
             }
         }
--- a/tests/support/soak/mod.rs
+++ b/tests/support/soak/mod.rs
@@ -1,5 +1,5 @@
-//! One run of the soak: a fleet of real processes, callers, and faults from outside, drawn from a
-//! seed. What callers and servers saw is checked afterwards.
+//! One run of the soak test: a fleet of real processes, callers, and external faults generated from
+//! a seed. The records of callers and servers are checked afterwards.
 
 pub mod check;
 mod load;
@@ -24,18 +24,18 @@
 use check::{BURST, Execution, History, RATE_PER_S};
 use plan::{Action, Event, Group};
 
-/// Key that may be taken away.
+/// Key that may be withdrawn.
 pub const SECOND_KEY: &str = "second-key";
-/// Key of the team with a rate.
+/// Key of the team with a rate limit.
 pub const BLUE_KEY: &str = "key-of-blue";
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(6);
-/// All faults have ended; a fleet that does not serve by then never will.
+/// Time after the end of all faults in which the fleet must serve again.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
-/// For how long callers go on after the faults, where requests end servers.
+/// Time that callers continue after the faults in runs with crashing requests.
 const AFTER_FAULTS: Duration = Duration::from_secs(9);
 const READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What tasks of one run share.
+/// State that the tasks of one run share.
 struct Run {
     fleet: RelayFleet,
     client: reqwest::Client,
@@ -51,16 +51,17 @@
     }
 
     fn record(&self, f: impl FnOnce(&mut History)) {
-        f(&mut self.history.lock().expect("no panic while locked"));
+        f(&mut self.history.lock().expect("lock is poisoned"));
     }
 
-    /// The next version, with the keys that are in force.
+    /// Returns a config with the next version and the current keys.
     fn next_config(&self) -> Value {
         let version = self.version.fetch_add(1, Ordering::Relaxed) + 1;
         objects(version, self.is_revoked.load(Ordering::Relaxed))
     }
 
-    /// Publishes at one replica after another, beginning with `replica`, until one acknowledges it.
+    /// Publishes at the replicas in turn, beginning with `replica`, until one acknowledges it.
+    /// Returns false after [`PUBLISH_TIMEOUT`].
     async fn publish(&self, config: &Value, replica: u8) -> bool {
         let until = Instant::now() + PUBLISH_TIMEOUT;
         for turn in u32::from(replica).. {
@@ -74,10 +75,10 @@
             }
             tokio::time::sleep(READ_INTERVAL).await;
         }
-        unreachable!("the loop ends by a return")
+        unreachable!("the loop only ends by returning")
     }
 
-    /// Reads the version in force again and again.
+    /// Polls the version in force until the run is over.
     async fn read_versions(&self) {
         for turn in 0u32.. {
             if self.is_over() {
@@ -88,7 +89,7 @@
                 && answer.status() == 200
                 && let Ok(config) = answer.json::<Value>().await
             {
-                let version = config["version"].as_u64().expect("a version");
+                let version = config["version"].as_u64().expect("no version");
                 self.record(|h| h.versions.push(version));
             }
             tokio::time::sleep(READ_INTERVAL).await;
@@ -101,11 +102,11 @@
     let mut objects = config(version, keys);
     let blue =
         json!({"name": "blue", "apiKeys": [BLUE_KEY], "ratePerS": RATE_PER_S, "burst": BURST});
-    objects["tenants"].as_array_mut().expect("a list").push(blue);
+    objects["tenants"].as_array_mut().expect("not a list").push(blue);
     objects
 }
 
-/// Plays a seed, and returns what was seen. The output of the processes goes to `logs`.
+/// Runs the schedule of a seed and returns the history. The output of the processes goes to `logs`.
 pub async fn run_seed(seed: u64, logs: &Path) -> History {
     let client = reqwest::Client::builder().timeout(Duration::from_secs(6)).build();
     let mut fleet = RelayFleet::start_linked(&objects(1, false), logs).await;
@@ -116,7 +117,7 @@
     ];
     let run = Arc::new(Run {
         fleet,
-        client: client.expect("a client"),
+        client: client.expect("failed to build the HTTP client"),
         history: Mutex::default(),
         version: AtomicU64::new(1),
         is_revoked: AtomicBool::new(false),
@@ -132,7 +133,7 @@
         match event {
             Event::Machine(group, machine, action) => {
                 let (_, machines) =
-                    machines.iter_mut().find(|(g, _)| *g == group).expect("a group");
+                    machines.iter_mut().find(|(g, _)| *g == group).expect("unknown group");
                 apply(&mut machines[machine], action).await;
             }
             Event::Link(link, mode) => run.fleet.links[link].set(mode),
@@ -161,10 +162,10 @@
     run.record(|h| h.faults_ended = Some(Instant::now()));
     for machine in machines.iter_mut().flat_map(|(_, m)| m) {
         machine.signal(Signal::SIGCONT);
-        // A process that gets SIGHUP before its first instruction ends as any other does.
+        // SIGHUP terminates a process that has not installed its handler yet.
         let is_allowed = |status: &ExitStatus| status.signal() == Some(Signal::SIGHUP as i32);
         if let Some(status) = machine.take_unexpected_exit().filter(|status| !is_allowed(status)) {
-            run.record(|h| h.failures.push(format!("a process has ended by itself: {status}")));
+            run.record(|h| h.failures.push(format!("a process exited unexpectedly: {status}")));
         }
         apply(machine, Action::Start).await;
     }
@@ -173,7 +174,7 @@
         let until = Instant::now() + RECOVERY_TIMEOUT;
         while !load::serves(&run, front).await {
             if Instant::now() > until {
-                run.record(|h| h.failures.push(format!("front {front} does not serve again")));
+                run.record(|h| h.failures.push(format!("front {front} did not recover")));
                 break;
             }
             tokio::time::sleep(READ_INTERVAL).await;
@@ -184,7 +185,7 @@
     }
     run.is_over.store(true, Ordering::Relaxed);
     while callers.join_next().await.is_some() {}
-    let mut history = std::mem::take(&mut *run.history.lock().expect("no panic while locked"));
+    let mut history = std::mem::take(&mut *run.history.lock().expect("lock is poisoned"));
     history.executions = run.fleet.servers.runs().into_iter().map(execution).collect();
     history
 }
--- a/tests/support/soak/plan.rs
+++ b/tests/support/soak/plan.rs
@@ -1,4 +1,4 @@
-//! Faults of one run, drawn from its seed.
+//! Fault schedule of one run, generated from its seed.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 
 use crate::platform::proxy::Mode;
 
-/// Time in which faults begin.
+/// Faults of machines begin before this time.
 pub const LAST_FAULT_START: Duration = Duration::from_millis(7_000);
-/// All faults have ended by then.
+/// All faults are ended at this time.
 pub const FAULTS_END: Duration = Duration::from_millis(11_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     Kill,
     /// SIGTERM.
     Terminate,
-    /// Loses its disk; it does not run.
+    /// Empties the data folder of a machine whose process is not running.
     Wipe,
     Start,
     /// SIGSTOP.
@@ -37,21 +37,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     Machine(Group, usize, Action),
-    /// Link number, 0 and 1 to the fronts, then those to the servers.
+    /// Sets the mode of a link: 0 and 1 lead to the fronts, 2 to 4 to the servers.
     Link(usize, Mode),
     Reset(usize),
-    /// Two operators publish at once.
+    /// Two operators publish at the same time.
     Publish,
     /// A key is withdrawn.
     Revoke,
 }
 
-/// Whether requests come that end each server that runs them.
+/// Whether callers send requests that crash every server that runs them.
 pub fn has_crashing_requests(seed: u64) -> bool {
     seed.is_multiple_of(2)
 }
 
-/// Events with their times, in order.
+/// Generates the events of a run, sorted by time.
 pub fn generate(seed: u64) -> Vec<(Duration, Event)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut events = Vec::new();
@@ -78,7 +78,7 @@
     if rng.random_bool(0.5) {
         events.push((ms(rng.random_range(500..2_500)), Event::Revoke));
     }
-    // Answers are lost on their way from the servers.
+    // Resets to the servers, which lose responses.
     for _ in 0..rng.random_range(4..16) {
         let link = rng.random_range(2..5);
         events.push((ms(rng.random_range(300..9_000)), Event::Reset(link)));
@@ -87,8 +87,8 @@
     events
 }
 
-/// Outages of the machines of a group that has disks: at most one loses its disk, and the others run
-/// from then on. Before, several may be away at a time.
+/// Outages of a group whose machines have disks. Either one machine loses its disk while the others
+/// keep running, or every machine may have an outage, also several at a time.
 fn machines(rng: &mut SmallRng, events: &mut Vec<(Duration, Event)>, group: Group) {
     let ms = Duration::from_millis;
     let machine = rng.random_range(0..3);
@@ -105,7 +105,7 @@
     }
 }
 
-/// Up to `most` outages of a machine, one after the other.
+/// Up to `max` outages of a machine, one after another.
 fn outages(
     rng: &mut SmallRng,
     events: &mut Vec<(Duration, Event)>,
--- a/tests/support/traffic.rs
+++ b/tests/support/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers that go on through faults, and what was promised to them.
+//! Callers that keep sending calls during faults, and checks of what was acknowledged to them.
 
 use std::{
     net::SocketAddr,
@@ -19,7 +19,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 const TURNS_PER_PROGRAM: u32 = 30;
 
-/// An answer as callers judge it.
+/// Status and error fields of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallOutcome {
     pub status: u16,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Sends a call; without an answer the status is 0.
+/// Sends a call. The status is 0 if there is no JSON response within [`CALL_TIMEOUT`].
 pub async fn send_call(call: RequestBuilder) -> CallOutcome {
     match call.timeout(CALL_TIMEOUT).send().await {
         Ok(response) => parse_response(response).await,
@@ -50,16 +50,16 @@
     CallOutcome { status, code: text("code"), ran: text("ran") }
 }
 
-/// What callers were promised.
+/// Calls that were acknowledged to callers.
 #[derive(Default)]
 struct Acknowledged {
-    /// Programs with the number of turns that were answered.
+    /// Programs with their number of completed turns.
     turns: Mutex<Vec<(String, u32)>>,
-    /// Keys of all orders, with whether they were answered.
+    /// Idempotency keys of all orders, and whether a success was received.
     orders: Mutex<Vec<(String, bool)>>,
 }
 
-/// Callers that run programs and orders at all instances until they are stopped.
+/// Callers that run programs and orders at random instances until they are stopped.
 pub struct Traffic {
     acknowledged: Arc<Acknowledged>,
     stop: Arc<AtomicBool>,
@@ -78,7 +78,7 @@
 }
 
 impl Traffic {
-    /// Starts callers of programs, and as many callers of orders.
+    /// Starts `callers` callers of programs and as many callers of orders.
     pub fn start(fleet: &Fleet, callers: u64) -> Self {
         let acknowledged = Arc::<Acknowledged>::default();
         let stop = Arc::<AtomicBool>::default();
@@ -100,35 +100,36 @@
         Self { acknowledged, stop, answered, tasks }
     }
 
-    /// Waits until calls that begin from now on are answered.
+    /// Waits until calls that begin after this call have succeeded.
     pub async fn wait_for_progress(&self) {
         let target = self.answered.load(Ordering::Relaxed) + 4 * self.tasks.len();
-        let what = "further answers";
+        let what = "further successful calls";
         eventually(what, async || self.answered.load(Ordering::Relaxed) >= target).await;
     }
 
-    /// Ends the callers and checks every promise: each answered turn is in the history, in order
-    /// and once; each answered order ran once, and no order ran twice.
+    /// Stops the callers and checks what was acknowledged: each completed turn is in the history
+    /// once and in order, each completed order ran once, and no order ran twice.
     pub async fn stop_and_check(mut self, fleet: &Fleet, stand_in: usize) {
         self.stop.store(true, Ordering::Relaxed);
         while let Some(ended) = self.tasks.join_next().await {
-            ended.expect("no caller panics");
+            ended.expect("caller panicked");
         }
-        let turns = std::mem::take(&mut *self.acknowledged.turns.lock().expect("no panic"));
-        assert!(!turns.is_empty(), "no turn was answered");
+        let turns = std::mem::take(&mut *self.acknowledged.turns.lock().expect("lock is poisoned"));
+        assert!(!turns.is_empty(), "no turn was completed");
         for (program, answered) in turns {
             let history = fleet.history(&program).await;
             let whole: Vec<(u64, String)> = (1..=answered.max(history.len() as u32))
                 .map(|turn| (u64::from(turn), content(&program, turn)))
                 .collect();
-            assert_eq!(history, whole, "{program}: {answered} turns were answered");
+            assert_eq!(history, whole, "{program}: {answered} turns were completed");
         }
-        let orders = std::mem::take(&mut *self.acknowledged.orders.lock().expect("no panic"));
+        let orders =
+            std::mem::take(&mut *self.acknowledged.orders.lock().expect("lock is poisoned"));
         let executions = fleet.all_executions(stand_in).await;
         for (key, answered) in orders {
             let ran = executions.iter().find(|(k, _)| *k == key).map_or(0, |(_, n)| *n);
             let allowed = if answered { 1..=1 } else { 0..=1 };
-            assert!(allowed.contains(&ran), "{key} ran {ran} times; answered: {answered}");
+            assert!(allowed.contains(&ran), "{key} ran {ran} times; completed: {answered}");
         }
     }
 }
@@ -165,7 +166,7 @@
 
     fn record_turn(&self, program: &str, turn: u32) {
         self.answered.fetch_add(1, Ordering::Relaxed);
-        let mut turns = self.acknowledged.turns.lock().expect("no panic");
+        let mut turns = self.acknowledged.turns.lock().expect("lock is poisoned");
         match turns.iter_mut().find(|(p, _)| p == program) {
             Some(known) => known.1 = turn,
             None => turns.push((program.to_owned(), turn)),
@@ -187,7 +188,7 @@
                 }
             }
             let answered = outcome.status == 200;
-            self.acknowledged.orders.lock().expect("no panic").push((key, answered));
+            self.acknowledged.orders.lock().expect("lock is poisoned").push((key, answered));
             if self.stop.load(Ordering::Relaxed) {
                 return;
             }
--- a/tests/support/watch.rs
+++ b/tests/support/watch.rs
@@ -1,4 +1,4 @@
-//! Watches that no instance goes back to an older generation.
+//! Checks that no instance returns to an older generation.
 
 use std::{
     sync::{
@@ -14,7 +14,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Watches the generation in force at each instance until it is stopped.
+/// Polls the generation in force at each instance until it is stopped.
 pub struct GenerationMonitor {
     stop: Arc<AtomicBool>,
     task: JoinHandle<Vec<u64>>,
@@ -31,11 +31,11 @@
             while !stopped.load(Ordering::Relaxed) {
                 for (i, (probe, is_replica)) in members.iter().enumerate() {
                     let Some(generation) = generation_of(&client, *probe).await else { continue };
-                    // Without a disk an instance starts without objects.
+                    // An instance without a data folder starts without objects.
                     let not_loaded = generation == 0 && !is_replica;
                     assert!(
                         not_loaded || generation >= highest[i],
-                        "instance {i} went back from generation {} to {generation}",
+                        "instance {i} returned from generation {} to {generation}",
                         highest[i]
                     );
                     highest[i] = highest[i].max(generation);
@@ -47,9 +47,9 @@
         Self { stop, task }
     }
 
-    /// Stops, and returns the highest generation of each instance.
+    /// Stops and returns the highest generation seen at each instance.
     pub async fn stop(self) -> Vec<u64> {
         self.stop.store(true, Ordering::Relaxed);
-        self.task.await.expect("no generation goes back")
+        self.task.await.expect("monitor failed")
     }
 }
--- a/tests/voter_change.rs
+++ b/tests/voter_change.rs
@@ -1,4 +1,4 @@
-//! Guards against a replacement that does not end when the replica to be replaced still runs.
+//! Guards against a voter replacement that never completes while the old replica is still running.
 
 mod support;
 
@@ -6,20 +6,20 @@
 
 const ENTRY: usize = 3;
 
-/// The leader of group 0 is replaced while it runs: it passes the leadership on first. A new leader
-/// that is not in the other groups yet finds who leads them.
+/// The leader of group 0 is replaced while it runs, so it must transfer its leadership first. A new
+/// leader that is not yet a member of the other groups must find their leaders.
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_replaced() {
     let mut fleet = Fleet::start(3, 1).await;
-    let leader = fleet.leader(ENTRY, 0).expect("a leader");
-    let old = fleet.members[leader].replica.expect("a replica").to_string();
+    let leader = fleet.leader(ENTRY, 0).expect("no leader");
+    let old = fleet.members[leader].replica.expect("instance is not a replica").to_string();
     let new = fleet.add_replica(4, "zone-1").await;
     fleet.start_member(new);
     let address = fleet.members[new].advertised.to_string();
     let replace = ["replace-voter", "--old", &old, "--new", "4", "--new-address", &address];
     fleet.operate(ENTRY, &replace).success();
     let status = fleet.status(ENTRY);
-    let replicas = status["replicas"].as_array().expect("replicas");
+    let replicas = status["replicas"].as_array().expect("no list of replicas");
     for group in 0..3 {
         let mut voters: Vec<u64> = replicas
             .iter()
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -1,5 +1,5 @@
-//! Guards against a part of an answer, or the answer to another call, that a caller takes for the
-//! whole answer to its own.
+//! Guards against truncated responses, or responses to other calls, that a caller takes for the
+//! complete response to its own call.
 
 mod support;
 
@@ -13,7 +13,7 @@
     [("engine-1", "engine", flags), ("engine-2", "engine", flags)]
 }
 
-/// A whole answer, or a refusal, or a body that fails.
+/// Checks that a response is complete, or is a refusal, or has a body that ends in an error.
 fn check(what: &str, response: &CallResponse, stream: bool) {
     let Ok(body) = &response.body else { return };
     if response.status != 200 {
@@ -24,12 +24,12 @@
         assert!(body.ends_with("data: [DONE]\n\n"), "{what}: {response:?}");
         assert!(body.matches("data: ").count() >= 4, "{what}: {response:?}");
     } else {
-        let body: Value = serde_json::from_str(body).expect("whole JSON");
+        let body: Value = serde_json::from_str(body).expect("incomplete JSON");
         assert_eq!(body["usage"]["completion_tokens"], 4, "{what}: {response:?}");
     }
 }
 
-/// An answer that is cut, crossed or late is passed on as a whole one, or is kept for resends.
+/// A truncated, crossed or late response must not be passed on as complete or recorded for resends.
 #[tokio::test(flavor = "multi_thread")]
 async fn failing_answers() {
     let fleet = Fleet::with_stand_ins(1, &engines()).await;
@@ -53,7 +53,7 @@
     }
 }
 
-/// A stream that is cut in its middle ends like a whole one.
+/// A truncated stream must end in an error at the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_stream() {
     let flags: &[&str] = &["--token-interval", "20ms"];
@@ -64,11 +64,15 @@
         let url = format!("http://{}/v1/chat/completions", fleet.members[1].entry);
         let body = json!({"model": "chat-model", "max_tokens": 500, "stream": true,
             "messages": [{"role": "user", "content": format!("http2 {http2}")}]});
-        let client = client.build().expect("client");
+        let client = client.build().expect("failed to build the HTTP client");
         let call = client.post(url).bearer_auth(fleet.objects.team_key()).json(&body);
-        let mut answer = call.send().await.expect("the head of an answer");
+        let mut answer = call.send().await.expect("no response head");
         assert_eq!(answer.status(), 200);
-        answer.chunk().await.expect("a first event").expect("a first event");
+        answer
+            .chunk()
+            .await
+            .expect("failed to read the first event")
+            .expect("failed to read the first event");
         fleet.kill_stand_in(0);
         let rest = answer.text().await;
         assert!(rest.is_err(), "http2={http2}: {rest:?}");
@@ -77,7 +81,7 @@
     }
 }
 
-/// A call that may run again is lost with the first endpoint that fails it.
+/// A call that may be repeated must be retried at another endpoint.
 #[tokio::test(flavor = "multi_thread")]
 async fn retried_call() {
     let mut fleet = Fleet::with_stand_ins(1, &engines()).await;
--- a/tests/withdrawn_key.rs
+++ b/tests/withdrawn_key.rs
@@ -1,4 +1,4 @@
-//! Guards against calls under a key that was withdrawn.
+//! Guards against calls that run under a withdrawn key.
 
 mod support;
 
@@ -13,15 +13,15 @@
 const ENGINE: usize = 0;
 const SERVICE: usize = 1;
 const CALLS: usize = 40;
-/// Within this time an accepted publication is in force everywhere, by design section 1. Measured
-/// from the start of the operator's command to its end, which is more.
+/// Time within which an accepted publication must be in force everywhere (design, section 1). The
+/// test measures the whole operator command, which takes longer.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(7);
 
 fn unauthorized() -> CallOutcome {
     CallOutcome { status: 401, code: "unauthorized".to_owned(), ran: "no".to_owned() }
 }
 
-/// A withdrawn key stops within seconds, on open connections and for calls that wait in the queue.
+/// A withdrawn key must be refused within seconds, also on open connections and for queued calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn waiting_calls() {
     let mut fleet = Fleet::prepare(1, 1).await;
@@ -30,7 +30,7 @@
     fleet.objects.capacity = 4;
     fleet.start_all().await;
     fleet.publish_and_wait().await;
-    // Open connections, which the calls after the withdrawal use again.
+    // Opens connections that the calls after the withdrawal reuse.
     for i in 0..2 {
         let url = format!("http://{}/v1/models", fleet.members[i].entry);
         let models = fleet.client.get(url).bearer_auth(fleet.objects.team_key());
@@ -42,7 +42,7 @@
         calls.spawn(send_call(if n % 4 < 2 { program } else { fleet.chat(n % 2, "waits") }));
         calls.spawn(send_call(fleet.order(n % 2, &format!("order-{n}"), "{}")));
     }
-    eventually("calls at the endpoints", async || {
+    eventually("calls to reach both endpoints", async || {
         !fleet.all_executions(SERVICE).await.is_empty()
             && fleet.query_stand_in(ENGINE, "/load").await["running"] != 0
     })
@@ -59,10 +59,10 @@
     }
     let mut refused = 0;
     while let Some(answer) = calls.join_next().await {
-        let answer = answer.expect("no panic");
+        let answer = answer.expect("task panicked");
         assert!(answer.status == 200 || answer == unauthorized(), "{answer:?}");
         refused += usize::from(answer == unauthorized());
     }
     assert_eq!(fleet.all_executions(SERVICE).await, ran, "orders that ran after the withdrawal");
-    assert!(refused >= CALLS, "most calls still waited; {refused} of {} refused", 2 * CALLS);
+    assert!(refused >= CALLS, "only {refused} of {} calls were refused", 2 * CALLS);
 }
--- a/tests/zone_loss.rs
+++ b/tests/zone_loss.rs
@@ -1,4 +1,4 @@
-//! Guards against a standstill when a whole zone is lost.
+//! Guards against loss of progress when a whole zone is lost.
 
 mod support;
 
@@ -7,8 +7,8 @@
 const MEMBERS: usize = 6;
 const SERVICE: usize = 1;
 
-/// All instances of the leader's zone are killed at once; the others serve and publish, and nothing
-/// is lost.
+/// After all instances in the leader's zone are killed at once, the others must serve and publish,
+/// and no acknowledged data may be lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaders_zone() {
     let mut fleet = Fleet::start(3, 3).await;
--- a/tests/zone_out.rs
+++ b/tests/zone_out.rs
@@ -1,4 +1,4 @@
-//! Guards against new work for zones that were taken out and for endpoints that leave.
+//! Guards against new calls to zones that are out and to endpoints that are leaving.
 
 mod support;
 
@@ -16,14 +16,14 @@
 };
 use tokio::{task::JoinSet, time::sleep};
 
-/// Stand-in services by index; the first stands in zone-1.
+/// Indices of the stand-in services; the first is in zone-1.
 const FIRST: usize = 0;
 const OTHERS: [usize; 2] = [1, 2];
 const CALLERS: usize = 24;
-/// For calls that had been sent before.
+/// Time for calls that were already sent to finish.
 const IN_FLIGHT_GRACE: Duration = Duration::from_secs(1);
 
-/// Callers that keep queues at both instances, until they are stopped.
+/// Callers that keep the queues of both instances filled until they are stopped.
 struct Callers {
     stop: Arc<AtomicBool>,
     tasks: JoinSet<Vec<CallOutcome>>,
@@ -59,7 +59,7 @@
     async fn stop(mut self) {
         self.stop.store(true, Ordering::Relaxed);
         while let Some(refused) = self.tasks.join_next().await {
-            assert_eq!(refused.expect("no panic"), [], "calls that were refused");
+            assert_eq!(refused.expect("task panicked"), [], "some calls were refused");
         }
     }
 }
@@ -72,21 +72,24 @@
     served(fleet, OTHERS[0]).await + served(fleet, OTHERS[1]).await
 }
 
-/// Checks that the first endpoint gets nothing while the others go on, and gets calls again after
-/// `restore` is published.
+/// Publishes the object file and checks that the first endpoint gets no calls while the others do,
+/// and that it gets calls again after `restore` is published.
 async fn check_out_and_back(fleet: &mut Fleet, restore: impl FnOnce(&mut Fleet)) {
     fleet.publish_and_wait_in_force().await;
     sleep(IN_FLIGHT_GRACE).await;
     let (first, others) = (served(fleet, FIRST).await, served_by_others(fleet).await);
-    eventually("calls elsewhere", async || served_by_others(fleet).await > others + 100).await;
-    assert_eq!(served(fleet, FIRST).await, first, "calls at the endpoint that was taken out");
+    eventually("calls at the other endpoints", async || {
+        served_by_others(fleet).await > others + 100
+    })
+    .await;
+    assert_eq!(served(fleet, FIRST).await, first, "the endpoint still gets calls");
     restore(fleet);
     fleet.publish_and_wait_in_force().await;
     eventually("calls at the endpoint again", async || served(fleet, FIRST).await > first).await;
 }
 
-/// While a zone, and then an endpoint, is out, it gets no call, queued ones included; callers are
-/// served elsewhere without a refusal.
+/// A zone that is out, and then an endpoint that is leaving, must get no calls, not even queued
+/// ones. Callers must be served by other endpoints without a refusal.
 #[tokio::test(flavor = "multi_thread")]
 async fn zone_and_endpoint() {
     let mut fleet = Fleet::prepare(1, 1).await;
