--- a/benches/idle.rs
+++ b/benches/idle.rs
@@ -1,8 +1,8 @@
-//! Processor time, memory and datagrams of instances without calls.
+//! Measures processor time, memory and datagrams of instances that serve no calls.
 //!
-//! Separate processes on loopback; datagrams between instances are counted by relays, so one that
-//! stays within a process is not seen. Run with `cargo bench --bench idle`. The figures are counts
-//! and processor time, which other load on the machine disturbs less than elapsed time.
+//! The instances are separate processes on loopback. UDP proxies count the datagrams between them;
+//! messages within a process are not counted. Run with `cargo bench --bench idle`. Counts and
+//! processor time depend less on other load on the machine than elapsed time does.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -15,20 +15,20 @@
 
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 const RUN_TIME: Duration = Duration::from_secs(10);
-/// Kernel clock ticks in a second, as `/proc/PID/stat` counts them.
+/// Unit of the times in `/proc/PID/stat`: clock ticks per second.
 const TICKS_PER_SECOND: f64 = 100.0;
 const FLEETS: [(u64, u64); 3] = [(3, 0), (3, 2), (3, 5)];
 const ENDPOINTS: [usize; 3] = [4, 12, 36];
 const TEAMS: [u32; 3] = [1000, 3000, 10_000];
 
 fn main() {
-    // Cargo passes `--bench`; a run by `cargo test --benches` must not measure anything.
+    // `cargo bench` passes `--bench`; `cargo test --benches` does not and must not measure.
     if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
     let wanted = |part: &str| std::env::args().skip(1).all(|a| a.starts_with('-') || a == part);
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    runtime.expect("a runtime").block_on(async {
+    runtime.expect("failed to start the runtime").block_on(async {
         if wanted("fleets") {
             for (replicas, entries) in FLEETS {
                 let mut fleet = Fleet::prepare(replicas, entries).await;
@@ -57,7 +57,7 @@
     });
 }
 
-/// Publishes a large set, then the same set with one difference.
+/// Measures the publication of a large object set, of one change to it, and the idle fleet after.
 async fn measure_large_set(teams: u32) {
     let mut fleet = Fleet::prepare(3, 2).await;
     fleet.add_stand_in("engine-0", "engine", &[]);
@@ -89,10 +89,10 @@
     Sample::take(fleet).print(&before, fleet, what);
 }
 
-/// Processor seconds, resident KiB, and sent and received datagrams and bytes of an instance.
+/// Processor seconds, resident KiB, and (datagrams, bytes) sent and received of an instance.
 type MemberSample = (f64, u64, [(u64, u64); 2]);
 
-/// State of all processes at a time.
+/// Counters of all processes at one point in time.
 struct Sample {
     at: Instant,
     members: Vec<MemberSample>,
@@ -101,7 +101,7 @@
 impl Sample {
     fn take(fleet: &Fleet) -> Self {
         let of = |(i, member): (usize, &support::Member)| {
-            let id = member.process.as_ref().expect("it runs").id();
+            let id = member.process.as_ref().expect("process is not running").id();
             (processor_seconds(id), resident_kib(id), fleet.network.traffic(i))
         };
         Self { at: Instant::now(), members: fleet.members.iter().enumerate().map(of).collect() }
@@ -137,14 +137,15 @@
 }
 
 fn processor_seconds(id: u32) -> f64 {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("it runs");
+    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("process is not running");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks: f64 = fields[11..13].iter().map(|f| f.parse::<f64>().expect("a number")).sum();
+    let ticks: f64 = fields[11..13].iter().map(|f| f.parse::<f64>().expect("not a number")).sum();
     ticks / TICKS_PER_SECOND
 }
 
 fn resident_kib(id: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("it runs");
-    let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("resident size");
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
+    let status =
+        std::fs::read_to_string(format!("/proc/{id}/status")).expect("process is not running");
+    let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("no VmRSS line");
+    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("not a number")
 }
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -1,8 +1,8 @@
-//! What an instance adds to a call, against the same call sent to the endpoint directly.
+//! Measures the overhead of an instance, compared with calls sent directly to the endpoint.
 //!
-//! Separate processes on loopback: one instance, one stand-in, and this load generator. Run with
-//! `cargo bench --bench overhead`. Every figure is printed with that of the direct call in the same
-//! run; the machine's other load shows in both.
+//! One instance, two stand-ins and this load generator run as separate processes on loopback. Run
+//! with `cargo bench --bench overhead`. Each figure is printed next to that of direct calls in the
+//! same run, since other load on the machine affects both.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -30,12 +30,12 @@
 const NANOS_PER_MICRO: f64 = 1000.0;
 
 fn main() {
-    // Cargo passes `--bench`; a run by `cargo test --benches` must not measure anything.
+    // `cargo bench` passes `--bench`; `cargo test --benches` does not and must not measure.
     if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    runtime.expect("a runtime").block_on(run());
+    runtime.expect("failed to start the runtime").block_on(run());
 }
 
 async fn run() {
@@ -54,14 +54,14 @@
         service: fleet.stand_ins[1].address,
         engine: fleet.stand_ins[0].address,
         key: fleet.objects.team_key().to_owned(),
-        instance: fleet.members[0].process.as_ref().expect("it runs").id(),
+        instance: fleet.members[0].process.as_ref().expect("process is not running").id(),
     };
     closed_loop(&target).await;
     open_loop(&target).await;
     streams(&target).await;
 }
 
-/// Where the load goes.
+/// Addresses and credentials for the load.
 struct Target {
     entry: SocketAddr,
     service: SocketAddr,
@@ -134,7 +134,7 @@
 
 static PEAK_RESIDENT_KIB: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
-/// Notes the largest resident memory until it is aborted.
+/// Samples the resident memory of a process into [`PEAK_RESIDENT_KIB`] until it is aborted.
 async fn peak_resident(pid: u32) -> u64 {
     loop {
         PEAK_RESIDENT_KIB.fetch_max(resident_kib(pid), std::sync::atomic::Ordering::Relaxed);
@@ -145,9 +145,10 @@
 type Sender = http1::SendRequest<Full<Bytes>>;
 
 async fn connect(address: SocketAddr) -> Sender {
-    let stream = TcpStream::connect(address).await.expect("a connection");
-    stream.set_nodelay(true).expect("a socket option");
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.expect("a handshake");
+    let stream = TcpStream::connect(address).await.expect("failed to connect");
+    stream.set_nodelay(true).expect("failed to set TCP_NODELAY");
+    let (sender, connection) =
+        http1::handshake(TokioIo::new(stream)).await.expect("HTTP handshake failed");
     tokio::spawn(connection);
     sender
 }
@@ -157,14 +158,14 @@
         .header("host", address.to_string())
         .header("authorization", format!("Bearer {key}"))
         .body(Full::default())
-        .expect("a request")
+        .expect("invalid request")
 }
 
 async fn call(sender: &mut Sender, request: Request<Full<Bytes>>) -> Duration {
     let started = Instant::now();
-    let response = sender.send_request(request).await.expect("an answer");
+    let response = sender.send_request(request).await.expect("no response");
     assert!(response.status().is_success(), "status {}", response.status());
-    response.into_body().collect().await.expect("a whole answer");
+    response.into_body().collect().await.expect("incomplete response");
     started.elapsed()
 }
 
@@ -173,18 +174,18 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(100, 60_000_000_000, 3).expect("valid bounds")
+    Histogram::new_with_bounds(100, 60_000_000_000, 3).expect("invalid bounds")
 }
 
 async fn merge(mut workers: JoinSet<Histogram<u64>>) -> Histogram<u64> {
     let mut all = new_histogram();
     while let Some(h) = workers.join_next().await {
-        all.add(h.expect("no panic")).expect("the same bounds");
+        all.add(h.expect("task panicked")).expect("bounds differ");
     }
     all
 }
 
-/// As many calls as `connections` can make one after another.
+/// Closed loop: each connection sends its next call when the previous one has completed.
 async fn load(address: SocketAddr, key: &str, connections: usize) -> Histogram<u64> {
     let until = Instant::now() + RUN_TIME;
     let key: Arc<str> = key.into();
@@ -195,7 +196,7 @@
             let mut h = new_histogram();
             let mut sender = connect(address).await;
             while Instant::now() < until {
-                sender.ready().await.expect("an open connection");
+                sender.ready().await.expect("connection was closed");
                 record(&mut h, call(&mut sender, small_call(address, &key)).await);
             }
             h
@@ -204,7 +205,8 @@
     merge(workers).await
 }
 
-/// Calls at a fixed rate, timed from when each was due.
+/// Open loop: calls at a fixed rate. Latency is measured from when a call is sent, not from when it
+/// was due.
 async fn paced_load(address: SocketAddr, key: &str) -> Histogram<u64> {
     let until = Instant::now() + RUN_TIME;
     let key: Arc<str> = key.into();
@@ -220,7 +222,7 @@
             while due < until {
                 tokio::time::sleep_until(due.into()).await;
                 let started = Instant::now();
-                sender.ready().await.expect("an open connection");
+                sender.ready().await.expect("connection was closed");
                 call(&mut sender, small_call(address, &key)).await;
                 record(&mut h, started.elapsed());
                 due += period;
@@ -231,7 +233,7 @@
     merge(workers).await
 }
 
-/// Time between the events of many streams.
+/// Opens [`STREAMS`] streams and records the time between their events.
 async fn stream_load(address: SocketAddr, key: &str) -> Histogram<u64> {
     let key: Arc<str> = key.into();
     let mut workers = JoinSet::new();
@@ -255,13 +257,13 @@
         .header("host", address.to_string())
         .header("authorization", format!("Bearer {key}"))
         .body(Full::from(body.to_string()))
-        .expect("a request");
-    let response = sender.send_request(request).await.expect("an answer");
+        .expect("invalid request");
+    let response = sender.send_request(request).await.expect("no response");
     assert!(response.status().is_success(), "status {}", response.status());
     let mut body = response.into_body();
     let mut last: Option<Instant> = None;
     while let Some(frame) = body.frame().await {
-        frame.expect("a whole stream");
+        frame.expect("stream was cut");
         let now = Instant::now();
         if let Some(last) = last {
             record(&mut h, now - last);
@@ -279,18 +281,20 @@
     h.len() as f64 / RUN_TIME.as_secs_f64()
 }
 
-/// Processor time that a process has used.
+/// User and system time of a process in seconds.
 fn cpu_seconds(pid: u32) -> f64 {
     const TICKS_PER_SECOND: f64 = 100.0;
-    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
-    let after_name = stat.rsplit_once(") ").expect("a name in brackets").1;
+    let stat =
+        std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("cannot read from /proc");
+    let after_name = stat.rsplit_once(") ").expect("no process name in brackets").1;
     let field = |n: usize| after_name.split(' ').nth(n).and_then(|f| f.parse::<f64>().ok());
-    (field(11).expect("user time") + field(12).expect("system time")) / TICKS_PER_SECOND
+    (field(11).expect("no user time") + field(12).expect("no system time")) / TICKS_PER_SECOND
 }
 
-/// Resident memory of a process.
+/// Resident memory of a process in KiB (`VmRSS`).
 fn resident_kib(pid: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("a process");
-    let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("resident memory");
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("a number")
+    let status =
+        std::fs::read_to_string(format!("/proc/{pid}/status")).expect("cannot read from /proc");
+    let line = status.lines().find(|l| l.starts_with("VmRSS:")).expect("no VmRSS line");
+    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("not a number")
 }
