--- a/crates/standin/src/config.rs
+++ b/crates/standin/src/config.rs
@@ -70,14 +70,14 @@
 
 /// What both kinds share.
 #[derive(Clone, Debug)]
-pub(crate) struct LifeConfig {
+pub(crate) struct LifecycleConfig {
     pub(crate) first_run: u64,
     pub(crate) restart_after: Duration,
     pub(crate) exit_on_crash: bool,
     pub(crate) load_lag: Duration,
 }
 
-impl Default for LifeConfig {
+impl Default for LifecycleConfig {
     fn default() -> Self {
         Self {
             first_run: 1,
@@ -91,7 +91,7 @@
 /// Settings of an engine. [`EngineConfig::builder`] makes others than the defaults.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    pub(crate) life: LifeConfig,
+    pub(crate) lifecycle: LifecycleConfig,
     pub(crate) capacity: u32,
     pub(crate) max_queue: u32,
     pub(crate) retry_after: Duration,
@@ -117,7 +117,7 @@
 impl Default for EngineConfig {
     fn default() -> Self {
         Self {
-            life: LifeConfig::default(),
+            lifecycle: LifecycleConfig::default(),
             capacity: 8,
             max_queue: 64,
             retry_after: Duration::from_secs(1),
@@ -158,7 +158,7 @@
         DEFAULT_VERSION.into()
     }
 
-    fn check(&self) -> Result<(), ConfigError> {
+    fn validate(&self) -> Result<(), ConfigError> {
         let rules = [
             (self.capacity >= 1, "the capacity must be at least 1"),
             (
@@ -176,7 +176,7 @@
             ((0.0..=1.0).contains(&self.event_gap_rate), "the gap rate must be from 0 to 1"),
             (self.cache_blocks >= 1, "the cache must hold at least one block"),
         ];
-        match rules.into_iter().find(|(kept, _)| !kept) {
+        match rules.into_iter().find(|(valid, _)| !valid) {
             Some((_, message)) => Err(ConfigError(message.to_owned())),
             None => Ok(()),
         }
@@ -186,7 +186,7 @@
 /// Settings of a plain service. [`ServiceConfig::builder`] makes others than the defaults.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceConfig {
-    pub(crate) life: LifeConfig,
+    pub(crate) lifecycle: LifecycleConfig,
     pub(crate) delay: Duration,
 }
 
@@ -210,11 +210,11 @@
 }
 
 macro_rules! setters {
-    ($($(#[$doc:meta])* $name:ident: $kind:ty => $($field:ident).+;)*) => {
+    ($($(#[$doc:meta])* $name:ident: $type:ty => $($field:ident).+;)*) => {
         $(
             $(#[$doc])*
             #[must_use]
-            pub fn $name(mut self, $name: $kind) -> Self {
+            pub fn $name(mut self, $name: $type) -> Self {
                 self.cfg.$($field).+ = $name;
                 self
             }
@@ -251,7 +251,7 @@
         /// Sets how the number of calls that a cold engine bears grows.
         ramp_shape: RampShape => ramp_shape;
         /// Sets the lag of load reports.
-        load_lag: Duration => life.load_lag;
+        load_lag: Duration => lifecycle.load_lag;
         /// Sets the time after which cache events are published.
         event_delay: Duration => event_delay;
         /// Sets the share of cache events that are lost, 0 to 1.
@@ -267,11 +267,11 @@
         /// Sets the seed of random numbers.
         seed: u64 => seed;
         /// Sets the number of the first run.
-        first_run: u64 => life.first_run;
+        first_run: u64 => lifecycle.first_run;
         /// Sets how long connections are refused after a crash.
-        restart_after: Duration => life.restart_after;
+        restart_after: Duration => lifecycle.restart_after;
         /// Sets whether a crash ends `serve` instead of leading to the next run.
-        exit_on_crash: bool => life.exit_on_crash;
+        exit_on_crash: bool => lifecycle.exit_on_crash;
     }
 
     /// Checks the settings.
@@ -280,7 +280,7 @@
     ///
     /// Fails when a setting is out of range.
     pub fn build(self) -> Result<EngineConfig, ConfigError> {
-        self.cfg.check()?;
+        self.cfg.validate()?;
         Ok(self.cfg)
     }
 }
@@ -290,13 +290,13 @@
         /// Sets the time that an execution takes.
         delay: Duration => delay;
         /// Sets the lag of load reports.
-        load_lag: Duration => life.load_lag;
+        load_lag: Duration => lifecycle.load_lag;
         /// Sets the number of the first run.
-        first_run: u64 => life.first_run;
+        first_run: u64 => lifecycle.first_run;
         /// Sets how long connections are refused after a crash.
-        restart_after: Duration => life.restart_after;
+        restart_after: Duration => lifecycle.restart_after;
         /// Sets whether a crash ends `serve` instead of leading to the next run.
-        exit_on_crash: bool => life.exit_on_crash;
+        exit_on_crash: bool => lifecycle.exit_on_crash;
     }
 
     /// Returns the settings.
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -25,7 +25,7 @@
 }
 
 #[derive(Debug)]
-struct Waiter {
+struct QueuedCall {
     priority: i64,
     id: u64,
     start: oneshot::Sender<()>,
@@ -43,11 +43,11 @@
 
 /// Why a call was not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Refused {
+pub(super) enum Rejected {
     /// The queue is full.
-    Busy,
+    QueueFull,
     /// The engine was cold and got more than it survives.
-    Crash,
+    Overload,
 }
 
 /// Calls of one run.
@@ -60,12 +60,12 @@
     /// Sorted by id.
     calls: Vec<Call>,
     /// Sorted by priority, then by id.
-    waiters: Vec<Waiter>,
+    queue: Vec<QueuedCall>,
 }
 
 impl Batch {
     pub(super) fn new(cfg: EngineConfig, started: Instant) -> Self {
-        Self { cfg, started, last_id: 0, running: 0, calls: Vec::new(), waiters: Vec::new() }
+        Self { cfg, started, last_id: 0, running: 0, calls: Vec::new(), queue: Vec::new() }
     }
 
     pub(super) fn running(&self) -> u32 {
@@ -73,17 +73,17 @@
     }
 
     pub(super) fn queued(&self) -> u32 {
-        u32::try_from(self.waiters.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.queue.len()).unwrap_or(u32::MAX)
     }
 
-    pub(super) fn enter(&mut self, spec: CallSpec, now: Instant) -> Result<Admitted, Refused> {
-        let at_once = self.running + self.queued() + 1;
-        if self.crash_bound(now).is_some_and(|bound| at_once > bound) {
-            return Err(Refused::Crash);
+    pub(super) fn admit(&mut self, spec: CallSpec, now: Instant) -> Result<Admitted, Rejected> {
+        let in_flight = self.running + self.queued() + 1;
+        if self.crash_limit(now).is_some_and(|limit| in_flight > limit) {
+            return Err(Rejected::Overload);
         }
         let run = self.running < self.cfg.capacity;
         if !run && self.queued() >= self.cfg.max_queue {
-            return Err(Refused::Busy);
+            return Err(Rejected::QueueFull);
         }
         self.last_id += 1;
         let id = self.last_id;
@@ -94,30 +94,30 @@
         } else {
             let (tx, rx) = oneshot::channel();
             start = Some(rx);
-            let waiter = Waiter { priority: spec.priority, id, start: tx };
-            let place = self.waiters.partition_point(|w| (w.priority, w.id) < (spec.priority, id));
-            self.waiters.insert(place, waiter);
+            let queued = QueuedCall { priority: spec.priority, id, start: tx };
+            let position = self.queue.partition_point(|q| (q.priority, q.id) < (spec.priority, id));
+            self.queue.insert(position, queued);
         }
         self.calls.push(Call { id, spec, running: run, cancel: cancel.clone() });
         Ok(Admitted { id, cancel, start })
     }
 
     /// Takes a call out that has ended, and starts the next ones.
-    pub(super) fn leave(&mut self, id: u64) {
-        let Ok(place) = self.calls.binary_search_by_key(&id, |c| c.id) else { return };
-        let call = self.calls.remove(place);
+    pub(super) fn remove(&mut self, id: u64) {
+        let Ok(position) = self.calls.binary_search_by_key(&id, |c| c.id) else { return };
+        let call = self.calls.remove(position);
         if call.running {
             self.running -= 1;
         } else {
-            self.waiters.retain(|w| w.id != id);
+            self.queue.retain(|q| q.id != id);
         }
-        while self.running < self.cfg.capacity && !self.waiters.is_empty() {
-            let waiter = self.waiters.remove(0);
-            if let Ok(i) = self.calls.binary_search_by_key(&waiter.id, |c| c.id) {
+        while self.running < self.cfg.capacity && !self.queue.is_empty() {
+            let next = self.queue.remove(0);
+            if let Ok(i) = self.calls.binary_search_by_key(&next.id, |c| c.id) {
                 self.calls[i].running = true;
                 self.running += 1;
                 // A caller that has gone takes its call out when it is dropped.
-                let _ = waiter.start.send(());
+                let _ = next.start.send(());
             }
         }
     }
@@ -131,8 +131,9 @@
     /// that came without a claim.
     pub(super) fn release(&self, matches: impl Fn(&str) -> bool, claim: Option<u64>) {
         for call in &self.calls {
-            let named = call.spec.program.as_deref().is_some_and(&matches);
-            if named && (claim.is_none() || call.spec.claim.is_none() || call.spec.claim == claim) {
+            let matched = call.spec.program.as_deref().is_some_and(&matches);
+            if matched && (claim.is_none() || call.spec.claim.is_none() || call.spec.claim == claim)
+            {
                 call.cancel.cancel();
             }
         }
@@ -140,8 +141,8 @@
 
     /// Time that the next token of a running call takes.
     pub(super) fn token_time(&self, now: Instant) -> Duration {
-        let others = self.running.saturating_sub(1);
-        let time = self.cfg.token_interval + self.cfg.token_interval_per_call * others;
+        let other_calls = self.running.saturating_sub(1);
+        let time = self.cfg.token_interval + self.cfg.token_interval_per_call * other_calls;
         time.mul_f64(self.slowdown(now))
     }
 
@@ -152,15 +153,15 @@
     }
 
     fn slowdown(&self, now: Instant) -> f64 {
-        let at_once = self.running + self.queued();
-        match self.bearable(now) {
-            Some(bearable) if at_once > bearable => self.cfg.cold_slowdown,
+        let in_flight = self.running + self.queued();
+        match self.cold_limit(now) {
+            Some(cold_limit) if in_flight > cold_limit => self.cfg.cold_slowdown,
             _ => 1.0,
         }
     }
 
     /// Calls that the engine bears at once; none while it is warm.
-    fn bearable(&self, now: Instant) -> Option<u32> {
+    fn cold_limit(&self, now: Instant) -> Option<u32> {
         let uptime = now.duration_since(self.started);
         if uptime >= self.cfg.ramp {
             return None;
@@ -169,16 +170,16 @@
         Some(match self.cfg.ramp_shape {
             RampShape::Step => cold,
             RampShape::Linear => {
-                let share = uptime.as_secs_f64() / self.cfg.ramp.as_secs_f64();
-                cold + (f64::from(self.cfg.capacity - cold) * share) as u32
+                let progress = uptime.as_secs_f64() / self.cfg.ramp.as_secs_f64();
+                cold + (f64::from(self.cfg.capacity - cold) * progress) as u32
             }
         })
     }
 
     /// Calls at once above which the engine crashes. The margin over what it bears stays the same
     /// during the ramp.
-    fn crash_bound(&self, now: Instant) -> Option<u32> {
+    fn crash_limit(&self, now: Instant) -> Option<u32> {
         let margin = self.cfg.cold_crash_above? - self.cfg.cold_capacity();
-        Some(self.bearable(now)?.saturating_add(margin))
+        Some(self.cold_limit(now)?.saturating_add(margin))
     }
 }
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -22,12 +22,12 @@
 
 use super::{
     BLOCK_BYTES, BLOCK_TOKENS, Engine,
-    batch::{CallSpec, Refused},
+    batch::{CallSpec, Rejected},
     run::EngineRun,
 };
 use crate::{
-    life::Totals,
-    server::{AnswerBody, json, refuse},
+    lifecycle::Totals,
+    server::{ResponseBody, error_response, json_response},
 };
 
 const BYTES_PER_TOKEN: u64 = BLOCK_BYTES as u64 / BLOCK_TOKENS;
@@ -44,7 +44,7 @@
 }
 
 /// What is generated for a request.
-struct Plan {
+struct CompletionPlan {
     id: String,
     model: String,
     chain: PrefixChain,
@@ -67,24 +67,24 @@
 impl Drop for Call {
     fn drop(&mut self) {
         if !self.complete {
-            Totals::add(&self.engine.life.totals.cancelled);
+            Totals::add(&self.engine.lifecycle.totals.cancelled);
         }
-        self.run.lock().leave(self.id, Instant::now());
+        self.run.lock().remove_call(self.id, Instant::now());
     }
 }
 
 /// A running call, between two tokens.
 struct Generation {
     call: Call,
-    plan: Plan,
+    plan: CompletionPlan,
     cached_tokens: u64,
     next_at: Instant,
     generated: u64,
-    step: Step,
+    stage: StreamStage,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum StreamStage {
     Tokens,
     Usage,
     Done,
@@ -97,38 +97,44 @@
         self: Arc<Self>,
         headers: &HeaderMap,
         body: &[u8],
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let run = self.run();
-        let plan = match self.plan(&run, body) {
+        let plan = match self.plan_completion(&run, body) {
             Ok(plan) => plan,
-            Err((status, message)) => return refuse(status, &message),
+            Err((status, message)) => return error_response(status, &message),
         };
-        let mut call = match self.clone().enter(run, headers) {
+        let mut call = match self.clone().admit(run, headers) {
             Ok(call) => call,
-            Err(Refused::Busy) => return self.busy(),
-            Err(Refused::Crash) => {
-                self.life.crash();
+            Err(Rejected::QueueFull) => return self.queue_full_response(),
+            Err(Rejected::Overload) => {
+                self.lifecycle.crash();
                 return pending().await;
             }
         };
-        if call.wait().await.is_err() {
-            return released();
+        if call.wait_for_start().await.is_err() {
+            return released_response();
         }
-        Totals::add(&self.life.totals.executions);
+        Totals::add(&self.lifecycle.totals.executions);
         if plan.stream {
-            return stream_answer(call, plan);
+            return stream_response(call, plan);
         }
-        let Ok(mut generation) = Generation::begin(call, plan).await else { return released() };
+        let Ok(mut generation) = Generation::prefill(call, plan).await else {
+            return released_response();
+        };
         while generation.generated < generation.plan.tokens {
-            if generation.token().await.is_err() {
-                return released();
+            if generation.next_token().await.is_err() {
+                return released_response();
             }
         }
         generation.call.complete = true;
-        json(StatusCode::OK, &generation.whole())
+        json_response(StatusCode::OK, &generation.response_body())
     }
 
-    fn plan(&self, run: &EngineRun, body: &[u8]) -> Result<Plan, (StatusCode, String)> {
+    fn plan_completion(
+        &self,
+        run: &EngineRun,
+        body: &[u8],
+    ) -> Result<CompletionPlan, (StatusCode, String)> {
         let request: ChatRequest<'_> = serde_json::from_slice(body)
             .map_err(|e| (StatusCode::BAD_REQUEST, format!("not a chat request: {e}")))?;
         let version = run.lock().models.version(&request.model, Instant::now());
@@ -142,7 +148,7 @@
         let prompt_bytes: usize = request.messages.iter().map(|m| m.get().len()).sum();
         let mut hasher = DefaultHasher::new();
         body.hash(&mut hasher);
-        Ok(Plan {
+        Ok(CompletionPlan {
             id: format!("chat-{:016x}", hasher.finish()),
             model: request.model,
             chain,
@@ -152,15 +158,15 @@
         })
     }
 
-    fn enter(self: Arc<Self>, run: Arc<EngineRun>, headers: &HeaderMap) -> Result<Call, Refused> {
-        let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
-        let program: Option<Arc<str>> = text("x-program").map(Into::into);
+    fn admit(self: Arc<Self>, run: Arc<EngineRun>, headers: &HeaderMap) -> Result<Call, Rejected> {
+        let header_text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
+        let program: Option<Arc<str>> = header_text("x-program").map(Into::into);
         let spec = CallSpec {
             program: program.clone(),
-            claim: text("x-claim").and_then(|v| v.parse().ok()),
-            priority: text("x-priority").and_then(|v| v.parse().ok()).unwrap_or_default(),
+            claim: header_text("x-claim").and_then(|v| v.parse().ok()),
+            priority: header_text("x-priority").and_then(|v| v.parse().ok()).unwrap_or_default(),
         };
-        let admitted = run.lock().enter(spec, Instant::now())?;
+        let admitted = run.lock().admit(spec, Instant::now())?;
         Ok(Call {
             engine: self,
             run,
@@ -172,8 +178,8 @@
         })
     }
 
-    fn busy(&self) -> Response<AnswerBody> {
-        let mut response = refuse(StatusCode::SERVICE_UNAVAILABLE, "the queue is full");
+    fn queue_full_response(&self) -> Response<ResponseBody> {
+        let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, "the queue is full");
         let seconds = self.cfg.retry_after.as_millis().div_ceil(1000);
         let seconds = u64::try_from(seconds).unwrap_or(u64::MAX);
         response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from(seconds));
@@ -187,7 +193,7 @@
 
 impl Call {
     /// Waits for a place in the batch.
-    async fn wait(&mut self) -> Result<(), Released> {
+    async fn wait_for_start(&mut self) -> Result<(), Released> {
         let Some(start) = self.start.take() else { return Ok(()) };
         tokio::select! {
             biased;
@@ -197,7 +203,7 @@
     }
 
     /// Waits while the engine works for this call.
-    async fn work(&self, until: Instant) -> Result<(), Released> {
+    async fn sleep_until(&self, until: Instant) -> Result<(), Released> {
         tokio::select! {
             biased;
             () = self.cancel.cancelled() => Err(Released),
@@ -208,15 +214,15 @@
 
 impl Generation {
     /// Processes the prompt.
-    async fn begin(call: Call, plan: Plan) -> Result<Self, Released> {
+    async fn prefill(call: Call, plan: CompletionPlan) -> Result<Self, Released> {
         let now = Instant::now();
         let (cached_tokens, time) = {
             let state = call.run.lock();
-            let cached = state.cache.cached(plan.chain.blocks()) as u64 * BLOCK_TOKENS;
+            let cached = state.cache.cached_prefix(plan.chain.blocks()) as u64 * BLOCK_TOKENS;
             let uncached = plan.prompt_tokens.saturating_sub(cached);
             (cached, state.batch.prefill_time(uncached, now))
         };
-        call.work(now + time).await?;
+        call.sleep_until(now + time).await?;
         let now = Instant::now();
         {
             let mut state = call.run.lock();
@@ -226,47 +232,54 @@
             }
             state.store(plan.chain.blocks(), call.program.as_ref(), now);
         }
-        Ok(Self { call, plan, cached_tokens, next_at: now, generated: 0, step: Step::Tokens })
+        Ok(Self {
+            call,
+            plan,
+            cached_tokens,
+            next_at: now,
+            generated: 0,
+            stage: StreamStage::Tokens,
+        })
     }
 
     /// Generates the next token. Times add up from the start, so that the pace does not depend on
     /// the resolution of the timer.
-    async fn token(&mut self) -> Result<(), Released> {
+    async fn next_token(&mut self) -> Result<(), Released> {
         let time = self.call.run.lock().batch.token_time(Instant::now());
         self.next_at += time;
-        self.call.work(self.next_at).await?;
+        self.call.sleep_until(self.next_at).await?;
         self.generated += 1;
-        self.call.engine.life.totals.tokens.fetch_add(1, Ordering::Relaxed);
+        self.call.engine.lifecycle.totals.tokens.fetch_add(1, Ordering::Relaxed);
         Ok(())
     }
 
     /// Next event of a streamed answer.
-    async fn event(&mut self) -> Result<Option<String>, Released> {
-        if self.step == Step::Tokens && self.generated == self.plan.tokens {
-            self.step = Step::Usage;
+    async fn next_event(&mut self) -> Result<Option<String>, Released> {
+        if self.stage == StreamStage::Tokens && self.generated == self.plan.tokens {
+            self.stage = StreamStage::Usage;
         }
-        let event = match self.step {
-            Step::Tokens => {
-                self.token().await?;
-                let delta = json!({"index": 0, "delta": {"content": word(self.generated - 1)}});
-                self.chunk(json!([delta]), None)
+        let event = match self.stage {
+            StreamStage::Tokens => {
+                self.next_token().await?;
+                let delta = json!({"index": 0, "delta": {"content": nth_word(self.generated - 1)}});
+                self.chunk_event(json!([delta]), None)
             }
-            Step::Usage => {
-                self.step = Step::Done;
+            StreamStage::Usage => {
+                self.stage = StreamStage::Done;
                 let last = json!({"index": 0, "delta": {}, "finish_reason": "stop"});
-                self.chunk(json!([last]), Some(self.usage()))
+                self.chunk_event(json!([last]), Some(self.usage()))
             }
-            Step::Done => {
-                self.step = Step::End;
+            StreamStage::Done => {
+                self.stage = StreamStage::End;
                 self.call.complete = true;
                 "data: [DONE]\n\n".to_owned()
             }
-            Step::End => return Ok(None),
+            StreamStage::End => return Ok(None),
         };
         Ok(Some(event))
     }
 
-    fn chunk(&self, choices: serde_json::Value, usage: Option<serde_json::Value>) -> String {
+    fn chunk_event(&self, choices: serde_json::Value, usage: Option<serde_json::Value>) -> String {
         let mut chunk = json!({
             "id": self.plan.id,
             "object": "chat.completion.chunk",
@@ -279,8 +292,8 @@
         format!("data: {chunk}\n\n")
     }
 
-    fn whole(&self) -> serde_json::Value {
-        let text: String = (0..self.generated).map(word).collect();
+    fn response_body(&self) -> serde_json::Value {
+        let text: String = (0..self.generated).map(nth_word).collect();
         let message = json!({"role": "assistant", "content": text});
         json!({
             "id": self.plan.id,
@@ -300,48 +313,47 @@
     }
 }
 
-fn word(n: u64) -> String {
+fn nth_word(n: u64) -> String {
     format!("word{n} ")
 }
 
-fn released() -> Response<AnswerBody> {
-    refuse(StatusCode::CONFLICT, "an order released the program")
+fn released_response() -> Response<ResponseBody> {
+    error_response(StatusCode::CONFLICT, "an order released the program")
 }
 
 /// A streamed answer, before or after its prompt is processed.
-enum Streaming {
-    Prefill(Box<(Call, Plan)>),
+enum StreamState {
+    Prefill(Box<(Call, CompletionPlan)>),
     Running(Box<Generation>),
     Ended,
 }
 
 /// Streams an answer. A released call breaks the connection, so that its caller cannot take what
 /// has arrived for the whole answer.
-fn stream_answer(call: Call, plan: Plan) -> Response<AnswerBody> {
-    let events =
-        stream::unfold(Streaming::Prefill(Box::new((call, plan))), |streaming| async move {
-            let mut generation = match streaming {
-                Streaming::Prefill(call) => match Generation::begin(call.0, call.1).await {
-                    Ok(generation) => Box::new(generation),
-                    Err(Released) => return Some((Err(aborted()), Streaming::Ended)),
-                },
-                Streaming::Running(generation) => generation,
-                Streaming::Ended => return None,
-            };
-            match generation.event().await {
-                Ok(Some(event)) => {
-                    Some((Ok(Frame::data(Bytes::from(event))), Streaming::Running(generation)))
-                }
-                Ok(None) => None,
-                Err(Released) => Some((Err(aborted()), Streaming::Ended)),
+fn stream_response(call: Call, plan: CompletionPlan) -> Response<ResponseBody> {
+    let events = stream::unfold(StreamState::Prefill(Box::new((call, plan))), |state| async move {
+        let mut generation = match state {
+            StreamState::Prefill(call) => match Generation::prefill(call.0, call.1).await {
+                Ok(generation) => Box::new(generation),
+                Err(Released) => return Some((Err(aborted_error()), StreamState::Ended)),
+            },
+            StreamState::Running(generation) => generation,
+            StreamState::Ended => return None,
+        };
+        match generation.next_event().await {
+            Ok(Some(event)) => {
+                Some((Ok(Frame::data(Bytes::from(event))), StreamState::Running(generation)))
             }
-        });
+            Ok(None) => None,
+            Err(Released) => Some((Err(aborted_error()), StreamState::Ended)),
+        }
+    });
     let mut response = Response::new(StreamBody::new(events).boxed_unsync());
     let kind = HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
     response
 }
 
-fn aborted() -> std::io::Error {
+fn aborted_error() -> std::io::Error {
     std::io::Error::new(std::io::ErrorKind::ConnectionAborted, "an order released the program")
 }
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -11,7 +11,7 @@
 /// Events that are kept for readers; older ones are lost to them.
 const MAX_EVENTS: usize = 4096;
 /// Events in one answer.
-const MAX_ANSWER_EVENTS: usize = 512;
+const MAX_EVENTS_PER_RESPONSE: usize = 512;
 
 /// What happened to the blocks of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -25,14 +25,14 @@
 #[derive(Debug)]
 struct Event {
     sequence: u64,
-    at: Instant,
+    recorded_at: Instant,
     kind: EventKind,
     blocks: Vec<u64>,
 }
 
 /// Event as it is published.
 #[derive(Debug, Serialize)]
-struct PublishedEvent<'a> {
+struct EventEntry<'a> {
     sequence: u64,
     age_ms: u64,
     kind: EventKind,
@@ -41,16 +41,16 @@
 
 /// Answer of `GET /events`.
 #[derive(Debug, Serialize)]
-pub(super) struct PublishedEvents<'a> {
+pub(super) struct EventsResponse<'a> {
     run: u64,
-    events: Vec<PublishedEvent<'a>>,
+    events: Vec<EventEntry<'a>>,
 }
 
 /// Events of one run, numbered from 1. The first one says that the cache is empty.
 #[derive(Debug)]
 pub(super) struct EventLog {
     events: VecDeque<Event>,
-    last: u64,
+    last_sequence: u64,
     gap_rate: f64,
     rng: StdRng,
 }
@@ -58,8 +58,9 @@
 impl EventLog {
     pub(super) fn new(gap_rate: f64, seed: u64, now: Instant) -> Self {
         let rng = StdRng::seed_from_u64(seed);
-        let first = Event { sequence: 1, at: now, kind: EventKind::Cleared, blocks: Vec::new() };
-        Self { events: VecDeque::from([first]), last: 1, gap_rate, rng }
+        let first =
+            Event { sequence: 1, recorded_at: now, kind: EventKind::Cleared, blocks: Vec::new() };
+        Self { events: VecDeque::from([first]), last_sequence: 1, gap_rate, rng }
     }
 
     /// Adds an event. A lost one takes a number too, so that readers can notice the gap.
@@ -67,39 +68,44 @@
         if blocks.is_empty() && kind != EventKind::Cleared {
             return;
         }
-        self.last += 1;
+        self.last_sequence += 1;
         if self.rng.random_bool(self.gap_rate) {
             return;
         }
         if self.events.len() >= MAX_EVENTS {
             self.events.pop_front();
         }
-        self.events.push_back(Event { sequence: self.last, at: now, kind, blocks });
+        self.events.push_back(Event {
+            sequence: self.last_sequence,
+            recorded_at: now,
+            kind,
+            blocks,
+        });
     }
 
     /// Events after a number that are old enough to be published. A number that this run has not
     /// reached comes from a reader of an earlier run, which gets all events.
-    pub(super) fn after(
+    pub(super) fn events_after(
         &self,
         after: u64,
         run: u64,
         delay: Duration,
         now: Instant,
-    ) -> PublishedEvents<'_> {
-        let after = if after > self.last { 0 } else { after };
+    ) -> EventsResponse<'_> {
+        let after = if after > self.last_sequence { 0 } else { after };
         let first = self.events.partition_point(|e| e.sequence <= after);
         let events = self
             .events
             .range(first..)
-            .take_while(|e| now.duration_since(e.at) >= delay)
-            .take(MAX_ANSWER_EVENTS)
-            .map(|e| PublishedEvent {
+            .take_while(|e| now.duration_since(e.recorded_at) >= delay)
+            .take(MAX_EVENTS_PER_RESPONSE)
+            .map(|e| EventEntry {
                 sequence: e.sequence,
-                age_ms: millis(now.duration_since(e.at)),
+                age_ms: millis(now.duration_since(e.recorded_at)),
                 kind: e.kind,
                 blocks: &e.blocks,
             })
             .collect();
-        PublishedEvents { run, events }
+        EventsResponse { run, events }
     }
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -23,8 +23,8 @@
 use self::run::EngineRun;
 use crate::{
     config::EngineConfig,
-    life::{Counters, Life},
-    server::{self, AnswerBody, Handler},
+    lifecycle::{Counters, Lifecycle},
+    server::{self, Handler, ResponseBody},
 };
 
 /// Bytes of messages in a block of the prefix cache.
@@ -36,16 +36,16 @@
 #[derive(Debug)]
 pub struct Engine {
     cfg: EngineConfig,
-    life: Life,
+    lifecycle: Lifecycle,
     run: Mutex<Arc<EngineRun>>,
 }
 
 impl Engine {
     /// Creates an engine. It is cold from now on.
     pub fn new(cfg: EngineConfig) -> Self {
-        let life = Life::new(cfg.life.clone());
-        let run = Mutex::new(Arc::new(EngineRun::new(&cfg, &life.run())));
-        Self { cfg, life, run }
+        let lifecycle = Lifecycle::new(cfg.lifecycle.clone());
+        let run = Mutex::new(Arc::new(EngineRun::new(&cfg, &lifecycle.run())));
+        Self { cfg, lifecycle, run }
     }
 
     /// Serves on a socket until the task is ended.
@@ -66,49 +66,54 @@
             run: run.number,
             running: state.batch.running(),
             queued: state.batch.queued(),
-            held_programs: state.held().len(),
-            ..self.life.totals.counters()
+            held_programs: state.held_programs().len(),
+            ..self.lifecycle.totals.counters()
         }
     }
 
     /// Programs that the engine holds memory or streams for, sorted.
-    pub fn held(&self) -> Vec<Arc<str>> {
-        self.run().lock().held()
+    pub fn held_programs(&self) -> Vec<Arc<str>> {
+        self.run().lock().held_programs()
     }
 
     /// Crashes the engine, as a call with the fault `crash` does.
     pub fn crash(&self) {
-        self.life.crash();
+        self.lifecycle.crash();
     }
 
     fn run(&self) -> Arc<EngineRun> {
         self.run.lock().expect("no panic while locked").clone()
     }
 
-    fn get(&self, path: &str, query: Option<&str>) -> Response<AnswerBody> {
+    fn get(&self, path: &str, query: Option<&str>) -> Response<ResponseBody> {
         let now = Instant::now();
         let run = self.run();
         let state = run.lock();
         match path {
-            "/load" => server::json(StatusCode::OK, &state.history.report(run.number, now)),
+            "/load" => {
+                server::json_response(StatusCode::OK, &state.load_history.report(run.number, now))
+            }
             "/events" => {
                 let after = query.and_then(|q| q.strip_prefix("after=")).unwrap_or("0");
                 let Ok(after) = after.parse() else {
-                    return server::refuse(StatusCode::BAD_REQUEST, "expected after=N");
+                    return server::error_response(StatusCode::BAD_REQUEST, "expected after=N");
                 };
                 let delay = self.cfg.event_delay;
-                server::json(StatusCode::OK, &state.events.after(after, run.number, delay, now))
+                server::json_response(
+                    StatusCode::OK,
+                    &state.events.events_after(after, run.number, delay, now),
+                )
             }
-            "/held" => server::json(StatusCode::OK, &state.held()),
+            "/held" => server::json_response(StatusCode::OK, &state.held_programs()),
             "/models" => {
                 let models = json!({"role": state.role, "models": state.models.states(now)});
-                server::json(StatusCode::OK, &models)
+                server::json_response(StatusCode::OK, &models)
             }
             _ => {
                 drop(state);
                 match path.strip_prefix("/kv/") {
-                    Some(export) => self.exported(export),
-                    None => server::refuse(StatusCode::NOT_FOUND, "not found"),
+                    Some(export) => self.get_export(export),
+                    None => server::error_response(StatusCode::NOT_FOUND, "not found"),
                 }
             }
         }
@@ -121,7 +126,7 @@
     fn handle(
         self: Arc<Self>,
         request: Request<Bytes>,
-    ) -> BoxFuture<'static, Response<AnswerBody>> {
+    ) -> BoxFuture<'static, Response<ResponseBody>> {
         Box::pin(async move {
             let (head, body) = request.into_parts();
             match (&head.method, head.uri.path()) {
@@ -130,18 +135,18 @@
                 (&Method::POST, "/kv/export") => self.export(&body),
                 (&Method::POST, "/kv/import") => self.import(&body).await,
                 (&Method::GET, path) => self.get(path, head.uri.query()),
-                _ => server::refuse(StatusCode::NOT_FOUND, "not found"),
+                _ => server::error_response(StatusCode::NOT_FOUND, "not found"),
             }
         })
     }
 
-    fn life(&self) -> &Life {
-        &self.life
+    fn lifecycle(&self) -> &Lifecycle {
+        &self.lifecycle
     }
 
     fn begin_run(&self) {
-        self.life.begin_run();
-        let run = EngineRun::new(&self.cfg, &self.life.run());
+        self.lifecycle.begin_run();
+        let run = EngineRun::new(&self.cfg, &self.lifecycle.run());
         *self.run.lock().expect("no panic while locked") = Arc::new(run);
     }
 }
--- a/crates/standin/src/engine/models.rs
+++ b/crates/standin/src/engine/models.rs
@@ -14,29 +14,29 @@
 #[derive(Debug)]
 pub struct WeightStore {
     bytes_per_second: u64,
-    free_at: Mutex<Option<Instant>>,
+    available_at: Mutex<Option<Instant>>,
 }
 
 impl WeightStore {
     /// Creates a store. A rate of zero counts as one byte per second.
     pub fn new(bytes_per_second: u64) -> Self {
-        Self { bytes_per_second: bytes_per_second.max(1), free_at: Mutex::new(None) }
+        Self { bytes_per_second: bytes_per_second.max(1), available_at: Mutex::new(None) }
     }
 
     /// Reserves the store for a load and returns when it is complete.
     fn reserve(&self, bytes: u64, now: Instant) -> Instant {
         let time = bytes as f64 / self.bytes_per_second as f64;
         let time = Duration::from_secs_f64(time.min(MAX_LOAD_SECONDS));
-        let mut free_at = self.free_at.lock().expect("no panic while locked");
-        let done = free_at.map_or(now, |at| at.max(now)) + time;
-        *free_at = Some(done);
+        let mut available_at = self.available_at.lock().expect("no panic while locked");
+        let done = available_at.map_or(now, |at| at.max(now)) + time;
+        *available_at = Some(done);
         done
     }
 }
 
 #[derive(Debug)]
 struct Model {
-    name: ModelVersion,
+    id: ModelVersion,
     loaded_at: Instant,
 }
 
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(super) struct Models {
     /// Whether any model is served, in its default version.
-    any: bool,
+    serves_any: bool,
     /// Sorted by model; one version of each.
     models: Vec<Model>,
     weight_bytes: u64,
@@ -62,11 +62,11 @@
 impl Models {
     pub(super) fn new(cfg: &EngineConfig, now: Instant) -> Self {
         let mut models: Vec<Model> =
-            cfg.models.iter().map(|m| Model { name: m.clone(), loaded_at: now }).collect();
-        models.sort_by(|a, b| a.name.cmp(&b.name));
-        models.dedup_by(|a, b| a.name.model == b.name.model);
+            cfg.models.iter().map(|m| Model { id: m.clone(), loaded_at: now }).collect();
+        models.sort_by(|a, b| a.id.cmp(&b.id));
+        models.dedup_by(|a, b| a.id.model == b.id.model);
         Self {
-            any: cfg.models.is_empty(),
+            serves_any: cfg.models.is_empty(),
             models,
             weight_bytes: cfg.weight_bytes,
             store: cfg.weight_store.clone(),
@@ -76,22 +76,22 @@
     /// Version of a model that is loaded.
     pub(super) fn version(&self, model: &str, now: Instant) -> Option<Arc<str>> {
         match self.find(model) {
-            Ok(i) if self.models[i].loaded_at <= now => Some(self.models[i].name.version.clone()),
-            Err(_) if self.any => Some(EngineConfig::default_version()),
+            Ok(i) if self.models[i].loaded_at <= now => Some(self.models[i].id.version.clone()),
+            Err(_) if self.serves_any => Some(EngineConfig::default_version()),
             _ => None,
         }
     }
 
     /// Starts to load a model, unless it is loaded or loading. Another version takes its place.
-    pub(super) fn load(&mut self, name: ModelVersion, now: Instant) -> ModelState {
-        let found = self.find(&name.model);
+    pub(super) fn load(&mut self, id: ModelVersion, now: Instant) -> ModelState {
+        let found = self.find(&id.model);
         if let Ok(i) = found
-            && self.models[i].name == name
+            && self.models[i].id == id
         {
             return self.models[i].state(now);
         }
         let loaded_at = self.store.reserve(self.weight_bytes, now);
-        let model = Model { name, loaded_at };
+        let model = Model { id, loaded_at };
         let state = model.state(now);
         match found {
             Ok(i) => self.models[i] = model,
@@ -102,8 +102,8 @@
 
     /// Unloads a model. An engine that served any model serves only loaded ones from then on.
     pub(super) fn unload(&mut self, model: &str) {
-        self.any = false;
-        self.models.retain(|m| *m.name.model != *model);
+        self.serves_any = false;
+        self.models.retain(|m| *m.id.model != *model);
     }
 
     pub(super) fn states(&self, now: Instant) -> Vec<ModelState> {
@@ -111,15 +111,15 @@
     }
 
     fn find(&self, model: &str) -> Result<usize, usize> {
-        self.models.binary_search_by(|m| (*m.name.model).cmp(model))
+        self.models.binary_search_by(|m| (*m.id.model).cmp(model))
     }
 }
 
 impl Model {
     fn state(&self, now: Instant) -> ModelState {
         ModelState {
-            model: self.name.model.clone(),
-            version: self.name.version.clone(),
+            model: self.id.model.clone(),
+            version: self.id.version.clone(),
             state: if self.loaded_at <= now { "loaded" } else { "loading" },
         }
     }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -10,7 +10,7 @@
 use super::{Engine, run::State};
 use crate::{
     config::{Fencing, ModelVersion},
-    server::{AnswerBody, json, refuse},
+    server::{ResponseBody, error_response, json_response},
 };
 
 /// Body of `POST /orders`.
@@ -35,11 +35,11 @@
 
 /// Highest order number seen for each subject, sorted by subject.
 #[derive(Debug, Default)]
-pub(super) struct Fences(Vec<(String, u64)>);
+pub(super) struct FencingNumbers(Vec<(String, u64)>);
 
-impl Fences {
+impl FencingNumbers {
     /// Notes a number. False if a higher one was seen before.
-    fn pass(&mut self, subject: String, number: u64) -> bool {
+    fn accept(&mut self, subject: String, number: u64) -> bool {
         match self.0.binary_search_by(|(s, _)| s.cmp(&subject)) {
             Ok(i) if number < self.0[i].1 => false,
             Ok(i) => {
@@ -56,21 +56,23 @@
 
 impl Engine {
     /// Carries out an order.
-    pub(super) fn order(&self, body: &[u8]) -> Response<AnswerBody> {
+    pub(super) fn order(&self, body: &[u8]) -> Response<ResponseBody> {
         let order = match serde_json::from_slice::<Order>(body) {
             Ok(order) => order,
-            Err(e) => return refuse(StatusCode::BAD_REQUEST, &format!("not an order: {e}")),
+            Err(e) => {
+                return error_response(StatusCode::BAD_REQUEST, &format!("not an order: {e}"));
+            }
         };
         let Some(subject) = order.subject() else {
-            return refuse(StatusCode::BAD_REQUEST, "the order names no subject");
+            return error_response(StatusCode::BAD_REQUEST, "the order names no subject");
         };
         let run = self.run();
         let mut state = run.lock();
-        let passed = state.fences.pass(subject, order.fencing);
-        if !passed && self.cfg.fencing == Fencing::Check {
-            return refuse(StatusCode::CONFLICT, "a higher fencing number was seen");
+        let accepted = state.fencing_numbers.accept(subject, order.fencing);
+        if !accepted && self.cfg.fencing == Fencing::Check {
+            return error_response(StatusCode::CONFLICT, "a higher fencing number was seen");
         }
-        order.carry_out(&mut state)
+        order.apply(&mut state)
     }
 }
 
@@ -87,7 +89,7 @@
         }
     }
 
-    fn carry_out(&self, state: &mut State) -> Response<AnswerBody> {
+    fn apply(&self, state: &mut State) -> Response<ResponseBody> {
         let now = Instant::now();
         let model = self.model.as_deref().and_then(|m| m.parse::<ModelVersion>().ok());
         match (self.kind, model) {
@@ -95,12 +97,12 @@
                 state.release(self.program.as_deref().unwrap_or_default(), self.claim);
             }
             (OrderKind::Load, Some(model)) => {
-                return json(StatusCode::ACCEPTED, &state.models.load(model, now));
+                return json_response(StatusCode::ACCEPTED, &state.models.load(model, now));
             }
             (OrderKind::Unload, Some(model)) => state.models.unload(&model.model),
             (OrderKind::Load | OrderKind::Unload, None) => {}
             (OrderKind::Role, _) => state.role = self.role.clone(),
         }
-        json(StatusCode::OK, &json!({"state": "done"}))
+        json_response(StatusCode::OK, &json!({"state": "done"}))
     }
 }
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -5,16 +5,16 @@
 use tokio::time::Instant;
 
 use super::{
-    batch::{Admitted, Batch, CallSpec, Refused},
-    cache::{Cache, Stored},
+    batch::{Admitted, Batch, CallSpec, Rejected},
+    cache::{Cache, CacheChange},
     events::{EventKind, EventLog},
     models::Models,
-    orders::Fences,
+    orders::FencingNumbers,
     transfer::Exports,
 };
 use crate::{
     config::EngineConfig,
-    life::Run,
+    lifecycle::Run,
     load::{Load, LoadHistory},
 };
 
@@ -24,8 +24,8 @@
     pub(super) batch: Batch,
     pub(super) cache: Cache,
     pub(super) events: EventLog,
-    pub(super) history: LoadHistory,
-    pub(super) fences: Fences,
+    pub(super) load_history: LoadHistory,
+    pub(super) fencing_numbers: FencingNumbers,
     pub(super) models: Models,
     pub(super) exports: Exports,
     pub(super) role: Option<Arc<str>>,
@@ -48,8 +48,8 @@
                 cfg.seed.wrapping_add(run.number),
                 run.started,
             ),
-            history: LoadHistory::new(run.started, cfg.life.load_lag),
-            fences: Fences::default(),
+            load_history: LoadHistory::new(run.started, cfg.lifecycle.load_lag),
+            fencing_numbers: FencingNumbers::default(),
             models: Models::new(cfg, run.started),
             exports: Exports::default(),
             role: None,
@@ -63,27 +63,27 @@
 }
 
 impl State {
-    pub(super) fn enter(&mut self, spec: CallSpec, now: Instant) -> Result<Admitted, Refused> {
-        let admitted = self.batch.enter(spec, now)?;
-        self.note_load(now);
+    pub(super) fn admit(&mut self, spec: CallSpec, now: Instant) -> Result<Admitted, Rejected> {
+        let admitted = self.batch.admit(spec, now)?;
+        self.record_load(now);
         Ok(admitted)
     }
 
-    pub(super) fn leave(&mut self, id: u64, now: Instant) {
-        self.batch.leave(id);
-        self.note_load(now);
+    pub(super) fn remove_call(&mut self, id: u64, now: Instant) {
+        self.batch.remove(id);
+        self.record_load(now);
     }
 
     /// Stores the blocks of a prompt and publishes the changes.
     pub(super) fn store(&mut self, chain: &[u64], program: Option<&Arc<str>>, now: Instant) {
-        let Stored { stored, removed } = self.cache.store(chain, program);
+        let CacheChange { stored, removed } = self.cache.store(chain, program);
         self.events.push(EventKind::Removed, removed, now);
         self.events.push(EventKind::Stored, stored, now);
-        self.note_load(now);
+        self.record_load(now);
     }
 
     /// Programs that memory or streams are held for.
-    pub(super) fn held(&self) -> Vec<Arc<str>> {
+    pub(super) fn held_programs(&self) -> Vec<Arc<str>> {
         let mut held: Vec<_> =
             self.cache.programs().chain(self.batch.programs()).cloned().collect();
         held.sort();
@@ -104,12 +104,12 @@
         }
     }
 
-    fn note_load(&mut self, now: Instant) {
+    fn record_load(&mut self, now: Instant) {
         let load = Load {
             running: self.batch.running(),
             queued: self.batch.queued(),
             cache_blocks: u32::try_from(self.cache.len()).unwrap_or(u32::MAX),
         };
-        self.history.note(now, load);
+        self.load_history.record(now, load);
     }
 }
--- a/crates/standin/src/engine/transfer.rs
+++ b/crates/standin/src/engine/transfer.rs
@@ -15,7 +15,7 @@
 use tokio::{net::TcpStream, time::Instant};
 
 use super::Engine;
-use crate::server::{AnswerBody, json, refuse};
+use crate::server::{ResponseBody, error_response, json_response};
 
 /// Largest list of blocks that is imported.
 const MAX_IMPORT_BYTES: usize = 16 << 20;
@@ -68,48 +68,48 @@
 
 impl Engine {
     /// Answers `POST /kv/export`.
-    pub(super) fn export(&self, body: &[u8]) -> Response<AnswerBody> {
+    pub(super) fn export(&self, body: &[u8]) -> Response<ResponseBody> {
         let Ok(request) = serde_json::from_slice::<ExportRequest>(body) else {
-            return refuse(StatusCode::BAD_REQUEST, "expected a program");
+            return error_response(StatusCode::BAD_REQUEST, "expected a program");
         };
-        let Some(address) = self.life.address() else {
-            return refuse(StatusCode::SERVICE_UNAVAILABLE, "not serving yet");
+        let Some(address) = self.lifecycle.address() else {
+            return error_response(StatusCode::SERVICE_UNAVAILABLE, "not serving yet");
         };
         let run = self.run();
         let mut state = run.lock();
-        let Some(blocks) = state.cache.held_by(&request.program) else {
-            return refuse(StatusCode::NOT_FOUND, "nothing is held for the program");
+        let Some(blocks) = state.cache.held_blocks(&request.program) else {
+            return error_response(StatusCode::NOT_FOUND, "nothing is held for the program");
         };
         let count = blocks.len();
         let id = state.exports.add(request.program, blocks);
         let reference = format!("{address}/{}/{id}", run.number);
-        json(StatusCode::OK, &json!({"reference": reference, "blocks": count}))
+        json_response(StatusCode::OK, &json!({"reference": reference, "blocks": count}))
     }
 
     /// Answers `GET /kv/{run}/{id}`, which importing engines call.
-    pub(super) fn exported(&self, path: &str) -> Response<AnswerBody> {
+    pub(super) fn get_export(&self, path: &str) -> Response<ResponseBody> {
         let run = self.run();
         let id = path
             .split_once('/')
             .filter(|(number, _)| number.parse() == Ok(run.number))
             .and_then(|(_, id)| id.parse().ok());
         match id.and_then(|id| run.lock().exports.get(id).map(<[u64]>::to_vec)) {
-            Some(blocks) => json(StatusCode::OK, &Blocks { blocks }),
-            None => refuse(StatusCode::NOT_FOUND, "no such export"),
+            Some(blocks) => json_response(StatusCode::OK, &Blocks { blocks }),
+            None => error_response(StatusCode::NOT_FOUND, "no such export"),
         }
     }
 
     /// Answers `POST /kv/import`.
-    pub(super) async fn import(&self, body: &[u8]) -> Response<AnswerBody> {
+    pub(super) async fn import(&self, body: &[u8]) -> Response<ResponseBody> {
         let Ok(request) = serde_json::from_slice::<ImportRequest>(body) else {
-            return refuse(StatusCode::BAD_REQUEST, "expected a program and a reference");
+            return error_response(StatusCode::BAD_REQUEST, "expected a program and a reference");
         };
         let blocks = match fetch(&request.reference).await {
             Ok(blocks) => blocks,
-            Err(e) => return refuse(StatusCode::GONE, &format!("cannot import: {e:#}")),
+            Err(e) => return error_response(StatusCode::GONE, &format!("cannot import: {e:#}")),
         };
         self.run().lock().store(&blocks, Some(&request.program), Instant::now());
-        json(StatusCode::OK, &json!({"blocks": blocks.len()}))
+        json_response(StatusCode::OK, &json!({"blocks": blocks.len()}))
     }
 }
 
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Body, Frame};
 
-use crate::server::AnswerBody;
+use crate::server::ResponseBody;
 
 /// Header that asks for a fault.
 const FAULT_HEADER: &str = "x-standin-fault";
@@ -68,15 +68,18 @@
 
 /// What follows the first part of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Cut {
-    Silence,
+pub(crate) enum BodyCut {
+    Hang,
     End,
 }
 
 /// Cuts the body of an answer. A body of known length keeps its `Content-Length`; a streamed one
 /// ends like a whole one, so that only the missing terminal frame gives it away. Behind a silent
 /// answer the call goes on, and an order can release it.
-pub(crate) async fn cut(response: Response<AnswerBody>, cut: Cut) -> Response<AnswerBody> {
+pub(crate) async fn cut_body(
+    response: Response<ResponseBody>,
+    cut: BodyCut,
+) -> Response<ResponseBody> {
     let (mut head, body) = response.into_parts();
     let first = match body.size_hint().exact() {
         Some(length) => {
@@ -85,23 +88,23 @@
             let half = whole.slice(..whole.len() / 2);
             stream::iter([Ok::<Bytes, std::io::Error>(half)]).boxed()
         }
-        None if cut == Cut::Silence => {
+        None if cut == BodyCut::Hang => {
             let frames = body.into_data_stream().enumerate();
-            let heard = |n: usize, frame: &Result<_, _>| n < FRAMES_BEFORE_CUT || frame.is_err();
-            frames.filter_map(move |(n, f)| ready(heard(n, &f).then_some(f))).boxed()
+            let forward = |n: usize, frame: &Result<_, _>| n < FRAMES_BEFORE_CUT || frame.is_err();
+            frames.filter_map(move |(n, f)| ready(forward(n, &f).then_some(f))).boxed()
         }
         None => body.into_data_stream().take(FRAMES_BEFORE_CUT).boxed(),
     };
     let first = first.map_ok(Frame::data);
     let body = match cut {
-        Cut::Silence => StreamBody::new(first.chain(stream::once(pending()))).boxed_unsync(),
-        Cut::End => StreamBody::new(first.chain(flushed_end())).boxed_unsync(),
+        BodyCut::Hang => StreamBody::new(first.chain(stream::once(pending()))).boxed_unsync(),
+        BodyCut::End => StreamBody::new(first.chain(delayed_end())).boxed_unsync(),
     };
     Response::from_parts(head, body)
 }
 
 /// Ends a body one step later. The server drops what it has not written when a body ends short of
 /// its length, so the first part must be written before.
-fn flushed_end() -> impl Stream<Item = Result<Frame<Bytes>, std::io::Error>> + Send {
+fn delayed_end() -> impl Stream<Item = Result<Frame<Bytes>, std::io::Error>> + Send {
     stream::once(tokio::task::yield_now()).filter_map(|()| ready(None))
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -8,11 +8,11 @@
 //! stand for effects in the outside world.
 //!
 //! ```
-//! use poplarspan_standin::{ServiceConfig, StandIn};
+//! use poplarspan_standin::{ServiceConfig, MockEndpoint};
 //!
 //! # #[tokio::main(flavor = "current_thread")]
 //! # async fn main() -> anyhow::Result<()> {
-//! let mut service = StandIn::start(ServiceConfig::builder().build()?).await?;
+//! let mut service = MockEndpoint::start(ServiceConfig::builder().build()?).await?;
 //! let address = service.address();
 //! service.restart().await?;
 //! assert_eq!(service.address(), address);
@@ -24,18 +24,18 @@
 mod config;
 mod engine;
 mod fault;
-mod life;
+mod lifecycle;
 mod load;
+mod mock_endpoint;
 mod server;
 mod service;
 mod stall;
-mod start;
 
 pub use config::{
     ConfigError, EngineConfig, EngineConfigBuilder, Fencing, ModelVersion, RampShape,
     ServiceConfig, ServiceConfigBuilder,
 };
 pub use engine::{BLOCK_BYTES, BLOCK_TOKENS, Engine, WeightStore};
-pub use life::{Counters, Crashed};
+pub use lifecycle::{Counters, Crashed};
+pub use mock_endpoint::{MockEndpoint, MockEndpointConfig};
 pub use service::Service;
-pub use start::{StandIn, StandInConfig};
--- a/crates/standin/src/life.rs
+++ b/crates/standin/src/lifecycle.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use crate::{config::LifeConfig, stall::Stalled};
+use crate::{config::LifecycleConfig, stall::StallFlag};
 
 /// The stand-in crashed and is set to end then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -84,17 +84,17 @@
 
 /// The present run.
 #[derive(Debug)]
-pub(crate) struct Life {
-    pub(crate) cfg: LifeConfig,
+pub(crate) struct Lifecycle {
+    pub(crate) cfg: LifecycleConfig,
     pub(crate) totals: Totals,
     run: Mutex<Run>,
     /// Flag of the connections opened since the last stall.
-    stalled: Mutex<Stalled>,
+    stall_flag: Mutex<StallFlag>,
     address: OnceLock<SocketAddr>,
 }
 
-impl Life {
-    pub(crate) fn new(cfg: LifeConfig) -> Self {
+impl Lifecycle {
+    pub(crate) fn new(cfg: LifecycleConfig) -> Self {
         let run = Run {
             number: cfg.first_run,
             started: Instant::now(),
@@ -104,7 +104,7 @@
             cfg,
             totals: Totals::default(),
             run: Mutex::new(run),
-            stalled: Mutex::default(),
+            stall_flag: Mutex::default(),
             address: OnceLock::new(),
         }
     }
@@ -124,14 +124,15 @@
     }
 
     /// Flag of a new connection.
-    pub(crate) fn stalled(&self) -> Stalled {
-        self.stalled.lock().expect("no panic while locked").clone()
+    pub(crate) fn stall_flag(&self) -> StallFlag {
+        self.stall_flag.lock().expect("no panic while locked").clone()
     }
 
     /// Makes all open connections stop responding. New ones work.
     pub(crate) fn stall(&self) {
-        let stalled = std::mem::take(&mut *self.stalled.lock().expect("no panic while locked"));
-        stalled.store(true, Ordering::Relaxed);
+        let stall_flag =
+            std::mem::take(&mut *self.stall_flag.lock().expect("no panic while locked"));
+        stall_flag.store(true, Ordering::Relaxed);
     }
 
     pub(crate) fn begin_run(&self) {
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -38,31 +38,31 @@
     }
 
     /// Notes a change of the load.
-    pub(crate) fn note(&mut self, now: Instant, load: Load) {
+    pub(crate) fn record(&mut self, now: Instant, load: Load) {
         self.samples.push_back((now, load));
-        let seen = self.seen(now);
+        let reported_at = self.reported_at(now);
         // The first sample that is kept is the one in force at the reported moment.
-        while self.samples.get(1).is_some_and(|(at, _)| *at <= seen) {
+        while self.samples.get(1).is_some_and(|(at, _)| *at <= reported_at) {
             self.samples.pop_front();
         }
     }
 
     /// Reports the load of `lag` ago, or of the start if that is later.
     pub(crate) fn report(&self, run: u64, now: Instant) -> LoadReport {
-        let seen = self.seen(now);
-        let next = self.samples.partition_point(|(at, _)| *at <= seen);
+        let reported_at = self.reported_at(now);
+        let next = self.samples.partition_point(|(at, _)| *at <= reported_at);
         let load = self.samples[next.saturating_sub(1)].1;
         LoadReport {
             run,
-            uptime_ms: millis(seen.duration_since(self.started)),
+            uptime_ms: millis(reported_at.duration_since(self.started)),
             running: load.running,
             queued: load.queued,
-            age_ms: millis(now.duration_since(seen)),
+            age_ms: millis(now.duration_since(reported_at)),
             cache_blocks: load.cache_blocks,
         }
     }
 
-    fn seen(&self, now: Instant) -> Instant {
+    fn reported_at(&self, now: Instant) -> Instant {
         now.checked_sub(self.lag).map_or(self.started, |at| at.max(self.started))
     }
 }
--- a/crates/standin/src/start.rs
+++ b/crates/standin/src/mock_endpoint.rs
@@ -12,63 +12,63 @@
 use crate::{
     config::{EngineConfig, ServiceConfig},
     engine::Engine,
-    life::Counters,
+    lifecycle::Counters,
     server::{self, Handler},
     service::Service,
 };
 
 /// Settings of either kind.
 #[derive(Clone, Debug)]
-pub enum StandInConfig {
+pub enum MockEndpointConfig {
     /// A model engine.
     Engine(EngineConfig),
     /// A plain service.
     Service(ServiceConfig),
 }
 
-impl From<EngineConfig> for StandInConfig {
+impl From<EngineConfig> for MockEndpointConfig {
     fn from(cfg: EngineConfig) -> Self {
         Self::Engine(cfg)
     }
 }
 
-impl From<ServiceConfig> for StandInConfig {
+impl From<ServiceConfig> for MockEndpointConfig {
     fn from(cfg: ServiceConfig) -> Self {
         Self::Service(cfg)
     }
 }
 
 #[derive(Clone, Debug)]
-enum Kind {
+enum Inner {
     Engine(Arc<Engine>),
     Service(Arc<Service>),
 }
 
 /// A stand-in that serves in the background until it is stopped or dropped.
 #[derive(Debug)]
-pub struct StandIn {
+pub struct MockEndpoint {
     address: SocketAddr,
-    kind: Kind,
+    inner: Inner,
     stop: CancellationToken,
     task: Option<JoinHandle<Result<()>>>,
 }
 
-impl StandIn {
+impl MockEndpoint {
     /// Starts a stand-in on a free port of the loopback interface.
     ///
     /// # Errors
     ///
     /// Fails when no port is free.
-    pub async fn start(cfg: impl Into<StandInConfig>) -> Result<Self> {
-        let kind = match cfg.into() {
-            StandInConfig::Engine(cfg) => Kind::Engine(Arc::new(Engine::new(cfg))),
-            StandInConfig::Service(cfg) => Kind::Service(Arc::new(Service::new(cfg))),
+    pub async fn start(cfg: impl Into<MockEndpointConfig>) -> Result<Self> {
+        let inner = match cfg.into() {
+            MockEndpointConfig::Engine(cfg) => Inner::Engine(Arc::new(Engine::new(cfg))),
+            MockEndpointConfig::Service(cfg) => Inner::Service(Arc::new(Service::new(cfg))),
         };
         let socket = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = socket.local_addr()?;
-        let mut standin = Self { address, kind, stop: CancellationToken::new(), task: None };
-        standin.serve(socket);
-        Ok(standin)
+        let mut endpoint = Self { address, inner, stop: CancellationToken::new(), task: None };
+        endpoint.serve(socket);
+        Ok(endpoint)
     }
 
     /// Address that it serves at, the same after a restart.
@@ -78,33 +78,33 @@
 
     /// The engine, if it is one.
     pub fn engine(&self) -> Option<&Arc<Engine>> {
-        match &self.kind {
-            Kind::Engine(engine) => Some(engine),
-            Kind::Service(_) => None,
+        match &self.inner {
+            Inner::Engine(engine) => Some(engine),
+            Inner::Service(_) => None,
         }
     }
 
     /// The service, if it is one.
     pub fn service(&self) -> Option<&Arc<Service>> {
-        match &self.kind {
-            Kind::Engine(_) => None,
-            Kind::Service(service) => Some(service),
+        match &self.inner {
+            Inner::Engine(_) => None,
+            Inner::Service(service) => Some(service),
         }
     }
 
     /// What it has counted over all runs.
     pub fn counters(&self) -> Counters {
-        match &self.kind {
-            Kind::Engine(engine) => engine.counters(),
-            Kind::Service(service) => service.counters(),
+        match &self.inner {
+            Inner::Engine(engine) => engine.counters(),
+            Inner::Service(service) => service.counters(),
         }
     }
 
     /// Makes all open connections stop responding, without closing them. New ones work.
     pub fn stall(&self) {
-        match &self.kind {
-            Kind::Engine(engine) => engine.life().stall(),
-            Kind::Service(service) => service.life().stall(),
+        match &self.inner {
+            Inner::Engine(engine) => engine.lifecycle().stall(),
+            Inner::Service(service) => service.lifecycle().stall(),
         }
     }
 
@@ -130,9 +130,9 @@
         if let Err(e) = self.stop().await {
             log::debug!("the former run ended: {e}");
         }
-        match &self.kind {
-            Kind::Engine(engine) => engine.begin_run(),
-            Kind::Service(service) => service.begin_run(),
+        match &self.inner {
+            Inner::Engine(engine) => engine.begin_run(),
+            Inner::Service(service) => service.begin_run(),
         }
         let socket = server::bind(self.address).await?;
         self.stop = CancellationToken::new();
@@ -142,14 +142,14 @@
 
     fn serve(&mut self, socket: TcpListener) {
         let stop = self.stop.clone();
-        self.task = Some(match self.kind.clone() {
-            Kind::Engine(engine) => tokio::spawn(server::serve(engine, socket, stop)),
-            Kind::Service(service) => tokio::spawn(server::serve(service, socket, stop)),
+        self.task = Some(match self.inner.clone() {
+            Inner::Engine(engine) => tokio::spawn(server::serve(engine, socket, stop)),
+            Inner::Service(service) => tokio::spawn(server::serve(service, socket, stop)),
         });
     }
 }
 
-impl Drop for StandIn {
+impl Drop for MockEndpoint {
     fn drop(&mut self) {
         self.stop.cancel();
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -18,20 +18,20 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    fault::{self, Cut, Fault},
-    life::{Crashed, Life},
+    fault::{self, BodyCut, Fault},
+    lifecycle::{Crashed, Lifecycle},
     stall::StallingStream,
 };
 
 /// Body of an answer.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
 /// Largest body of a request.
 const MAX_BODY_BYTES: usize = 64 << 20;
 const REQUEST_ID_HEADER: &str = "x-request-id";
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 const BIND_ATTEMPTS: u32 = 200;
-const BIND_PAUSE: Duration = Duration::from_millis(50);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Answers requests.
 pub(crate) trait Handler: Send + Sync + 'static {
@@ -40,11 +40,13 @@
     const EXECUTES_BEFORE_FAULT: bool;
 
     /// Answers one request.
-    fn handle(self: Arc<Self>, request: Request<Bytes>)
-    -> BoxFuture<'static, Response<AnswerBody>>;
+    fn handle(
+        self: Arc<Self>,
+        request: Request<Bytes>,
+    ) -> BoxFuture<'static, Response<ResponseBody>>;
 
     /// The runs of the stand-in.
-    fn life(&self) -> &Life;
+    fn lifecycle(&self) -> &Lifecycle;
 
     /// Begins the next run, without what the former one held in memory.
     fn begin_run(&self);
@@ -57,25 +59,25 @@
     stop: CancellationToken,
 ) -> Result<()> {
     let address = socket.local_addr()?;
-    handler.life().set_address(address);
+    handler.lifecycle().set_address(address);
     loop {
-        let crashed = handler.life().run().crashed;
-        let mut open = JoinSet::new();
+        let crashed = handler.lifecycle().run().crashed;
+        let mut connections = JoinSet::new();
         tokio::select! {
-            () = accept(&handler, &socket, &mut open) => {}
+            () = accept(&handler, &socket, &mut connections) => {}
             () = crashed.cancelled() => {}
             () = stop.cancelled() => {}
         }
         drop(socket);
-        open.shutdown().await;
+        connections.shutdown().await;
         if stop.is_cancelled() {
             return Ok(());
         }
-        if handler.life().cfg.exit_on_crash {
+        if handler.lifecycle().cfg.exit_on_crash {
             return Err(Crashed.into());
         }
         tokio::select! {
-            () = tokio::time::sleep(handler.life().cfg.restart_after) => {}
+            () = tokio::time::sleep(handler.lifecycle().cfg.restart_after) => {}
             () = stop.cancelled() => return Ok(()),
         }
         handler.begin_run();
@@ -88,7 +90,7 @@
     for _ in 1..BIND_ATTEMPTS {
         match TcpListener::bind(address).await {
             Err(e) if e.kind() == std::io::ErrorKind::AddrInUse => {
-                tokio::time::sleep(BIND_PAUSE).await;
+                tokio::time::sleep(BIND_RETRY_DELAY).await;
             }
             other => return other.with_context(|| format!("cannot listen on {address}")),
         }
@@ -96,34 +98,34 @@
     TcpListener::bind(address).await.with_context(|| format!("cannot listen on {address}"))
 }
 
-async fn accept<H: Handler>(handler: &Arc<H>, socket: &TcpListener, open: &mut JoinSet<()>) {
+async fn accept<H: Handler>(handler: &Arc<H>, socket: &TcpListener, connections: &mut JoinSet<()>) {
     loop {
         tokio::select! {
             accepted = socket.accept() => match accepted {
                 Ok((stream, _)) => {
-                    open.spawn(connection(handler.clone(), stream));
+                    connections.spawn(serve_connection(handler.clone(), stream));
                 }
                 Err(e) => {
                     log::warn!("cannot accept a connection: {e}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
 
-async fn connection<H: Handler>(handler: Arc<H>, stream: TcpStream) {
+async fn serve_connection<H: Handler>(handler: Arc<H>, stream: TcpStream) {
     if let Err(e) = stream.set_nodelay(true) {
         log::debug!("cannot disable the delay of small packets: {e}");
     }
-    let stalled = handler.life().stalled();
+    let stall_flag = handler.lifecycle().stall_flag();
     let service = service_fn(move |request: Request<Incoming>| {
         let handler = handler.clone();
-        async move { Ok::<_, Infallible>(answer(handler, request).await) }
+        async move { Ok::<_, Infallible>(respond(handler, request).await) }
     });
     let served = hyper::server::conn::http1::Builder::new()
-        .serve_connection(TokioIo::new(StallingStream::new(stream, stalled)), service)
+        .serve_connection(TokioIo::new(StallingStream::new(stream, stall_flag)), service)
         .await;
     if let Err(e) = served {
         log::debug!("connection ended: {e}");
@@ -131,36 +133,39 @@
 }
 
 /// Answers a request with the fault that it asks for.
-async fn answer<H: Handler>(handler: Arc<H>, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond<H: Handler>(
+    handler: Arc<H>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     let id = request.headers().get(REQUEST_ID_HEADER).cloned();
     let (head, body) = request.into_parts();
     let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
-        return refuse(StatusCode::BAD_REQUEST, "the body is not whole, or is too large");
+        return error_response(StatusCode::BAD_REQUEST, "the body is not whole, or is too large");
     };
     let body = body.to_bytes();
     let fault = match Fault::requested(&head.headers, &body) {
         Ok(fault) => fault,
-        Err(message) => return refuse(StatusCode::BAD_REQUEST, &message),
+        Err(message) => return error_response(StatusCode::BAD_REQUEST, &message),
     };
-    let withheld = matches!(fault, Some(Fault::Crash | Fault::Hang | Fault::Error));
-    let mut response = if withheld && !H::EXECUTES_BEFORE_FAULT {
-        refuse(StatusCode::INTERNAL_SERVER_ERROR, "fault on request")
+    let response_withheld = matches!(fault, Some(Fault::Crash | Fault::Hang | Fault::Error));
+    let mut response = if response_withheld && !H::EXECUTES_BEFORE_FAULT {
+        error_response(StatusCode::INTERNAL_SERVER_ERROR, "fault on request")
     } else {
         handler.clone().handle(Request::from_parts(head, body)).await
     };
     match fault {
         Some(Fault::Crash) => {
-            handler.life().crash();
+            handler.lifecycle().crash();
             return pending().await;
         }
         Some(Fault::Hang) => return pending().await,
-        Some(Fault::Stall) => handler.life().stall(),
+        Some(Fault::Stall) => handler.lifecycle().stall(),
         Some(Fault::Error) => {
-            response = refuse(StatusCode::INTERNAL_SERVER_ERROR, "fault on request");
+            response = error_response(StatusCode::INTERNAL_SERVER_ERROR, "fault on request");
         }
         Some(Fault::Late(delay)) => tokio::time::sleep(delay).await,
-        Some(Fault::Silent) => response = fault::cut(response, Cut::Silence).await,
-        Some(Fault::Truncate) => response = fault::cut(response, Cut::End).await,
+        Some(Fault::Silent) => response = fault::cut_body(response, BodyCut::Hang).await,
+        Some(Fault::Truncate) => response = fault::cut_body(response, BodyCut::End).await,
         Some(Fault::Crossed) | None => {}
     }
     let id = match fault {
@@ -174,7 +179,7 @@
 }
 
 /// Builds a JSON answer.
-pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response<AnswerBody> {
+pub(crate) fn json_response(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
     let buf = serde_json::to_vec(value).expect("answers have string keys only");
     let body = Full::new(Bytes::from(buf)).map_err(|e| match e {}).boxed_unsync();
     let mut response = Response::new(body);
@@ -185,6 +190,6 @@
 }
 
 /// Builds the answer of a request that cannot be served.
-pub(crate) fn refuse(status: StatusCode, message: &str) -> Response<AnswerBody> {
-    json(status, &json!({"error": message}))
+pub(crate) fn error_response(status: StatusCode, message: &str) -> Response<ResponseBody> {
+    json_response(status, &json!({"error": message}))
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -13,28 +13,28 @@
 
 use crate::{
     config::ServiceConfig,
-    life::{Counters, Life, Totals},
+    lifecycle::{Counters, Lifecycle, Totals},
     load::{Load, LoadHistory},
-    server::{self, AnswerBody, Handler},
+    server::{self, Handler, ResponseBody},
 };
 
 /// Executions under one name.
 #[derive(Clone, Debug, Serialize)]
-struct Executions {
+struct ExecutionCount {
     key: Arc<str>,
     executions: u64,
 }
 
 /// Counts, sorted by key.
 #[derive(Debug, Default)]
-struct Tally(Vec<Executions>);
+struct ExecutionCounts(Vec<ExecutionCount>);
 
-impl Tally {
+impl ExecutionCounts {
     fn add(&mut self, key: &str) -> u64 {
         let i = match self.0.binary_search_by(|e| (*e.key).cmp(key)) {
             Ok(i) => i,
             Err(i) => {
-                self.0.insert(i, Executions { key: key.into(), executions: 0 });
+                self.0.insert(i, ExecutionCount { key: key.into(), executions: 0 });
                 i
             }
         };
@@ -49,17 +49,17 @@
 
 #[derive(Debug)]
 struct State {
-    by_key: Tally,
-    by_body: Tally,
+    by_key: ExecutionCounts,
+    by_body: ExecutionCounts,
     running: u32,
-    history: LoadHistory,
+    load_history: LoadHistory,
 }
 
 /// A stand-in service. Executions are counted over all runs, as effects outlive a crash.
 #[derive(Debug)]
 pub struct Service {
     cfg: ServiceConfig,
-    life: Life,
+    lifecycle: Lifecycle,
     state: Mutex<State>,
 }
 
@@ -72,11 +72,15 @@
 impl Service {
     /// Creates a service.
     pub fn new(cfg: ServiceConfig) -> Self {
-        let life = Life::new(cfg.life.clone());
-        let history = LoadHistory::new(life.run().started, cfg.life.load_lag);
-        let state =
-            State { by_key: Tally::default(), by_body: Tally::default(), running: 0, history };
-        Self { cfg, life, state: Mutex::new(state) }
+        let lifecycle = Lifecycle::new(cfg.lifecycle.clone());
+        let load_history = LoadHistory::new(lifecycle.run().started, cfg.lifecycle.load_lag);
+        let state = State {
+            by_key: ExecutionCounts::default(),
+            by_body: ExecutionCounts::default(),
+            running: 0,
+            load_history,
+        };
+        Self { cfg, lifecycle, state: Mutex::new(state) }
     }
 
     /// Serves on a socket until the task is ended.
@@ -95,22 +99,22 @@
     }
 
     /// Executions with a body.
-    pub fn executions_of_body(&self, body: &str) -> u64 {
+    pub fn executions_with_body(&self, body: &str) -> u64 {
         self.lock().by_body.get(body)
     }
 
     /// What the service has counted.
     pub fn counters(&self) -> Counters {
-        let run = self.life.run().number;
-        Counters { run, running: self.lock().running, ..self.life.totals.counters() }
+        let run = self.lifecycle.run().number;
+        Counters { run, running: self.lock().running, ..self.lifecycle.totals.counters() }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
         self.state.lock().expect("no panic while locked")
     }
 
-    async fn execute(self: Arc<Self>, key: &str, body: &str) -> Response<AnswerBody> {
-        let mut execution = Execution::begin(self.clone());
+    async fn execute(self: Arc<Self>, key: &str, body: &str) -> Response<ResponseBody> {
+        let mut execution = Execution::start(self.clone());
         let executions = {
             let mut state = self.lock();
             state.by_body.add(body);
@@ -118,7 +122,7 @@
         };
         tokio::time::sleep(self.cfg.delay).await;
         execution.complete = true;
-        server::json(StatusCode::OK, &json!({"key": key, "executions": executions}))
+        server::json_response(StatusCode::OK, &json!({"key": key, "executions": executions}))
     }
 }
 
@@ -130,10 +134,10 @@
 }
 
 impl Execution {
-    fn begin(service: Arc<Service>) -> Self {
-        Totals::add(&service.life.totals.executions);
-        let run = service.life.run().number;
-        service.lock().change_running(1);
+    fn start(service: Arc<Service>) -> Self {
+        Totals::add(&service.lifecycle.totals.executions);
+        let run = service.lifecycle.run().number;
+        service.lock().add_running(1);
         Self { service, run, complete: false }
     }
 }
@@ -141,19 +145,19 @@
 impl Drop for Execution {
     fn drop(&mut self) {
         if !self.complete {
-            Totals::add(&self.service.life.totals.cancelled);
+            Totals::add(&self.service.lifecycle.totals.cancelled);
         }
-        if self.run == self.service.life.run().number {
-            self.service.lock().change_running(-1);
+        if self.run == self.service.lifecycle.run().number {
+            self.service.lock().add_running(-1);
         }
     }
 }
 
 impl State {
-    fn change_running(&mut self, by: i32) {
-        self.running = self.running.saturating_add_signed(by);
+    fn add_running(&mut self, delta: i32) {
+        self.running = self.running.saturating_add_signed(delta);
         let load = Load { running: self.running, ..Load::default() };
-        self.history.note(Instant::now(), load);
+        self.load_history.record(Instant::now(), load);
     }
 }
 
@@ -163,19 +167,21 @@
     fn handle(
         self: Arc<Self>,
         request: Request<Bytes>,
-    ) -> BoxFuture<'static, Response<AnswerBody>> {
+    ) -> BoxFuture<'static, Response<ResponseBody>> {
         Box::pin(async move {
-            let get = request.method() == Method::GET;
-            let run = self.life.run().number;
+            let is_get = request.method() == Method::GET;
+            let run = self.lifecycle.run().number;
             match (request.uri().path(), request.uri().query()) {
-                ("/load", _) if get => {
-                    let report = self.lock().history.report(run, Instant::now());
-                    server::json(StatusCode::OK, &report)
+                ("/load", _) if is_get => {
+                    let report = self.lock().load_history.report(run, Instant::now());
+                    server::json_response(StatusCode::OK, &report)
+                }
+                ("/executions", Some("by=body")) if is_get => {
+                    server::json_response(StatusCode::OK, &self.lock().by_body.0)
                 }
-                ("/executions", Some("by=body")) if get => {
-                    server::json(StatusCode::OK, &self.lock().by_body.0)
+                ("/executions", _) if is_get => {
+                    server::json_response(StatusCode::OK, &self.lock().by_key.0)
                 }
-                ("/executions", _) if get => server::json(StatusCode::OK, &self.lock().by_key.0),
                 _ => {
                     let key = request.headers().get("idempotency-key");
                     let key = key.and_then(|v| v.to_str().ok()).unwrap_or_default();
@@ -186,14 +192,15 @@
         })
     }
 
-    fn life(&self) -> &Life {
-        &self.life
+    fn lifecycle(&self) -> &Lifecycle {
+        &self.lifecycle
     }
 
     fn begin_run(&self) {
-        self.life.begin_run();
+        self.lifecycle.begin_run();
         let mut state = self.lock();
         state.running = 0;
-        state.history = LoadHistory::new(self.life.run().started, self.cfg.life.load_lag);
+        state.load_history =
+            LoadHistory::new(self.lifecycle.run().started, self.cfg.lifecycle.load_lag);
     }
 }
--- a/crates/standin/src/stall.rs
+++ b/crates/standin/src/stall.rs
@@ -16,23 +16,23 @@
 };
 
 /// Set when the connections that share it have stopped responding.
-pub(crate) type Stalled = Arc<AtomicBool>;
+pub(crate) type StallFlag = Arc<AtomicBool>;
 
 /// A connection that, once stalled, reads nothing and loses what it writes. The calls on it go on
 /// and end as if their answers were sent.
 #[derive(Debug)]
 pub(crate) struct StallingStream {
     stream: TcpStream,
-    stalled: Stalled,
+    stall_flag: StallFlag,
 }
 
 impl StallingStream {
-    pub(crate) fn new(stream: TcpStream, stalled: Stalled) -> Self {
-        Self { stream, stalled }
+    pub(crate) fn new(stream: TcpStream, stall_flag: StallFlag) -> Self {
+        Self { stream, stall_flag }
     }
 
     fn is_stalled(&self) -> bool {
-        self.stalled.load(Ordering::Relaxed)
+        self.stall_flag.load(Ordering::Relaxed)
     }
 }
 
--- a/crates/standin/tests/call_batching.rs
+++ b/crates/standin/tests/call_batching.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{chat, engine, open, stream, until, whole};
+use common::{chat, read_response, send, start_engine, start_stream, wait_until};
 use http::{Method, StatusCode};
 use http_body_util::BodyExt;
 use serde_json::json;
@@ -16,8 +16,8 @@
 
 /// Guards against an answer without usage, which budgets are settled by.
 #[tokio::test(start_paused = true)]
-async fn whole_answer_with_usage() {
-    let engine = engine(|e| e).await;
+async fn full_response_includes_usage() {
+    let engine = start_engine(|e| e).await;
     let answer = chat(&engine, &[("x-request-id", "r-1")], &call(3)).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.headers["x-request-id"], "r-1");
@@ -31,8 +31,8 @@
 /// Guards against a stream without its terminal frame, or with the usage after it.
 #[tokio::test(start_paused = true)]
 async fn stream_ends_with_done() {
-    let engine = engine(|e| e).await;
-    let answer = whole(stream(&engine, &[], 2).await.unwrap()).await.unwrap();
+    let engine = start_engine(|e| e).await;
+    let answer = read_response(start_stream(&engine, &[], 2).await.unwrap()).await.unwrap();
     assert_eq!(answer.headers["content-type"], "text/event-stream");
     let events: Vec<_> = answer.text().split_terminator("\n\n").collect();
     assert_eq!(events.len(), 4);
@@ -44,7 +44,7 @@
 /// Guards against a pace that does not depend on the number of running calls.
 #[tokio::test(start_paused = true)]
 async fn tokens_slow_down_with_the_batch() {
-    let engine = engine(|e| e.token_interval_per_call(Duration::from_secs(1))).await;
+    let engine = start_engine(|e| e.token_interval_per_call(Duration::from_secs(1))).await;
     let start = Instant::now();
     chat(&engine, &[], &call(10)).await.unwrap();
     let alone = start.elapsed();
@@ -59,33 +59,33 @@
 /// Guards against an unbounded queue, and against a refusal without a time to come back.
 #[tokio::test(start_paused = true)]
 async fn full_queue_is_refused() {
-    let engine = engine(|e| e.capacity(1).max_queue(1)).await;
-    let running = stream(&engine, &[], 50).await.unwrap();
+    let engine = start_engine(|e| e.capacity(1).max_queue(1)).await;
+    let running = start_stream(&engine, &[], 50).await.unwrap();
     let body = call(1);
     let queued = chat(&engine, &[], &body);
     let refused = async {
-        until("one call waits", || engine.counters().queued == 1).await;
+        wait_until("one call waits", || engine.counters().queued == 1).await;
         chat(&engine, &[], &call(1)).await.unwrap()
     };
     let (queued, refused) = futures::future::join(queued, refused).await;
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused.headers["retry-after"], "1");
     assert_eq!(queued.unwrap().status, StatusCode::OK);
-    assert!(whole(running).await.is_ok());
+    assert!(read_response(running).await.is_ok());
     assert_eq!(engine.counters().executions, 2);
 }
 
 /// Guards against a queue that is served in order of arrival only.
 #[tokio::test(start_paused = true)]
 async fn lower_priority_numbers_run_first() {
-    let engine = engine(|e| e.capacity(1)).await;
-    let running = stream(&engine, &[], 50).await.unwrap();
+    let engine = start_engine(|e| e.capacity(1)).await;
+    let running = start_stream(&engine, &[], 50).await.unwrap();
     let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel();
     let mut calls = Vec::new();
     for (n, priority) in ["7", "-1", "3"].into_iter().enumerate() {
         let (engine, tx) = (&engine, tx.clone());
         calls.push(async move {
-            until("earlier calls wait", || engine.counters().queued as usize == n).await;
+            wait_until("earlier calls wait", || engine.counters().queued as usize == n).await;
             chat(engine, &[("x-priority", priority)], &call(1)).await.unwrap();
             tx.send(priority).unwrap();
         });
@@ -99,20 +99,20 @@
 /// Guards against work for callers that have closed their connection.
 #[tokio::test(start_paused = true)]
 async fn closed_connections_free_their_place() {
-    let engine = engine(|e| e.capacity(1)).await;
-    let mut running = stream(&engine, &[], 1000).await.unwrap();
+    let engine = start_engine(|e| e.capacity(1)).await;
+    let mut running = start_stream(&engine, &[], 1000).await.unwrap();
     running.body_mut().frame().await.unwrap().unwrap();
     let body = call(1000).to_string();
     {
-        let queued = open(&engine, Method::POST, "/v1/chat/completions", &[], &body);
+        let queued = send(&engine, Method::POST, "/v1/chat/completions", &[], &body);
         tokio::select! {
             _ = queued => panic!("the call does not run yet"),
-            () = until("one call waits", || engine.counters().queued == 1) => {}
+            () = wait_until("one call waits", || engine.counters().queued == 1) => {}
         }
     }
-    until("the waiting call has gone", || engine.counters().queued == 0).await;
+    wait_until("the waiting call has gone", || engine.counters().queued == 0).await;
     drop(running);
-    until("the running call has gone", || engine.counters().running == 0).await;
+    wait_until("the running call has gone", || engine.counters().running == 0).await;
     assert_eq!(engine.counters().cancelled, 2);
     assert!(engine.counters().tokens < 1000);
 }
--- a/crates/standin/tests/cold_start.rs
+++ b/crates/standin/tests/cold_start.rs
@@ -4,16 +4,19 @@
 
 use std::time::Duration;
 
-use common::{chat, engine, get, prompt, stream, until, whole};
-use poplarspan_standin::{ConfigError, Crashed, Engine, EngineConfig, RampShape, StandIn};
+use common::{chat, get, prompt, read_response, start_engine, start_stream, wait_until};
+use poplarspan_standin::{ConfigError, Crashed, Engine, EngineConfig, MockEndpoint, RampShape};
 use tokio::time::Instant;
 
 const RAMP: Duration = Duration::from_secs(1000);
 
-async fn time_of_two(engine: &StandIn) -> Duration {
+async fn time_two_streams(engine: &MockEndpoint) -> Duration {
     let start = Instant::now();
-    let both = [stream(engine, &[], 10).await.unwrap(), stream(engine, &[], 10).await.unwrap()];
-    for answer in futures::future::join_all(both.map(whole)).await {
+    let both = [
+        start_stream(engine, &[], 10).await.unwrap(),
+        start_stream(engine, &[], 10).await.unwrap(),
+    ];
+    for answer in futures::future::join_all(both.map(read_response)).await {
         answer.unwrap();
     }
     start.elapsed()
@@ -22,10 +25,10 @@
 /// Guards against a cold engine that is as fast as a warm one, and one that stays cold.
 #[tokio::test(start_paused = true)]
 async fn cold_engines_slow_down() {
-    let engine = engine(|e| e.cold_capacity(Some(1)).cold_slowdown(5.0).ramp(RAMP)).await;
-    let cold = time_of_two(&engine).await;
+    let engine = start_engine(|e| e.cold_capacity(Some(1)).cold_slowdown(5.0).ramp(RAMP)).await;
+    let cold = time_two_streams(&engine).await;
     tokio::time::sleep(RAMP).await;
-    let warm = time_of_two(&engine).await;
+    let warm = time_two_streams(&engine).await;
     assert!(cold > warm * 3, "cold {cold:?}, warm {warm:?}");
 }
 
@@ -33,35 +36,35 @@
 #[tokio::test(start_paused = true)]
 async fn linear_ramps_grow() {
     let start = || {
-        engine(|e| {
+        start_engine(|e| {
             let e = e.capacity(3).cold_capacity(Some(1)).cold_slowdown(5.0).ramp(RAMP);
             e.ramp_shape(RampShape::Linear)
         })
     };
-    let early = time_of_two(&start().await).await;
+    let early = time_two_streams(&start().await).await;
     let engine = start().await;
     tokio::time::sleep(RAMP * 6 / 10).await;
-    let late = time_of_two(&engine).await;
+    let late = time_two_streams(&engine).await;
     assert!(early > late * 3, "early {early:?}, late {late:?}");
 }
 
 /// Guards against a crash that leaves connections, memory, the run number or the cache behind.
 #[tokio::test(start_paused = true)]
 async fn too_many_calls_crash_a_cold_engine() {
-    let mut engine = engine(|e| {
+    let mut engine = start_engine(|e| {
         let e = e.cold_capacity(Some(1)).cold_crash_above(Some(2)).ramp(RAMP).first_run(40);
         e.restart_after(Duration::from_secs(60))
     })
     .await;
     chat(&engine, &[("x-program", "t/p")], &prompt("a", 2)).await.unwrap();
-    let first = stream(&engine, &[], 1000).await.unwrap();
-    let second = stream(&engine, &[], 1000).await.unwrap();
+    let first = start_stream(&engine, &[], 1000).await.unwrap();
+    let second = start_stream(&engine, &[], 1000).await.unwrap();
     assert_eq!(engine.counters().crashes, 0);
-    assert!(stream(&engine, &[], 1).await.is_err());
-    assert!(whole(first).await.is_err());
-    assert!(whole(second).await.is_err());
-    assert!(stream(&engine, &[], 1).await.is_err(), "refuses connections");
-    until("the next run", || engine.counters().run == 41).await;
+    assert!(start_stream(&engine, &[], 1).await.is_err());
+    assert!(read_response(first).await.is_err());
+    assert!(read_response(second).await.is_err());
+    assert!(start_stream(&engine, &[], 1).await.is_err(), "refuses connections");
+    wait_until("the next run", || engine.counters().run == 41).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let load = get(&engine, "/load").await.json();
     assert_eq!((&load["run"], &load["cache_blocks"]), (&41.into(), &0.into()));
@@ -76,7 +79,7 @@
 /// Guards against event numbers of a new run that readers of the former run never get to see.
 #[tokio::test(start_paused = true)]
 async fn restarts_clear_the_cache_for_readers() {
-    let mut engine = engine(|e| e).await;
+    let mut engine = start_engine(|e| e).await;
     for text in ["a", "b", "c"] {
         chat(&engine, &[], &prompt(text, 1)).await.unwrap();
     }
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -10,19 +10,19 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper_util::rt::TokioIo;
-use poplarspan_standin::{EngineConfig, EngineConfigBuilder, StandIn};
+use poplarspan_standin::{EngineConfig, EngineConfigBuilder, MockEndpoint};
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct FullResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-impl Answer {
+impl FullResponse {
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).expect("the answer is JSON")
     }
@@ -33,14 +33,14 @@
 }
 
 /// Sends a request on a connection of its own and returns when the head of the answer arrives.
-pub async fn open(
-    standin: &StandIn,
+pub async fn send(
+    endpoint: &MockEndpoint,
     method: Method,
     path: &str,
     headers: &[(&str, &str)],
     body: &str,
 ) -> Result<Response<Incoming>> {
-    let stream = TcpStream::connect(standin.address()).await?;
+    let stream = TcpStream::connect(endpoint.address()).await?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
@@ -52,45 +52,49 @@
     Ok(sender.send_request(request).await?)
 }
 
-pub async fn whole(response: Response<Incoming>) -> Result<Answer> {
+pub async fn read_response(response: Response<Incoming>) -> Result<FullResponse> {
     let (head, body) = response.into_parts();
     let body = body.collect().await?.to_bytes();
-    Ok(Answer { status: head.status, headers: head.headers, body })
+    Ok(FullResponse { status: head.status, headers: head.headers, body })
 }
 
-pub async fn get(standin: &StandIn, path: &str) -> Answer {
-    let response = open(standin, Method::GET, path, &[], "").await.expect("an answer");
-    whole(response).await.expect("a whole answer")
+pub async fn get(endpoint: &MockEndpoint, path: &str) -> FullResponse {
+    let response = send(endpoint, Method::GET, path, &[], "").await.expect("an answer");
+    read_response(response).await.expect("a whole answer")
 }
 
 pub async fn post(
-    standin: &StandIn,
+    endpoint: &MockEndpoint,
     path: &str,
     headers: &[(&str, &str)],
     body: &Value,
-) -> Result<Answer> {
-    let response = open(standin, Method::POST, path, headers, &body.to_string()).await?;
-    whole(response).await
+) -> Result<FullResponse> {
+    let response = send(endpoint, Method::POST, path, headers, &body.to_string()).await?;
+    read_response(response).await
 }
 
-pub async fn chat(standin: &StandIn, headers: &[(&str, &str)], body: &Value) -> Result<Answer> {
-    post(standin, "/v1/chat/completions", headers, body).await
+pub async fn chat(
+    endpoint: &MockEndpoint,
+    headers: &[(&str, &str)],
+    body: &Value,
+) -> Result<FullResponse> {
+    post(endpoint, "/v1/chat/completions", headers, body).await
 }
 
 /// Opens a streamed call whose answer the test does not read yet.
-pub async fn stream(
-    standin: &StandIn,
+pub async fn start_stream(
+    endpoint: &MockEndpoint,
     headers: &[(&str, &str)],
     tokens: u64,
 ) -> Result<Response<Incoming>> {
     let body = json!({"model": "m", "stream": true, "max_tokens": tokens, "messages": ["hello"]});
-    open(standin, Method::POST, "/v1/chat/completions", headers, &body.to_string()).await
+    send(endpoint, Method::POST, "/v1/chat/completions", headers, &body.to_string()).await
 }
 
 /// Waits, by the paused clock, for a condition that other tasks bring about.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..10_000 {
-        if holds() {
+        if condition() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -99,12 +103,14 @@
 }
 
 /// Starts an engine with settings on top of a slow, even pace: 1 s per token, no prefill.
-pub async fn engine(set: impl FnOnce(EngineConfigBuilder) -> EngineConfigBuilder) -> StandIn {
+pub async fn start_engine(
+    configure: impl FnOnce(EngineConfigBuilder) -> EngineConfigBuilder,
+) -> MockEndpoint {
     let cfg = EngineConfig::builder()
         .token_interval(Duration::from_secs(1))
         .token_interval_per_call(Duration::ZERO)
         .prefill_per_token(Duration::ZERO);
-    StandIn::start(set(cfg).build().expect("valid settings")).await.expect("a free port")
+    MockEndpoint::start(configure(cfg).build().expect("valid settings")).await.expect("a free port")
 }
 
 /// A prompt of `blocks` whole cache blocks.
--- a/crates/standin/tests/prefix_cache.rs
+++ b/crates/standin/tests/prefix_cache.rs
@@ -4,18 +4,18 @@
 
 use std::time::Duration;
 
-use common::{chat, engine, get, prompt};
+use common::{chat, get, prompt, start_engine};
 use poplarspan_policy::route::PrefixChain;
-use poplarspan_standin::{BLOCK_BYTES, StandIn};
+use poplarspan_standin::{BLOCK_BYTES, MockEndpoint};
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-async fn cached_tokens(engine: &StandIn, headers: &[(&str, &str)], body: &Value) -> u64 {
+async fn cached_tokens(engine: &MockEndpoint, headers: &[(&str, &str)], body: &Value) -> u64 {
     let answer = chat(engine, headers, body).await.unwrap().json();
     answer["usage"]["cached_tokens"].as_u64().unwrap()
 }
 
-async fn events(engine: &StandIn, after: u64) -> Vec<Value> {
+async fn events(engine: &MockEndpoint, after: u64) -> Vec<Value> {
     let answer = get(engine, &format!("/events?after={after}")).await.json();
     answer["events"].as_array().unwrap().clone()
 }
@@ -29,14 +29,14 @@
 /// event useless to it.
 #[tokio::test(start_paused = true)]
 async fn block_hashes_agree_with_the_policy() {
-    let engine = engine(|e| e.models(vec!["m@7".parse().unwrap()])).await;
+    let engine = start_engine(|e| e.models(vec!["m@7".parse().unwrap()])).await;
     let messages =
         [r#"{"role": "user",  "content":"a"}"#.to_owned(), json!("b".repeat(700)).to_string()];
     let body =
         format!(r#"{{"model":"m","max_tokens":1,"messages":[{}, {}]}}"#, messages[0], messages[1]);
     let path = "/v1/chat/completions";
-    let response = common::open(&engine, http::Method::POST, path, &[], &body).await.unwrap();
-    common::whole(response).await.unwrap();
+    let response = common::send(&engine, http::Method::POST, path, &[], &body).await.unwrap();
+    common::read_response(response).await.unwrap();
     let mut chain = PrefixChain::new("m@7", BLOCK_BYTES);
     messages.iter().for_each(|m| chain.extend(m.as_bytes()));
     assert_eq!(chain.blocks().len(), 2);
@@ -46,7 +46,7 @@
 /// Guards against prefill that costs the same for a cached prompt.
 #[tokio::test(start_paused = true)]
 async fn cached_prompts_skip_prefill() {
-    let engine = engine(|e| e.prefill_per_token(Duration::from_secs(1))).await;
+    let engine = start_engine(|e| e.prefill_per_token(Duration::from_secs(1))).await;
     let start = Instant::now();
     assert_eq!(cached_tokens(&engine, &[], &prompt("a", 4)).await, 0);
     assert!(start.elapsed() >= Duration::from_secs(4 * 64));
@@ -63,7 +63,7 @@
 /// Guards against a cache without a limit, and against eviction of what was used last.
 #[tokio::test(start_paused = true)]
 async fn least_recently_used_blocks_are_evicted() {
-    let engine = engine(|e| e.cache_blocks(4)).await;
+    let engine = start_engine(|e| e.cache_blocks(4)).await;
     for text in ["a", "b", "a", "c"] {
         cached_tokens(&engine, &[], &prompt(text, 2)).await;
     }
@@ -82,7 +82,7 @@
 /// Guards against eviction of what a program holds while other memory is free to take.
 #[tokio::test(start_paused = true)]
 async fn held_blocks_outlast_others() {
-    let engine = engine(|e| e.cache_blocks(4)).await;
+    let engine = start_engine(|e| e.cache_blocks(4)).await;
     let program = [("x-program", "t/p")];
     cached_tokens(&engine, &program, &prompt("a", 2)).await;
     for text in ["b", "c", "d"] {
@@ -94,7 +94,7 @@
 /// Guards against events that are visible at once, and against a wrong age.
 #[tokio::test(start_paused = true)]
 async fn events_are_delayed() {
-    let engine = engine(|e| e.event_delay(Duration::from_secs(20))).await;
+    let engine = start_engine(|e| e.event_delay(Duration::from_secs(20))).await;
     cached_tokens(&engine, &[], &prompt("a", 1)).await;
     assert!(events(&engine, 0).await.is_empty());
     tokio::time::sleep(Duration::from_secs(30)).await;
@@ -111,7 +111,7 @@
 async fn gaps_skip_numbers() {
     let mut seen = Vec::new();
     for _ in 0..2 {
-        let engine = engine(|e| e.event_gap_rate(0.5).seed(11)).await;
+        let engine = start_engine(|e| e.event_gap_rate(0.5).seed(11)).await;
         for n in 0..20 {
             cached_tokens(&engine, &[], &prompt(&format!("{n:02}"), 1)).await;
         }
--- a/crates/standin/tests/release_orders.rs
+++ b/crates/standin/tests/release_orders.rs
@@ -4,13 +4,13 @@
 
 use std::{sync::Arc, time::Duration};
 
-use common::{chat, engine, get, post, prompt, stream, until, whole};
+use common::{chat, get, post, prompt, read_response, start_engine, start_stream, wait_until};
 use http::StatusCode;
 use http_body_util::BodyExt;
-use poplarspan_standin::{Fencing, StandIn, WeightStore};
+use poplarspan_standin::{Fencing, MockEndpoint, WeightStore};
 use serde_json::{Value, json};
 
-async fn order(engine: &StandIn, order: Value) -> StatusCode {
+async fn order(engine: &MockEndpoint, order: Value) -> StatusCode {
     post(engine, "/orders", &[], &order).await.unwrap().status
 }
 
@@ -21,7 +21,7 @@
 /// Guards against a release that leaves sub-agents behind, or takes programs of similar names.
 #[tokio::test(start_paused = true)]
 async fn release_frees_a_program_and_its_descendants() {
-    let engine = engine(|e| e).await;
+    let engine = start_engine(|e| e).await;
     for program in ["t/p", "t/p/child", "t/p2", "u/p"] {
         chat(&engine, &[("x-program", program)], &prompt("a", 2)).await.unwrap();
     }
@@ -36,32 +36,33 @@
 /// that looks whole.
 #[tokio::test(start_paused = true)]
 async fn release_cancels_streams_and_waiting_calls() {
-    let engine = engine(|e| e.capacity(1)).await;
-    let mut running = stream(&engine, &[("x-program", "t/p")], 1000).await.unwrap();
+    let engine = start_engine(|e| e.capacity(1)).await;
+    let mut running = start_stream(&engine, &[("x-program", "t/p")], 1000).await.unwrap();
     running.body_mut().frame().await.unwrap().unwrap();
-    let queued = stream(&engine, &[("x-program", "t/p/child")], 1000);
+    let queued = start_stream(&engine, &[("x-program", "t/p/child")], 1000);
     let order = async {
-        until("one call waits", || engine.counters().queued == 1).await;
+        wait_until("one call waits", || engine.counters().queued == 1).await;
         order(&engine, release("t/p", 1, None)).await
     };
     let (queued, status) = futures::future::join(queued, order).await;
     assert_eq!(status, StatusCode::OK);
     assert_eq!(queued.unwrap().status(), StatusCode::CONFLICT);
-    assert!(whole(running).await.is_err());
-    until("the calls have gone", || engine.engine().unwrap().held().is_empty()).await;
+    assert!(read_response(running).await.is_err());
+    wait_until("the calls have gone", || engine.engine().unwrap().held_programs().is_empty()).await;
     assert_eq!(engine.counters().cancelled, 2);
 }
 
 /// Guards against a release of one claim that ends the stream of a later one.
 #[tokio::test(start_paused = true)]
 async fn release_of_a_claim_spares_other_claims() {
-    let engine = engine(|e| e).await;
-    let first = stream(&engine, &[("x-program", "t/p"), ("x-claim", "4")], 10).await.unwrap();
-    let second = stream(&engine, &[("x-program", "t/p"), ("x-claim", "5")], 10).await.unwrap();
+    let engine = start_engine(|e| e).await;
+    let first = start_stream(&engine, &[("x-program", "t/p"), ("x-claim", "4")], 10).await.unwrap();
+    let second =
+        start_stream(&engine, &[("x-program", "t/p"), ("x-claim", "5")], 10).await.unwrap();
     assert_eq!(order(&engine, release("t/p", 1, Some(4))).await, StatusCode::OK);
-    assert!(whole(first).await.is_err());
-    assert!(whole(second).await.is_ok());
-    assert_eq!(engine.engine().unwrap().held(), ["t/p".into()], "the program goes on");
+    assert!(read_response(first).await.is_err());
+    assert!(read_response(second).await.is_ok());
+    assert_eq!(engine.engine().unwrap().held_programs(), ["t/p".into()], "the program goes on");
 }
 
 /// Guards against a checking engine that obeys a stale order, and against numbers that are
@@ -71,11 +72,11 @@
     for (fencing, stale) in
         [(Fencing::Check, StatusCode::CONFLICT), (Fencing::Ignore, StatusCode::OK)]
     {
-        let engine = engine(|e| e.fencing(fencing)).await;
+        let engine = start_engine(|e| e.fencing(fencing)).await;
         assert_eq!(order(&engine, release("t/p", 9, None)).await, StatusCode::OK);
         chat(&engine, &[("x-program", "t/p")], &prompt("a", 1)).await.unwrap();
         assert_eq!(order(&engine, release("t/p", 8, None)).await, stale);
-        assert_eq!(engine.engine().unwrap().held().is_empty(), stale == StatusCode::OK);
+        assert_eq!(engine.engine().unwrap().held_programs().is_empty(), stale == StatusCode::OK);
         assert_eq!(order(&engine, release("t/q", 8, None)).await, StatusCode::OK);
         assert_eq!(order(&engine, release("t/p", 9, None)).await, StatusCode::OK, "resent");
     }
@@ -88,7 +89,9 @@
     let store = Arc::new(WeightStore::new(100));
     let start = || {
         let store = store.clone();
-        engine(|e| e.models(vec!["m@1".parse().unwrap()]).weight_store(store).weight_bytes(6000))
+        start_engine(|e| {
+            e.models(vec!["m@1".parse().unwrap()]).weight_store(store).weight_bytes(6000)
+        })
     };
     let (a, b) = (start().await, start().await);
     let load = json!({"kind": "load", "fencing": 1, "model": "n@2"});
@@ -109,7 +112,7 @@
 /// Guards against malformed orders that are acknowledged.
 #[tokio::test(start_paused = true)]
 async fn roles_are_set_and_malformed_orders_refused() {
-    let engine = engine(|e| e).await;
+    let engine = start_engine(|e| e).await;
     let role = json!({"kind": "role", "fencing": 1, "role": "prefill"});
     assert_eq!(order(&engine, role).await, StatusCode::OK);
     assert_eq!(get(&engine, "/models").await.json()["role"], "prefill");
@@ -123,7 +126,7 @@
 /// Guards against a transfer that loses blocks, and against references that outlive the release.
 #[tokio::test(start_paused = true)]
 async fn programs_move_between_engines_by_reference() {
-    let (from, to) = (engine(|e| e).await, engine(|e| e).await);
+    let (from, to) = (start_engine(|e| e).await, start_engine(|e| e).await);
     let program = [("x-program", "t/p")];
     chat(&from, &program, &prompt("a", 3)).await.unwrap();
     let export = json!({"program": "t/p"});
@@ -132,7 +135,7 @@
     let import = json!({"program": "t/p", "reference": exported["reference"]});
     let imported = post(&to, "/kv/import", &[], &import).await.unwrap();
     assert_eq!((imported.status, imported.json()["blocks"].clone()), (StatusCode::OK, json!(3)));
-    assert_eq!(to.engine().unwrap().held(), ["t/p".into()]);
+    assert_eq!(to.engine().unwrap().held_programs(), ["t/p".into()]);
     // The order of the prompt is kept, so that it is evicted from its end there too.
     let events = [get(&from, "/events").await.json(), get(&to, "/events").await.json()];
     assert_eq!(events[0]["events"][1]["blocks"], events[1]["events"][1]["blocks"]);
