--- a/crates/standin/src/config.rs
+++ b/crates/standin/src/config.rs
@@ -1,12 +1,12 @@
-//! Checked settings of the stand-ins.
+//! Validated settings of the mock endpoints.
 
 use std::{fmt, str::FromStr, sync::Arc, time::Duration};
 
 use crate::engine::WeightStore;
 
-/// Version of a model that is named without one.
+/// Version assumed when a model is given without one.
 const DEFAULT_VERSION: &str = "1";
-/// Bytes per second of a weight store that is not set.
+/// Rate of the default weight store, in bytes per second.
 const DEFAULT_WEIGHT_RATE: u64 = 1 << 30;
 
 /// A setting that is out of range.
@@ -21,32 +21,34 @@
 
 impl std::error::Error for ConfigError {}
 
-/// What an engine does with the fencing numbers of orders.
+/// Whether an engine checks the fencing numbers of orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fencing {
-    /// Refuses a number below the highest one seen for the same subject.
+    /// Rejects an order whose number is below the highest one seen for the same subject.
     #[default]
     Check,
-    /// Carries out every order.
+    /// Executes every order.
     Ignore,
 }
 
-/// How the number of calls that a cold engine bears grows.
+/// How the number of concurrent calls that a cold engine sustains grows during the ramp.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RampShape {
     /// `cold_capacity` for the whole ramp, then `capacity`.
     #[default]
     Step,
-    /// Linearly from `cold_capacity` to `capacity`.
+    /// Grows linearly from `cold_capacity` to `capacity`.
     Linear,
 }
 
 /// A model and its version, written `model@version`.
+///
+/// Parses `model` alone as version 1 of that model.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ModelVersion {
-    /// Name of the model.
+    /// Name of the model. Not empty.
     pub model: Arc<str>,
-    /// Its version.
+    /// Version of the model. Not empty.
     pub version: Arc<str>,
 }
 
@@ -68,7 +70,7 @@
     }
 }
 
-/// What both kinds share.
+/// Settings that engines and services share.
 #[derive(Clone, Debug)]
 pub(crate) struct LifecycleConfig {
     pub(crate) first_run: u64,
@@ -88,7 +90,7 @@
     }
 }
 
-/// Settings of an engine. [`EngineConfig::builder`] makes others than the defaults.
+/// Settings of an engine. Use [`EngineConfig::builder`] to change the defaults.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
     pub(crate) lifecycle: LifecycleConfig,
@@ -148,12 +150,12 @@
         EngineConfigBuilder::default()
     }
 
-    /// Calls that the engine bears while it is cold.
+    /// Returns the number of concurrent calls that the engine sustains at the start of its ramp.
     pub(crate) fn cold_capacity(&self) -> u32 {
         self.cold_capacity.unwrap_or(self.capacity)
     }
 
-    /// Version in use of a model when it is loaded from the start.
+    /// Returns the version reported by an engine that serves every model.
     pub(crate) fn default_version() -> Arc<str> {
         DEFAULT_VERSION.into()
     }
@@ -163,17 +165,20 @@
             (self.capacity >= 1, "the capacity must be at least 1"),
             (
                 (1..=self.capacity).contains(&self.cold_capacity()),
-                "the cold capacity must be from 1 to the capacity",
+                "the cold capacity must be between 1 and the capacity",
             ),
             (
                 self.cold_crash_above.is_none_or(|n| n >= self.cold_capacity()),
-                "the crash bound must not be under the cold capacity",
+                "the crash threshold must be at least the cold capacity",
             ),
             (
                 self.cold_slowdown >= 1.0 && self.cold_slowdown.is_finite(),
-                "the cold slowdown must be a number of at least 1",
+                "the cold slowdown must be a finite number of at least 1",
+            ),
+            (
+                (0.0..=1.0).contains(&self.event_gap_rate),
+                "the event gap rate must be between 0 and 1",
             ),
-            ((0.0..=1.0).contains(&self.event_gap_rate), "the gap rate must be from 0 to 1"),
             (self.cache_blocks >= 1, "the cache must hold at least one block"),
         ];
         match rules.into_iter().find(|(valid, _)| !valid) {
@@ -183,7 +188,7 @@
     }
 }
 
-/// Settings of a plain service. [`ServiceConfig::builder`] makes others than the defaults.
+/// Settings of a plain service. Use [`ServiceConfig::builder`] to change the defaults.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceConfig {
     pub(crate) lifecycle: LifecycleConfig,
@@ -197,13 +202,13 @@
     }
 }
 
-/// Builds a checked [`EngineConfig`].
+/// Builder of a validated [`EngineConfig`].
 #[derive(Clone, Debug, Default)]
 pub struct EngineConfigBuilder {
     cfg: EngineConfig,
 }
 
-/// Builds a checked [`ServiceConfig`].
+/// Builder of a validated [`ServiceConfig`].
 #[derive(Clone, Debug, Default)]
 pub struct ServiceConfigBuilder {
     cfg: ServiceConfig,
@@ -224,57 +229,61 @@
 
 impl EngineConfigBuilder {
     setters! {
-        /// Sets the number of calls that run at once.
+        /// Sets the number of calls that run concurrently, at least 1.
         capacity: u32 => capacity;
-        /// Sets the number of calls that wait; further ones are answered 503.
+        /// Sets the queue length. Calls beyond it are answered with status 503.
         max_queue: u32 => max_queue;
-        /// Sets the `Retry-After` of these answers, rounded up to seconds.
+        /// Sets the `Retry-After` header of a 503 for a full queue, rounded up to whole seconds.
         retry_after: Duration => retry_after;
-        /// Sets the time per token of a call that runs alone.
+        /// Sets the time per generated token of a call that runs alone.
         token_interval: Duration => token_interval;
-        /// Sets what each further running call adds to the time per token.
+        /// Sets the time that each further running call adds to every token.
         token_interval_per_call: Duration => token_interval_per_call;
-        /// Sets the time that an uncached token of the prompt takes.
+        /// Sets the prefill time of each prompt token that is not cached.
         prefill_per_token: Duration => prefill_per_token;
-        /// Sets the tokens of an answer when the request names no limit.
+        /// Sets the number of generated tokens when a request has no `max_tokens`.
         default_tokens: u64 => default_tokens;
-        /// Sets the memory of the prefix cache, in blocks of 256 bytes.
+        /// Sets the size of the prefix cache in blocks of [`BLOCK_BYTES`](crate::BLOCK_BYTES), at
+        /// least 1.
         cache_blocks: u32 => cache_blocks;
-        /// Sets the calls that a cold engine bears at once; the capacity when not set.
+        /// Sets the number of concurrent calls that a cold engine sustains, from 1 to the capacity.
+        /// Defaults to the capacity.
         cold_capacity: Option<u32> => cold_capacity;
-        /// Sets the number of calls at once above which a cold engine crashes.
+        /// Sets the number of concurrent calls above which a cold engine crashes, at least the cold
+        /// capacity. By default it never crashes.
         cold_crash_above: Option<u32> => cold_crash_above;
-        /// Sets the factor by which a cold engine with too many calls slows down.
+        /// Sets the factor by which a cold engine slows down while it has more calls than it
+        /// sustains, at least 1.
         cold_slowdown: f64 => cold_slowdown;
-        /// Sets how long the engine is cold after a start.
+        /// Sets how long the engine stays cold after the start of a run.
         ramp: Duration => ramp;
-        /// Sets how the number of calls that a cold engine bears grows.
+        /// Sets how the number of concurrent calls that a cold engine sustains grows.
         ramp_shape: RampShape => ramp_shape;
-        /// Sets the lag of load reports.
+        /// Sets the age of the load that `GET /load` reports.
         load_lag: Duration => lifecycle.load_lag;
-        /// Sets the time after which cache events are published.
+        /// Sets the delay before a cache event is published.
         event_delay: Duration => event_delay;
-        /// Sets the share of cache events that are lost, 0 to 1.
+        /// Sets the probability that a cache event is lost, from 0 to 1.
         event_gap_rate: f64 => event_gap_rate;
-        /// Sets what is done with the fencing numbers of orders.
+        /// Sets whether the fencing numbers of orders are checked.
         fencing: Fencing => fencing;
-        /// Sets the models that are loaded at a start. With none, every model is served.
+        /// Sets the models that are loaded at the start of a run. An empty list serves every model.
         models: Vec<ModelVersion> => models;
-        /// Sets the size of a model's weights.
+        /// Sets the size of a model's weights, in bytes.
         weight_bytes: u64 => weight_bytes;
-        /// Sets the store of weights, which engines of one process may share.
+        /// Sets the weight store, which engines of one process may share.
         weight_store: Arc<WeightStore> => weight_store;
-        /// Sets the seed of random numbers.
+        /// Sets the seed that selects the lost cache events. Each run adds its number.
         seed: u64 => seed;
         /// Sets the number of the first run.
         first_run: u64 => lifecycle.first_run;
-        /// Sets how long connections are refused after a crash.
+        /// Sets how long connections are refused between a crash and the next run.
         restart_after: Duration => lifecycle.restart_after;
-        /// Sets whether a crash ends `serve` instead of leading to the next run.
+        /// Sets whether `serve` returns an error after a crash instead of beginning the next run.
         exit_on_crash: bool => lifecycle.exit_on_crash;
     }
 
-    /// Checks the settings.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
@@ -287,15 +296,15 @@
 
 impl ServiceConfigBuilder {
     setters! {
-        /// Sets the time that an execution takes.
+        /// Sets the duration of an execution.
         delay: Duration => delay;
-        /// Sets the lag of load reports.
+        /// Sets the age of the load that `GET /load` reports.
         load_lag: Duration => lifecycle.load_lag;
         /// Sets the number of the first run.
         first_run: u64 => lifecycle.first_run;
-        /// Sets how long connections are refused after a crash.
+        /// Sets how long connections are refused between a crash and the next run.
         restart_after: Duration => lifecycle.restart_after;
-        /// Sets whether a crash ends `serve` instead of leading to the next run.
+        /// Sets whether `serve` returns an error after a crash instead of beginning the next run.
         exit_on_crash: bool => lifecycle.exit_on_crash;
     }
 
@@ -303,7 +312,7 @@
     ///
     /// # Errors
     ///
-    /// Never fails at present; every value of each setting is in range.
+    /// Never fails at present, as every value of each setting is in range.
     pub fn build(self) -> Result<ServiceConfig, ConfigError> {
         Ok(self.cfg)
     }
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: which calls run and which wait.
+//! Continuous batching: runs up to `capacity` calls and queues the others by priority.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,12 +7,12 @@
 
 use crate::config::{EngineConfig, RampShape};
 
-/// What the batch knows of a call.
+/// Headers of a call that scheduling and release orders use.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CallSpec {
     pub(super) program: Option<Arc<str>>,
     pub(super) claim: Option<u64>,
-    /// Lower ones run first.
+    /// Lower values run first.
     pub(super) priority: i64,
 }
 
@@ -31,35 +31,35 @@
     start: oneshot::Sender<()>,
 }
 
-/// A call that was let in.
+/// A call that was admitted to the batch or its queue.
 #[derive(Debug)]
 pub(super) struct Admitted {
     pub(super) id: u64,
     /// Cancelled by a release order.
     pub(super) cancel: CancellationToken,
-    /// Resolves when a waiting call may run.
+    /// Resolves when a queued call may run. `None` if the call runs at once.
     pub(super) start: Option<oneshot::Receiver<()>>,
 }
 
-/// Why a call was not let in.
+/// Why a call was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Rejected {
     /// The queue is full.
     QueueFull,
-    /// The engine was cold and got more than it survives.
+    /// The engine is cold and the call exceeds its crash threshold.
     Overload,
 }
 
-/// Calls of one run.
+/// Running and queued calls of one run.
 #[derive(Debug)]
 pub(super) struct Batch {
     cfg: EngineConfig,
     started: Instant,
     last_id: u64,
     running: u32,
-    /// Sorted by id.
+    /// Running and queued calls, sorted by id.
     calls: Vec<Call>,
-    /// Sorted by priority, then by id.
+    /// Queued calls, sorted by priority, then by id.
     queue: Vec<QueuedCall>,
 }
 
@@ -102,7 +102,7 @@
         Ok(Admitted { id, cancel, start })
     }
 
-    /// Takes a call out that has ended, and starts the next ones.
+    /// Removes a call that has ended, and starts queued calls while there is capacity.
     pub(super) fn remove(&mut self, id: u64) {
         let Ok(position) = self.calls.binary_search_by_key(&id, |c| c.id) else { return };
         let call = self.calls.remove(position);
@@ -116,19 +116,20 @@
             if let Ok(i) = self.calls.binary_search_by_key(&next.id, |c| c.id) {
                 self.calls[i].running = true;
                 self.running += 1;
-                // A caller that has gone takes its call out when it is dropped.
+                // The send fails if the caller has disconnected. Dropping its call then removes it
+                // from the batch.
                 let _ = next.start.send(());
             }
         }
     }
 
-    /// Programs that have calls here; not sorted.
+    /// Returns the programs of all calls, unsorted and with duplicates.
     pub(super) fn programs(&self) -> impl Iterator<Item = &Arc<str>> {
         self.calls.iter().filter_map(|c| c.spec.program.as_ref())
     }
 
-    /// Cancels the calls of programs that a filter names. With a claim, only its call, or calls
-    /// that came without a claim.
+    /// Cancels the calls of all programs that match. With a claim, only calls of this claim and
+    /// calls without a claim are cancelled.
     pub(super) fn release(&self, matches: impl Fn(&str) -> bool, claim: Option<u64>) {
         for call in &self.calls {
             let matched = call.spec.program.as_deref().is_some_and(&matches);
@@ -139,14 +140,14 @@
         }
     }
 
-    /// Time that the next token of a running call takes.
+    /// Returns the time to generate the next token of a running call.
     pub(super) fn token_time(&self, now: Instant) -> Duration {
         let other_calls = self.running.saturating_sub(1);
         let time = self.cfg.token_interval + self.cfg.token_interval_per_call * other_calls;
         time.mul_f64(self.slowdown(now))
     }
 
-    /// Time that the uncached tokens of a prompt take.
+    /// Returns the time to process `tokens` uncached tokens of a prompt.
     pub(super) fn prefill_time(&self, tokens: u64, now: Instant) -> Duration {
         let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
         (self.cfg.prefill_per_token * tokens).mul_f64(self.slowdown(now))
@@ -160,7 +161,8 @@
         }
     }
 
-    /// Calls that the engine bears at once; none while it is warm.
+    /// Returns the number of concurrent calls that the cold engine sustains, or `None` once it is
+    /// warm.
     fn cold_limit(&self, now: Instant) -> Option<u32> {
         let uptime = now.duration_since(self.started);
         if uptime >= self.cfg.ramp {
@@ -176,8 +178,8 @@
         })
     }
 
-    /// Calls at once above which the engine crashes. The margin over what it bears stays the same
-    /// during the ramp.
+    /// Returns the number of concurrent calls above which the cold engine crashes. The margin over
+    /// [`Self::cold_limit`] is constant during the ramp.
     fn crash_limit(&self, now: Instant) -> Option<u32> {
         let margin = self.cfg.cold_crash_above? - self.cfg.cold_capacity();
         Some(self.cold_limit(now)?.saturating_add(margin))
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,5 @@
-//! Prefix cache of limited memory. Programs hold the blocks of their prompts until released.
+//! Prefix cache with a fixed number of blocks. Programs hold the blocks of their prompts until they
+//! are released; blocks without a holder are evicted first.
 
 use std::{
     cmp::Reverse,
@@ -6,16 +7,16 @@
     sync::Arc,
 };
 
-/// A cached block.
 #[derive(Debug, Default)]
 struct Block {
-    /// Time of the last use, as a count.
+    /// Value of [`Cache::clock`] at the last use.
     last_used: u64,
-    /// Programs that hold it.
+    /// Programs that hold the block.
     holders: Vec<Arc<str>>,
 }
 
-/// Order of eviction: blocks that no program holds first, then by last use.
+/// Sort key of eviction: whether the block is held, its last use, and its hash. Blocks without a
+/// holder come first, then the least recently used.
 type EvictionKey = (bool, u64, u64);
 
 impl Block {
@@ -24,30 +25,33 @@
     }
 }
 
-/// What a program holds.
+/// The blocks that a program holds.
 #[derive(Debug)]
 struct ProgramBlocks {
     name: Arc<str>,
     blocks: HashSet<u64>,
 }
 
-/// Changes made by storing a prompt.
+/// Blocks that storing a prompt added and evicted.
 #[derive(Debug, Default)]
 pub(super) struct CacheChange {
     pub(super) stored: Vec<u64>,
     pub(super) removed: Vec<u64>,
 }
 
-/// Cache of one run. Blocks are in hash and tree maps, as prompts have thousands of blocks and
-/// insertion into a sorted vector takes linear time.
+/// Prefix cache of one run.
+///
+/// Blocks are kept in a hash map and a tree set: prompts have thousands of blocks, and insertion
+/// into a sorted vector takes linear time.
 #[derive(Debug)]
 pub(super) struct Cache {
     max_blocks: usize,
+    /// Logical clock, incremented by each use of a block.
     clock: u64,
     blocks: HashMap<u64, Block>,
     eviction_order: BTreeSet<EvictionKey>,
-    /// Sorted by name. A program stays here until it is released, also after all its blocks were
-    /// evicted.
+    /// Sorted by name. A program stays listed until it is released, even after all its blocks have
+    /// been evicted.
     programs: Vec<ProgramBlocks>,
 }
 
@@ -62,24 +66,25 @@
         }
     }
 
-    /// Blocks in the cache.
+    /// Returns the number of cached blocks.
     pub(super) fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Leading blocks of a prompt that are cached.
+    /// Returns the number of leading blocks of a prompt that are cached.
     pub(super) fn cached_prefix(&self, chain: &[u64]) -> usize {
         chain.iter().take_while(|hash| self.blocks.contains_key(hash)).count()
     }
 
-    /// Stores the blocks of a prompt, and holds them for a program.
+    /// Stores the blocks of a prompt and, with a program, holds them for it. Blocks beyond the size
+    /// of the cache are ignored.
     pub(super) fn store(&mut self, chain: &[u64], program: Option<&Arc<str>>) -> CacheChange {
         let chain = &chain[..chain.len().min(self.max_blocks)];
         let mut change = CacheChange::default();
         if let Some(program) = program {
             self.program_entry(program);
         }
-        // The last blocks are stored first, so that a chain is evicted from its end.
+        // Later blocks get an earlier last use, so that a prompt is evicted from its end.
         for hash in chain.iter().rev() {
             if !self.blocks.contains_key(hash) {
                 self.evict(&mut change.removed);
@@ -93,8 +98,9 @@
         change
     }
 
-    /// Blocks that a program holds, or none if it is unknown. They are in the order of its last
-    /// prompt, as that order is also the reverse order of their last uses.
+    /// Returns the blocks that a program holds, or `None` if the program is unknown. The most
+    /// recently used block comes first, which is the order of the last prompt, as `store` marks
+    /// blocks as used from the end.
     pub(super) fn held_blocks(&self, program: &str) -> Option<Vec<u64>> {
         let program = &self.programs[self.find(program).ok()?];
         let mut blocks: Vec<u64> = program.blocks.iter().copied().collect();
@@ -102,13 +108,12 @@
         Some(blocks)
     }
 
-    /// Programs that have not been released, sorted.
+    /// Returns the programs that have not been released, sorted by name.
     pub(super) fn programs(&self) -> impl Iterator<Item = &Arc<str>> {
         self.programs.iter().map(|p| &p.name)
     }
 
-    /// Frees what the programs hold that a filter names. Their blocks stay cached until the
-    /// memory is needed.
+    /// Drops the holds of all programs that match. Their blocks stay cached until they are evicted.
     pub(super) fn release(&mut self, matches: impl Fn(&str) -> bool) {
         let (released, kept): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.programs).into_iter().partition(|p| matches(&p.name));
@@ -147,7 +152,7 @@
         });
     }
 
-    /// Changes a block and its place in the order of eviction.
+    /// Changes a block, which is added if missing, and its position in the eviction order.
     fn update(&mut self, hash: u64, apply: impl FnOnce(&mut Block)) {
         let block = self.blocks.entry(hash).or_default();
         self.eviction_order.remove(&block.eviction_key(hash));
@@ -155,6 +160,7 @@
         self.eviction_order.insert(block.eviction_key(hash));
     }
 
+    /// Evicts blocks until there is room for one more, and appends their hashes to `removed`.
     fn evict(&mut self, removed: &mut Vec<u64>) {
         while self.blocks.len() >= self.max_blocks {
             let Some((_, _, hash)) = self.eviction_order.pop_first() else { return };
--- a/crates/standin/src/engine/chat.rs
+++ b/crates/standin/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions with made-up words.
+//! Chat completions with generated filler words.
 
 use std::{
     future::pending,
@@ -43,7 +43,7 @@
     max_tokens: Option<u64>,
 }
 
-/// What is generated for a request.
+/// A parsed request: the prompt and what to generate for it.
 struct CompletionPlan {
     id: String,
     model: String,
@@ -53,7 +53,8 @@
     stream: bool,
 }
 
-/// A call in the batch. Dropping it takes it out.
+/// A call in the batch. Dropping it removes it from the batch, and counts it as cancelled unless it
+/// is complete.
 struct Call {
     engine: Arc<Engine>,
     run: Arc<EngineRun>,
@@ -73,7 +74,7 @@
     }
 }
 
-/// A running call, between two tokens.
+/// A running call whose prompt has been processed.
 struct Generation {
     call: Call,
     plan: CompletionPlan,
@@ -187,12 +188,12 @@
     }
 }
 
-/// The call was cancelled by a release order.
+/// Error of a call that a release order cancelled.
 #[derive(Debug)]
 struct Released;
 
 impl Call {
-    /// Waits for a place in the batch.
+    /// Waits until a queued call may run.
     async fn wait_for_start(&mut self) -> Result<(), Released> {
         let Some(start) = self.start.take() else { return Ok(()) };
         tokio::select! {
@@ -202,18 +203,19 @@
         }
     }
 
-    /// Waits while the engine works for this call.
-    async fn sleep_until(&self, until: Instant) -> Result<(), Released> {
+    /// Sleeps until a deadline, which simulates the work of the engine. Fails at once when the call
+    /// is released.
+    async fn sleep_until(&self, deadline: Instant) -> Result<(), Released> {
         tokio::select! {
             biased;
             () = self.cancel.cancelled() => Err(Released),
-            () = sleep_until(until) => Ok(()),
+            () = sleep_until(deadline) => Ok(()),
         }
     }
 }
 
 impl Generation {
-    /// Processes the prompt.
+    /// Processes the prompt: waits for the uncached tokens and stores its blocks in the cache.
     async fn prefill(call: Call, plan: CompletionPlan) -> Result<Self, Released> {
         let now = Instant::now();
         let (cached_tokens, time) = {
@@ -226,7 +228,8 @@
         let now = Instant::now();
         {
             let mut state = call.run.lock();
-            // An order that came meanwhile must not be followed by a new hold.
+            // A release order may have arrived since the wait ended. Storing the blocks would then
+            // hold memory for a released program.
             if call.cancel.is_cancelled() {
                 return Err(Released);
             }
@@ -242,8 +245,8 @@
         })
     }
 
-    /// Generates the next token. Times add up from the start, so that the pace does not depend on
-    /// the resolution of the timer.
+    /// Generates the next token. Deadlines are computed from the previous deadline, so that the
+    /// pace does not depend on the resolution of the timer.
     async fn next_token(&mut self) -> Result<(), Released> {
         let time = self.call.run.lock().batch.token_time(Instant::now());
         self.next_at += time;
@@ -253,7 +256,7 @@
         Ok(())
     }
 
-    /// Next event of a streamed answer.
+    /// Returns the next event of a streamed response, or `None` at its end.
     async fn next_event(&mut self) -> Result<Option<String>, Released> {
         if self.stage == StreamStage::Tokens && self.generated == self.plan.tokens {
             self.stage = StreamStage::Usage;
@@ -321,15 +324,15 @@
     error_response(StatusCode::CONFLICT, "an order released the program")
 }
 
-/// A streamed answer, before or after its prompt is processed.
+/// State of a streamed response.
 enum StreamState {
     Prefill(Box<(Call, CompletionPlan)>),
     Running(Box<Generation>),
     Ended,
 }
 
-/// Streams an answer. A released call breaks the connection, so that its caller cannot take what
-/// has arrived for the whole answer.
+/// Streams a response. If the call is released, the connection is aborted, so that the caller does
+/// not take a partial response for a complete one.
 fn stream_response(call: Call, plan: CompletionPlan) -> Response<ResponseBody> {
     let events = stream::unfold(StreamState::Prefill(Box::new((call, plan))), |state| async move {
         let mut generation = match state {
--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! Cache events, published late and with gaps.
+//! Log of cache events, published with a delay and with random gaps.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -8,12 +8,12 @@
 
 use crate::load::millis;
 
-/// Events that are kept for readers; older ones are lost to them.
+/// Events that are kept. Older ones are discarded, and readers that have not seen them find a gap.
 const MAX_EVENTS: usize = 4096;
-/// Events in one answer.
+/// Maximum number of events in one response.
 const MAX_EVENTS_PER_RESPONSE: usize = 512;
 
-/// What happened to the blocks of an event.
+/// What happened to the blocks of an event. `Cleared` means that the cache is empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum EventKind {
@@ -30,7 +30,7 @@
     blocks: Vec<u64>,
 }
 
-/// Event as it is published.
+/// An event in the response of `GET /events`.
 #[derive(Debug, Serialize)]
 struct EventEntry<'a> {
     sequence: u64,
@@ -39,14 +39,15 @@
     blocks: &'a [u64],
 }
 
-/// Answer of `GET /events`.
+/// Response of `GET /events`.
 #[derive(Debug, Serialize)]
 pub(super) struct EventsResponse<'a> {
     run: u64,
     events: Vec<EventEntry<'a>>,
 }
 
-/// Events of one run, numbered from 1. The first one says that the cache is empty.
+/// Events of one run, numbered from 1. The first one is `Cleared`, as a run begins with an empty
+/// cache.
 #[derive(Debug)]
 pub(super) struct EventLog {
     events: VecDeque<Event>,
@@ -63,7 +64,8 @@
         Self { events: VecDeque::from([first]), last_sequence: 1, gap_rate, rng }
     }
 
-    /// Adds an event. A lost one takes a number too, so that readers can notice the gap.
+    /// Appends an event, or loses it with probability `gap_rate`. A lost event takes a sequence
+    /// number too, so that readers can detect the gap.
     pub(super) fn push(&mut self, kind: EventKind, blocks: Vec<u64>, now: Instant) {
         if blocks.is_empty() && kind != EventKind::Cleared {
             return;
@@ -83,8 +85,8 @@
         });
     }
 
-    /// Events after a number that are old enough to be published. A number that this run has not
-    /// reached comes from a reader of an earlier run, which gets all events.
+    /// Returns the events after the sequence number `after` that are at least `delay` old. A number
+    /// beyond the last one comes from a reader of an earlier run, which gets all events.
     pub(super) fn events_after(
         &self,
         after: u64,
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A model engine: batching, prefix cache, cold starts, orders, cache events and load reports.
+//! Mock model engine: batching, prefix cache, cold starts, orders, cache events and load reports.
 
 mod batch;
 mod cache;
@@ -32,7 +32,7 @@
 /// Tokens in a block of the prefix cache.
 pub const BLOCK_TOKENS: u64 = 64;
 
-/// A stand-in model engine.
+/// A mock model engine.
 #[derive(Debug)]
 pub struct Engine {
     cfg: EngineConfig,
@@ -41,24 +41,25 @@
 }
 
 impl Engine {
-    /// Creates an engine. It is cold from now on.
+    /// Creates an engine and begins its first run, cold from this moment.
     pub fn new(cfg: EngineConfig) -> Self {
         let lifecycle = Lifecycle::new(cfg.lifecycle.clone());
         let run = Mutex::new(Arc::new(EngineRun::new(&cfg, &lifecycle.run())));
         Self { cfg, lifecycle, run }
     }
 
-    /// Serves on a socket until the task is ended.
+    /// Serves on a socket until the future is dropped. A crash begins the next run on the same
+    /// address.
     ///
     /// # Errors
     ///
-    /// Fails when the socket fails, and with [`Crashed`](crate::Crashed) when the engine crashes
-    /// and is set to end then.
+    /// Fails when the address cannot be bound again after a crash, and with
+    /// [`Crashed`](crate::Crashed) after a crash if `exit_on_crash` is set.
     pub async fn serve(self: Arc<Self>, socket: TcpListener) -> Result<()> {
         server::serve(self, socket, CancellationToken::new()).await
     }
 
-    /// What the engine has counted.
+    /// Returns the totals over all runs and the present load.
     pub fn counters(&self) -> Counters {
         let run = self.run();
         let state = run.lock();
@@ -71,18 +72,18 @@
         }
     }
 
-    /// Programs that the engine holds memory or streams for, sorted.
+    /// Returns the programs that have cached blocks, running calls or queued calls, sorted.
     pub fn held_programs(&self) -> Vec<Arc<str>> {
         self.run().lock().held_programs()
     }
 
-    /// Crashes the engine, as a call with the fault `crash` does.
+    /// Crashes the engine, like a call with the fault `crash`.
     pub fn crash(&self) {
         self.lifecycle.crash();
     }
 
     fn run(&self) -> Arc<EngineRun> {
-        self.run.lock().expect("no panic while locked").clone()
+        self.run.lock().expect("mutex is poisoned").clone()
     }
 
     fn get(&self, path: &str, query: Option<&str>) -> Response<ResponseBody> {
@@ -147,6 +148,6 @@
     fn begin_run(&self) {
         self.lifecycle.begin_run();
         let run = EngineRun::new(&self.cfg, &self.lifecycle.run());
-        *self.run.lock().expect("no panic while locked") = Arc::new(run);
+        *self.run.lock().expect("mutex is poisoned") = Arc::new(run);
     }
 }
--- a/crates/standin/src/engine/models.rs
+++ b/crates/standin/src/engine/models.rs
@@ -1,4 +1,4 @@
-//! Loaded models, and the store that their weights come from.
+//! Loaded models, and the store that their weights are loaded from.
 
 use std::{sync::Arc, sync::Mutex, time::Duration};
 
@@ -7,10 +7,10 @@
 
 use crate::config::{EngineConfig, ModelVersion};
 
-/// Longest time of one load, whatever its size and the rate.
+/// Upper bound of the duration of one load, whatever its size and the rate.
 const MAX_LOAD_SECONDS: f64 = 1e9;
 
-/// A store of weights with a limited rate, which engines share: loads follow one another.
+/// A weight store with a limited rate, which engines may share. Loads run one after another.
 #[derive(Debug)]
 pub struct WeightStore {
     bytes_per_second: u64,
@@ -18,16 +18,16 @@
 }
 
 impl WeightStore {
-    /// Creates a store. A rate of zero counts as one byte per second.
+    /// Creates a store with a rate in bytes per second. A rate of 0 counts as 1.
     pub fn new(bytes_per_second: u64) -> Self {
         Self { bytes_per_second: bytes_per_second.max(1), available_at: Mutex::new(None) }
     }
 
-    /// Reserves the store for a load and returns when it is complete.
+    /// Queues a load of `bytes` and returns the time at which it is complete.
     fn reserve(&self, bytes: u64, now: Instant) -> Instant {
         let time = bytes as f64 / self.bytes_per_second as f64;
         let time = Duration::from_secs_f64(time.min(MAX_LOAD_SECONDS));
-        let mut available_at = self.available_at.lock().expect("no panic while locked");
+        let mut available_at = self.available_at.lock().expect("mutex is poisoned");
         let done = available_at.map_or(now, |at| at.max(now)) + time;
         *available_at = Some(done);
         done
@@ -51,9 +51,9 @@
 /// Models of one run.
 #[derive(Debug)]
 pub(super) struct Models {
-    /// Whether any model is served, in its default version.
+    /// Whether a model that is not listed is served in the default version.
     serves_any: bool,
-    /// Sorted by model; one version of each.
+    /// Sorted by name, with one version of each model.
     models: Vec<Model>,
     weight_bytes: u64,
     store: Arc<WeightStore>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Version of a model that is loaded.
+    /// Returns the version in which a model is served, or `None` if it is not loaded.
     pub(super) fn version(&self, model: &str, now: Instant) -> Option<Arc<str>> {
         match self.find(model) {
             Ok(i) if self.models[i].loaded_at <= now => Some(self.models[i].id.version.clone()),
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Starts to load a model, unless it is loaded or loading. Another version takes its place.
+    /// Starts to load a model, unless this version is loaded or loading. Replaces any other version
+    /// of the model, which is not served from then on.
     pub(super) fn load(&mut self, id: ModelVersion, now: Instant) -> ModelState {
         let found = self.find(&id.model);
         if let Ok(i) = found
@@ -100,7 +101,7 @@
         state
     }
 
-    /// Unloads a model. An engine that served any model serves only loaded ones from then on.
+    /// Unloads a model. An engine that served every model serves only loaded ones from then on.
     pub(super) fn unload(&mut self, model: &str) {
         self.serves_any = false;
         self.models.retain(|m| *m.id.model != *model);
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders from control instances.
+//! Orders from control instances: releasing programs, loading models, setting roles.
 
 use std::sync::Arc;
 
@@ -33,12 +33,12 @@
     Role,
 }
 
-/// Highest order number seen for each subject, sorted by subject.
+/// Highest fencing number seen for each subject, sorted by subject.
 #[derive(Debug, Default)]
 pub(super) struct FencingNumbers(Vec<(String, u64)>);
 
 impl FencingNumbers {
-    /// Notes a number. False if a higher one was seen before.
+    /// Records a number. Returns false if a higher one was seen before.
     fn accept(&mut self, subject: String, number: u64) -> bool {
         match self.0.binary_search_by(|(s, _)| s.cmp(&subject)) {
             Ok(i) if number < self.0[i].1 => false,
@@ -55,7 +55,7 @@
 }
 
 impl Engine {
-    /// Carries out an order.
+    /// Answers `POST /orders`.
     pub(super) fn order(&self, body: &[u8]) -> Response<ResponseBody> {
         let order = match serde_json::from_slice::<Order>(body) {
             Ok(order) => order,
@@ -77,7 +77,8 @@
 }
 
 impl Order {
-    /// What the fencing numbers of the order are compared for.
+    /// Returns the subject within which fencing numbers are compared, or `None` if the field that
+    /// names it is missing or malformed.
     fn subject(&self) -> Option<String> {
         match self.kind {
             OrderKind::Release => self.program.as_ref().map(|p| format!("program {p}")),
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! What an engine holds in memory during one run.
+//! State of an engine during one run.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -18,7 +18,7 @@
     load::{Load, LoadHistory},
 };
 
-/// State of one run.
+/// State of one run, behind the lock of [`EngineRun`].
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) batch: Batch,
@@ -31,7 +31,8 @@
     pub(super) role: Option<Arc<str>>,
 }
 
-/// One run. Calls keep theirs until they end, also when the next one has begun.
+/// One run of an engine. A call keeps a reference to its run until it ends, even if the next run
+/// has begun.
 #[derive(Debug)]
 pub(super) struct EngineRun {
     pub(super) number: u64,
@@ -58,7 +59,7 @@
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic while locked")
+        self.state.lock().expect("mutex is poisoned")
     }
 }
 
@@ -74,7 +75,7 @@
         self.record_load(now);
     }
 
-    /// Stores the blocks of a prompt and publishes the changes.
+    /// Stores the blocks of a prompt and logs the changes of the cache as events.
     pub(super) fn store(&mut self, chain: &[u64], program: Option<&Arc<str>>, now: Instant) {
         let CacheChange { stored, removed } = self.cache.store(chain, program);
         self.events.push(EventKind::Removed, removed, now);
@@ -82,7 +83,7 @@
         self.record_load(now);
     }
 
-    /// Programs that memory or streams are held for.
+    /// Returns the programs that have cached blocks or calls, sorted.
     pub(super) fn held_programs(&self) -> Vec<Arc<str>> {
         let mut held: Vec<_> =
             self.cache.programs().chain(self.batch.programs()).cloned().collect();
@@ -91,8 +92,9 @@
         held
     }
 
-    /// Cancels the calls of a program and its descendants and frees their memory. With a claim,
-    /// only the call of that claim is cancelled, as the program goes on.
+    /// Cancels the calls of a program and its descendants, and drops their cache holds and exports.
+    /// With a claim, the program continues: only calls of that claim, or without a claim, are
+    /// cancelled.
     pub(super) fn release(&mut self, program: &str, claim: Option<u64>) {
         let matches = |name: &str| {
             name.strip_prefix(program).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
--- a/crates/standin/src/engine/transfer.rs
+++ b/crates/standin/src/engine/transfer.rs
@@ -1,7 +1,8 @@
-//! Export and import of a program's blocks by reference.
+//! Export and import of a program's cache blocks by reference.
 //!
-//! A reference names the exporting engine and its export. The importing engine fetches the blocks
-//! from there, so a reference dies with the exporter's run.
+//! A reference names the address, run and export id of the exporting engine. The importing engine
+//! fetches the blocks from there, so a reference is valid only during that run and until the
+//! program is released.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -17,7 +18,7 @@
 use super::Engine;
 use crate::server::{ResponseBody, error_response, json_response};
 
-/// Largest list of blocks that is imported.
+/// Maximum size of the response body with the blocks of an export.
 const MAX_IMPORT_BYTES: usize = 16 << 20;
 
 #[derive(Debug)]
@@ -137,7 +138,7 @@
         result = &mut exchange => result,
         ended = connection => {
             ended?;
-            // The whole answer may have arrived with the end of the connection.
+            // The complete response may have arrived before the connection closed.
             exchange.await
         }
     }
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a request asks for.
+//! Fault injection on request.
 
 use std::{
     future::{pending, ready},
@@ -13,36 +13,37 @@
 
 use crate::server::ResponseBody;
 
-/// Header that asks for a fault.
+/// Header that selects a fault.
 const FAULT_HEADER: &str = "x-standin-fault";
-/// A body with this text crashes the stand-in.
+/// A request body that contains this text crashes the endpoint.
 const CRASH_TEXT: &[u8] = b"crash-me";
-/// Frames of a streamed answer that arrive before it falls silent or ends.
+/// Frames of a streamed response that are sent before it hangs or ends.
 const FRAMES_BEFORE_CUT: usize = 2;
 
-/// What goes wrong with one request.
+/// A fault to inject into one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// All connections close without an answer, and new ones are refused for a while.
+    /// All connections close without a response, and new ones are refused until the next run.
     Crash,
-    /// There is never an answer.
+    /// No response is ever sent.
     Hang,
     /// All open connections stop responding; new ones work.
     Stall,
-    /// Head and first part of the body arrive, then nothing.
+    /// The head and the first part of the body are sent, then nothing.
     Silent,
-    /// The answer carries another request id.
+    /// The response carries the id of another request.
     Crossed,
     /// The body ends early.
     Truncate,
     /// The status is 500.
     Error,
-    /// The answer arrives after a further delay.
+    /// The response is sent after a further delay.
     Late(Duration),
 }
 
 impl Fault {
-    /// Reads what the head and body of a request ask for.
+    /// Returns the fault that the header or the body of a request selects. Fails with a message for
+    /// the caller if the header names an unknown fault.
     pub(crate) fn requested(headers: &HeaderMap, body: &[u8]) -> Result<Option<Self>, String> {
         if body.windows(CRASH_TEXT.len()).any(|w| w == CRASH_TEXT) {
             return Ok(Some(Self::Crash));
@@ -66,16 +67,19 @@
     }
 }
 
-/// What follows the first part of a body.
+/// What follows the first part of a cut body: no more data, or the end of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyCut {
     Hang,
     End,
 }
 
-/// Cuts the body of an answer. A body of known length keeps its `Content-Length`; a streamed one
-/// ends like a whole one, so that only the missing terminal frame gives it away. Behind a silent
-/// answer the call goes on, and an order can release it.
+/// Cuts the body of a response.
+///
+/// A body of known length is cut in half and keeps its `Content-Length`. A streamed body ends with
+/// a valid final chunk, so that only the missing `[DONE]` event shows the truncation. With
+/// [`BodyCut::Hang`], the call behind a streamed response continues, so that a release order can
+/// still end it.
 pub(crate) async fn cut_body(
     response: Response<ResponseBody>,
     cut: BodyCut,
@@ -103,8 +107,8 @@
     Response::from_parts(head, body)
 }
 
-/// Ends a body one step later. The server drops what it has not written when a body ends short of
-/// its length, so the first part must be written before.
+/// Returns an empty stream that ends only after yielding once. When a body ends short of its
+/// length, hyper drops what it has not written, so the first part must be written before the end.
 fn delayed_end() -> impl Stream<Item = Result<Frame<Bytes>, std::io::Error>> + Send {
     stream::once(tokio::task::yield_now()).filter_map(|()| ready(None))
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,14 +1,14 @@
-//! Stand-ins for endpoints, for tests and trials: a model engine and a plain service.
+//! Mock endpoints for tests and local trials: a model engine and a plain service.
 //!
-//! They offer the interface of an endpoint and its faults; they do not simulate a cluster. Requests
-//! ask for faults with the header `x-standin-fault`.
+//! A mock serves the HTTP interface of an endpoint and injects faults; it does not simulate a
+//! cluster. A request selects a fault with the header `x-standin-fault`.
 //!
 //! All state is in memory and belongs to one run. A crash or a restart begins the next run with
-//! empty state, except for the counters of [`Counters`] and the executions of a [`Service`], which
-//! stand for effects in the outside world.
+//! empty state. Only the totals in [`Counters`] and the execution counts of a [`Service`] are kept,
+//! because they model side effects that outlive the process.
 //!
 //! ```
-//! use poplarspan_standin::{ServiceConfig, MockEndpoint};
+//! use poplarspan_standin::{MockEndpoint, ServiceConfig};
 //!
 //! # #[tokio::main(flavor = "current_thread")]
 //! # async fn main() -> anyhow::Result<()> {
--- a/crates/standin/src/lifecycle.rs
+++ b/crates/standin/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The runs of a stand-in, and what is counted across them.
+//! Runs of a mock endpoint, and the totals that are kept across them.
 
 use std::{
     fmt,
@@ -14,41 +14,41 @@
 
 use crate::{config::LifecycleConfig, stall::StallFlag};
 
-/// The stand-in crashed and is set to end then.
+/// Error of `serve` after a crash, if `exit_on_crash` is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crashed;
 
 impl fmt::Display for Crashed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the stand-in crashed")
+        f.write_str("the mock endpoint crashed")
     }
 }
 
 impl std::error::Error for Crashed {}
 
-/// What a stand-in has counted since it was created, over all runs.
+/// Totals of a mock endpoint over all runs, and its present load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Number of the present run.
     pub run: u64,
-    /// Crashes.
+    /// Crashes, over all runs.
     pub crashes: u64,
-    /// Calls that were started.
+    /// Calls whose execution was started, over all runs.
     pub executions: u64,
-    /// Calls that ended before their answer was complete: the caller closed the connection, an
-    /// order released the program, or the stand-in crashed.
+    /// Calls that ended before their response was complete, over all runs: the caller closed the
+    /// connection, an order released the program, or the endpoint crashed.
     pub cancelled: u64,
-    /// Tokens generated.
+    /// Tokens generated, over all runs. Always 0 for a service.
     pub tokens: u64,
-    /// Calls running now.
+    /// Calls that run at present.
     pub running: u32,
-    /// Calls waiting now.
+    /// Calls in the queue at present. Always 0 for a service.
     pub queued: u32,
-    /// Programs that memory or streams are held for now.
+    /// Programs that have cached blocks or calls at present. Always 0 for a service.
     pub held_programs: usize,
 }
 
-/// Totals behind [`Counters`].
+/// The totals of [`Counters`].
 #[derive(Debug, Default)]
 pub(crate) struct Totals {
     pub(crate) crashes: AtomicU64,
@@ -73,7 +73,7 @@
     }
 }
 
-/// One run, from a start to a crash or a stop.
+/// One run, from its start to a crash or a stop.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) number: u64,
@@ -82,13 +82,13 @@
     pub(crate) crashed: CancellationToken,
 }
 
-/// The present run.
+/// The present run of an endpoint, and what outlives it.
 #[derive(Debug)]
 pub(crate) struct Lifecycle {
     pub(crate) cfg: LifecycleConfig,
     pub(crate) totals: Totals,
     run: Mutex<Run>,
-    /// Flag of the connections opened since the last stall.
+    /// Flag shared by the connections that were opened since the last stall.
     stall_flag: Mutex<StallFlag>,
     address: OnceLock<SocketAddr>,
 }
@@ -110,33 +110,32 @@
     }
 
     pub(crate) fn run(&self) -> Run {
-        self.run.lock().expect("no panic while locked").clone()
+        self.run.lock().expect("mutex is poisoned").clone()
     }
 
-    /// Ends the present run: all connections are closed without an answer.
+    /// Ends the present run: all connections are closed without a response.
     pub(crate) fn crash(&self) {
         let run = self.run();
         if !run.crashed.is_cancelled() {
-            log::warn!(run = run.number; "stand-in crashes");
+            log::warn!(run = run.number; "mock endpoint crashed");
             Totals::add(&self.totals.crashes);
             run.crashed.cancel();
         }
     }
 
-    /// Flag of a new connection.
+    /// Returns the stall flag for a new connection.
     pub(crate) fn stall_flag(&self) -> StallFlag {
-        self.stall_flag.lock().expect("no panic while locked").clone()
+        self.stall_flag.lock().expect("mutex is poisoned").clone()
     }
 
-    /// Makes all open connections stop responding. New ones work.
+    /// Makes all open connections stop responding. New ones are not affected.
     pub(crate) fn stall(&self) {
-        let stall_flag =
-            std::mem::take(&mut *self.stall_flag.lock().expect("no panic while locked"));
+        let stall_flag = std::mem::take(&mut *self.stall_flag.lock().expect("mutex is poisoned"));
         stall_flag.store(true, Ordering::Relaxed);
     }
 
     pub(crate) fn begin_run(&self) {
-        let mut run = self.run.lock().expect("no panic while locked");
+        let mut run = self.run.lock().expect("mutex is poisoned");
         *run = Run {
             number: run.number + 1,
             started: Instant::now(),
@@ -144,13 +143,13 @@
         };
     }
 
-    /// Address that the stand-in serves at, once it does.
+    /// Returns the address that the endpoint serves on, or `None` before it serves.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         self.address.get().copied()
     }
 
     pub(crate) fn set_address(&self, address: SocketAddr) {
-        // A stand-in keeps its address over all runs.
+        // The address is the same in all runs, so a second call has nothing to change.
         let _ = self.address.set(address);
     }
 }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,11 +1,11 @@
-//! Load reports with a lag.
+//! Load reports that lag behind the present load.
 
 use std::{collections::VecDeque, time::Duration};
 
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// Figures of a load report.
+/// Load of an endpoint at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub(crate) running: u32,
@@ -13,7 +13,7 @@
     pub(crate) cache_blocks: u32,
 }
 
-/// Answer of `GET /load`.
+/// Response of `GET /load`.
 #[derive(Debug, Serialize)]
 pub(crate) struct LoadReport {
     run: u64,
@@ -24,7 +24,7 @@
     cache_blocks: u32,
 }
 
-/// Load of the last while, for reports about a moment that has passed.
+/// Recent load samples, from which the load of `lag` ago is reported.
 #[derive(Debug)]
 pub(crate) struct LoadHistory {
     started: Instant,
@@ -37,17 +37,17 @@
         Self { started, lag, samples: VecDeque::from([(started, Load::default())]) }
     }
 
-    /// Notes a change of the load.
+    /// Records a change of the load.
     pub(crate) fn record(&mut self, now: Instant, load: Load) {
         self.samples.push_back((now, load));
         let reported_at = self.reported_at(now);
-        // The first sample that is kept is the one in force at the reported moment.
+        // The first sample kept is the last one at or before the reported moment.
         while self.samples.get(1).is_some_and(|(at, _)| *at <= reported_at) {
             self.samples.pop_front();
         }
     }
 
-    /// Reports the load of `lag` ago, or of the start if that is later.
+    /// Reports the load of `lag` ago, or of the start of the run if that is later.
     pub(crate) fn report(&self, run: u64, now: Instant) -> LoadReport {
         let reported_at = self.reported_at(now);
         let next = self.samples.partition_point(|(at, _)| *at <= reported_at);
@@ -62,12 +62,13 @@
         }
     }
 
+    /// Returns the moment that a report made now describes.
     fn reported_at(&self, now: Instant) -> Instant {
         now.checked_sub(self.lag).map_or(self.started, |at| at.max(self.started))
     }
 }
 
-/// Whole milliseconds.
+/// Returns the whole milliseconds of a duration.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/standin/src/mock_endpoint.rs
+++ b/crates/standin/src/mock_endpoint.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that a test starts, stops and restarts inside its own process.
+//! Mock endpoints that a test starts, stops and restarts in its own process.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -17,7 +17,7 @@
     service::Service,
 };
 
-/// Settings of either kind.
+/// Settings of a mock endpoint of either kind.
 #[derive(Clone, Debug)]
 pub enum MockEndpointConfig {
     /// A model engine.
@@ -44,7 +44,7 @@
     Service(Arc<Service>),
 }
 
-/// A stand-in that serves in the background until it is stopped or dropped.
+/// A mock endpoint that serves in a background task until it is stopped or dropped.
 #[derive(Debug)]
 pub struct MockEndpoint {
     address: SocketAddr,
@@ -54,11 +54,12 @@
 }
 
 impl MockEndpoint {
-    /// Starts a stand-in on a free port of the loopback interface.
+    /// Starts an endpoint on a free port of the loopback interface. Must be called within a Tokio
+    /// runtime.
     ///
     /// # Errors
     ///
-    /// Fails when no port is free.
+    /// Fails when no port can be bound.
     pub async fn start(cfg: impl Into<MockEndpointConfig>) -> Result<Self> {
         let inner = match cfg.into() {
             MockEndpointConfig::Engine(cfg) => Inner::Engine(Arc::new(Engine::new(cfg))),
@@ -71,12 +72,12 @@
         Ok(endpoint)
     }
 
-    /// Address that it serves at, the same after a restart.
+    /// Returns the address that the endpoint serves on. It stays the same after a restart.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The engine, if it is one.
+    /// Returns the engine, or `None` if the endpoint is a service.
     pub fn engine(&self) -> Option<&Arc<Engine>> {
         match &self.inner {
             Inner::Engine(engine) => Some(engine),
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The service, if it is one.
+    /// Returns the service, or `None` if the endpoint is an engine.
     pub fn service(&self) -> Option<&Arc<Service>> {
         match &self.inner {
             Inner::Engine(_) => None,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// What it has counted over all runs.
+    /// Returns the totals over all runs and the present load.
     pub fn counters(&self) -> Counters {
         match &self.inner {
             Inner::Engine(engine) => engine.counters(),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Makes all open connections stop responding, without closing them. New ones work.
+    /// Makes all open connections stop responding without closing them. New ones are not affected.
     pub fn stall(&self) {
         match &self.inner {
             Inner::Engine(engine) => engine.lifecycle().stall(),
@@ -108,27 +109,27 @@
         }
     }
 
-    /// Closes all connections without an answer and refuses new ones from now on.
+    /// Closes all connections without a response and refuses new ones until [`Self::restart`].
     ///
     /// # Errors
     ///
-    /// Fails when the stand-in had failed before.
+    /// Fails when the background task failed earlier.
     pub async fn stop(&mut self) -> Result<()> {
         self.stop.cancel();
         match self.task.take() {
-            Some(task) => task.await.context("the stand-in panicked")?,
+            Some(task) => task.await.context("the mock endpoint panicked")?,
             None => Ok(()),
         }
     }
 
-    /// Stops, if it is not stopped yet, and begins the next run at the same address.
+    /// Stops the endpoint unless it is stopped, and begins the next run on the same address.
     ///
     /// # Errors
     ///
-    /// Fails when the address has been taken by another process.
+    /// Fails when the address cannot be bound, for instance because another process uses it.
     pub async fn restart(&mut self) -> Result<()> {
         if let Err(e) = self.stop().await {
-            log::debug!("the former run ended: {e}");
+            log::debug!("the previous run failed: {e}");
         }
         match &self.inner {
             Inner::Engine(engine) => engine.begin_run(),
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 server that both stand-ins share, with their faults, crashes and restarts.
+//! HTTP/1.1 server of the mock endpoints, with faults, crashes and restarts.
 
 use std::{convert::Infallible, future::pending, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,36 +23,36 @@
     stall::StallingStream,
 };
 
-/// Body of an answer.
 pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Largest body of a request.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 64 << 20;
 const REQUEST_ID_HEADER: &str = "x-request-id";
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 const BIND_ATTEMPTS: u32 = 200;
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Answers requests.
+/// A mock endpoint that [`serve`] runs.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Whether a request is executed before a fault keeps its answer back. The effect then exists
-    /// although the caller cannot know, which is the harder case for it.
+    /// Whether a request is executed before a fault withholds its response. The side effect then
+    /// happens without the caller knowing, which is the harder case to handle.
     const EXECUTES_BEFORE_FAULT: bool;
 
-    /// Answers one request.
+    /// Returns the response to one request.
     fn handle(
         self: Arc<Self>,
         request: Request<Bytes>,
     ) -> BoxFuture<'static, Response<ResponseBody>>;
 
-    /// The runs of the stand-in.
+    /// Returns the present run and the totals.
     fn lifecycle(&self) -> &Lifecycle;
 
-    /// Begins the next run, without what the former one held in memory.
+    /// Begins the next run with empty state.
     fn begin_run(&self);
 }
 
-/// Serves a handler on a socket until `stop` is cancelled, over all crashes.
+/// Serves a handler on a socket until `stop` is cancelled. After a crash, it begins the next run on
+/// the same address, or fails with [`Crashed`] if `exit_on_crash` is set.
 pub(crate) async fn serve<H: Handler>(
     handler: Arc<H>,
     mut socket: TcpListener,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Binds an address that a former run may have left a moment ago.
+/// Binds an address, with retries while it is still in use by the previous run.
 pub(crate) async fn bind(address: SocketAddr) -> Result<TcpListener> {
     for _ in 1..BIND_ATTEMPTS {
         match TcpListener::bind(address).await {
@@ -106,7 +106,7 @@
                     connections.spawn(serve_connection(handler.clone(), stream));
                 }
                 Err(e) => {
-                    log::warn!("cannot accept a connection: {e}");
+                    log::warn!("cannot accept a connection: {e}; retrying");
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
@@ -117,7 +117,7 @@
 
 async fn serve_connection<H: Handler>(handler: Arc<H>, stream: TcpStream) {
     if let Err(e) = stream.set_nodelay(true) {
-        log::debug!("cannot disable the delay of small packets: {e}");
+        log::debug!("cannot set TCP_NODELAY: {e}");
     }
     let stall_flag = handler.lifecycle().stall_flag();
     let service = service_fn(move |request: Request<Incoming>| {
@@ -128,11 +128,11 @@
         .serve_connection(TokioIo::new(StallingStream::new(stream, stall_flag)), service)
         .await;
     if let Err(e) = served {
-        log::debug!("connection ended: {e}");
+        log::debug!("connection failed: {e}");
     }
 }
 
-/// Answers a request with the fault that it asks for.
+/// Responds to a request, with the fault that it selects.
 async fn respond<H: Handler>(
     handler: Arc<H>,
     request: Request<Incoming>,
@@ -178,9 +178,9 @@
     response
 }
 
-/// Builds a JSON answer.
+/// Builds a JSON response.
 pub(crate) fn json_response(status: StatusCode, value: &impl Serialize) -> Response<ResponseBody> {
-    let buf = serde_json::to_vec(value).expect("answers have string keys only");
+    let buf = serde_json::to_vec(value).expect("responses have only string keys");
     let body = Full::new(Bytes::from(buf)).map_err(|e| match e {}).boxed_unsync();
     let mut response = Response::new(body);
     *response.status_mut() = status;
@@ -189,7 +189,7 @@
     response
 }
 
-/// Builds the answer of a request that cannot be served.
+/// Builds a JSON response with an error message.
 pub(crate) fn error_response(status: StatusCode, message: &str) -> Response<ResponseBody> {
     json_response(status, &json!({"error": message}))
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each request ran.
+//! Mock service that counts how often each request was executed.
 
 use std::sync::{Arc, Mutex};
 
@@ -18,14 +18,14 @@
     server::{self, Handler, ResponseBody},
 };
 
-/// Executions under one name.
+/// Number of executions with one key or body.
 #[derive(Clone, Debug, Serialize)]
 struct ExecutionCount {
     key: Arc<str>,
     executions: u64,
 }
 
-/// Counts, sorted by key.
+/// Execution counts, sorted by key.
 #[derive(Debug, Default)]
 struct ExecutionCounts(Vec<ExecutionCount>);
 
@@ -55,7 +55,7 @@
     load_history: LoadHistory,
 }
 
-/// A stand-in service. Executions are counted over all runs, as effects outlive a crash.
+/// A mock service. Executions are counted over all runs, as side effects outlive a crash.
 #[derive(Debug)]
 pub struct Service {
     cfg: ServiceConfig,
@@ -70,7 +70,7 @@
 }
 
 impl Service {
-    /// Creates a service.
+    /// Creates a service and begins its first run.
     pub fn new(cfg: ServiceConfig) -> Self {
         let lifecycle = Lifecycle::new(cfg.lifecycle.clone());
         let load_history = LoadHistory::new(lifecycle.run().started, cfg.lifecycle.load_lag);
@@ -83,34 +83,36 @@
         Self { cfg, lifecycle, state: Mutex::new(state) }
     }
 
-    /// Serves on a socket until the task is ended.
+    /// Serves on a socket until the future is dropped. A crash begins the next run on the same
+    /// address.
     ///
     /// # Errors
     ///
-    /// Fails when the socket fails, and with [`Crashed`](crate::Crashed) when the service crashes
-    /// and is set to end then.
+    /// Fails when the address cannot be bound again after a crash, and with
+    /// [`Crashed`](crate::Crashed) after a crash if `exit_on_crash` is set.
     pub async fn serve(self: Arc<Self>, socket: TcpListener) -> Result<()> {
         server::serve(self, socket, CancellationToken::new()).await
     }
 
-    /// Executions under an idempotency key.
+    /// Returns the number of executions with an idempotency key. Requests without one count under
+    /// the empty key.
     pub fn executions(&self, key: &str) -> u64 {
         self.lock().by_key.get(key)
     }
 
-    /// Executions with a body.
+    /// Returns the number of executions with a request body.
     pub fn executions_with_body(&self, body: &str) -> u64 {
         self.lock().by_body.get(body)
     }
 
-    /// What the service has counted.
+    /// Returns the totals over all runs and the present load.
     pub fn counters(&self) -> Counters {
         let run = self.lifecycle.run().number;
         Counters { run, running: self.lock().running, ..self.lifecycle.totals.counters() }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
-        self.state.lock().expect("no panic while locked")
+        self.state.lock().expect("mutex is poisoned")
     }
 
     async fn execute(self: Arc<Self>, key: &str, body: &str) -> Response<ResponseBody> {
@@ -126,7 +128,7 @@
     }
 }
 
-/// A request in execution. Counts as cancelled if it is dropped before it is complete.
+/// A request in execution. It counts as cancelled if it is dropped before it is complete.
 struct Execution {
     service: Arc<Service>,
     run: u64,
--- a/crates/standin/src/stall.rs
+++ b/crates/standin/src/stall.rs
@@ -1,4 +1,4 @@
-//! Connections that stop responding while the process lives and accepts new ones.
+//! Connections that stop responding while the process keeps running and accepts new ones.
 
 use std::{
     io,
@@ -15,11 +15,11 @@
     net::TcpStream,
 };
 
-/// Set when the connections that share it have stopped responding.
+/// Shared by a group of connections; true once they have stopped responding.
 pub(crate) type StallFlag = Arc<AtomicBool>;
 
-/// A connection that, once stalled, reads nothing and loses what it writes. The calls on it go on
-/// and end as if their answers were sent.
+/// A connection that, once stalled, reads nothing and discards what is written. Calls on it
+/// continue and end as if their responses had been sent.
 #[derive(Debug)]
 pub(crate) struct StallingStream {
     stream: TcpStream,
@@ -43,7 +43,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.is_stalled() {
-            // Nothing wakes the task, as a stalled connection stays so.
+            // No waker is registered, as a stalled connection never recovers.
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
--- a/crates/standin/tests/call_batching.rs
+++ b/crates/standin/tests/call_batching.rs
@@ -1,4 +1,4 @@
-//! Calls of an engine: pace, queue, priorities, cancellation.
+//! Calls of an engine: token rate, queue, priorities and cancellation.
 
 mod common;
 
@@ -14,7 +14,7 @@
     json!({"model": "m", "max_tokens": tokens, "messages": [{"role": "user", "content": "hi"}]})
 }
 
-/// Guards against an answer without usage, which budgets are settled by.
+/// A response without its usage could not be charged to a token budget.
 #[tokio::test(start_paused = true)]
 async fn full_response_includes_usage() {
     let engine = start_engine(|e| e).await;
@@ -28,7 +28,7 @@
     assert_eq!(engine.counters().tokens, 3);
 }
 
-/// Guards against a stream without its terminal frame, or with the usage after it.
+/// A stream ends with `[DONE]`, and its usage comes before that.
 #[tokio::test(start_paused = true)]
 async fn stream_ends_with_done() {
     let engine = start_engine(|e| e).await;
@@ -41,7 +41,7 @@
     assert_eq!(events[3], "data: [DONE]");
 }
 
-/// Guards against a pace that does not depend on the number of running calls.
+/// Each running call adds to the time per token of the others.
 #[tokio::test(start_paused = true)]
 async fn tokens_slow_down_with_the_batch() {
     let engine = start_engine(|e| e.token_interval_per_call(Duration::from_secs(1))).await;
@@ -56,7 +56,7 @@
     assert!(start.elapsed() >= alone + Duration::from_secs(8), "{:?}", start.elapsed());
 }
 
-/// Guards against an unbounded queue, and against a refusal without a time to come back.
+/// Guards against an unbounded queue, and against a 503 without `Retry-After`.
 #[tokio::test(start_paused = true)]
 async fn full_queue_is_refused() {
     let engine = start_engine(|e| e.capacity(1).max_queue(1)).await;
@@ -75,7 +75,7 @@
     assert_eq!(engine.counters().executions, 2);
 }
 
-/// Guards against a queue that is served in order of arrival only.
+/// Guards against a queue that ignores priorities and runs calls in order of arrival.
 #[tokio::test(start_paused = true)]
 async fn lower_priority_numbers_run_first() {
     let engine = start_engine(|e| e.capacity(1)).await;
@@ -96,7 +96,7 @@
     drop(running);
 }
 
-/// Guards against work for callers that have closed their connection.
+/// Guards against running or queued calls that continue after the caller closes its connection.
 #[tokio::test(start_paused = true)]
 async fn closed_connections_free_their_place() {
     let engine = start_engine(|e| e.capacity(1)).await;
@@ -106,7 +106,7 @@
     {
         let queued = send(&engine, Method::POST, "/v1/chat/completions", &[], &body);
         tokio::select! {
-            _ = queued => panic!("the call does not run yet"),
+            _ = queued => panic!("the queued call got a response"),
             () = wait_until("one call waits", || engine.counters().queued == 1) => {}
         }
     }
--- a/crates/standin/tests/cold_start.rs
+++ b/crates/standin/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! Cold engines: slowdown, crash, restart.
+//! Cold engines: slowdown, crashes and restarts.
 
 mod common;
 
@@ -22,7 +22,7 @@
     start.elapsed()
 }
 
-/// Guards against a cold engine that is as fast as a warm one, and one that stays cold.
+/// A cold engine with too many calls is slower than a warm one, and is warm after the ramp.
 #[tokio::test(start_paused = true)]
 async fn cold_engines_slow_down() {
     let engine = start_engine(|e| e.cold_capacity(Some(1)).cold_slowdown(5.0).ramp(RAMP)).await;
@@ -32,7 +32,7 @@
     assert!(cold > warm * 3, "cold {cold:?}, warm {warm:?}");
 }
 
-/// Guards against a linear ramp that does not grow, or grows at once.
+/// Guards against a linear ramp that stays at the cold capacity, or ends at once.
 #[tokio::test(start_paused = true)]
 async fn linear_ramps_grow() {
     let start = || {
@@ -48,7 +48,8 @@
     assert!(early > late * 3, "early {early:?}, late {late:?}");
 }
 
-/// Guards against a crash that leaves connections, memory, the run number or the cache behind.
+/// A crash closes all connections and refuses new ones, and the next run has a new number and an
+/// empty cache.
 #[tokio::test(start_paused = true)]
 async fn too_many_calls_crash_a_cold_engine() {
     let mut engine = start_engine(|e| {
@@ -63,7 +64,7 @@
     assert!(start_stream(&engine, &[], 1).await.is_err());
     assert!(read_response(first).await.is_err());
     assert!(read_response(second).await.is_err());
-    assert!(start_stream(&engine, &[], 1).await.is_err(), "refuses connections");
+    assert!(start_stream(&engine, &[], 1).await.is_err(), "the crashed engine accepts connections");
     wait_until("the next run", || engine.counters().run == 41).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let load = get(&engine, "/load").await.json();
@@ -76,7 +77,8 @@
     engine.stop().await.unwrap();
 }
 
-/// Guards against event numbers of a new run that readers of the former run never get to see.
+/// Event numbers restart at 1 with a run. A reader that asks for events after a number of the
+/// previous run must get all events of the new one.
 #[tokio::test(start_paused = true)]
 async fn restarts_clear_the_cache_for_readers() {
     let mut engine = start_engine(|e| e).await;
@@ -89,7 +91,7 @@
     assert_eq!(answer["events"][0]["kind"], "cleared");
 }
 
-/// Guards against a crash that a process set to end with it survives.
+/// With `exit_on_crash`, `serve` returns an error after a crash instead of beginning the next run.
 #[tokio::test]
 async fn crash_ends_serve_if_set() {
     let cfg = EngineConfig::builder().exit_on_crash(true).build().unwrap();
@@ -100,7 +102,7 @@
     assert!(served.await.unwrap().unwrap_err().is::<Crashed>());
 }
 
-/// Guards against settings out of range that only show at run time.
+/// Settings that are out of range fail in `build`, not at run time.
 #[test]
 fn settings_are_checked() {
     let rejected: [Result<EngineConfig, ConfigError>; 7] = [
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Client of the stand-ins for tests.
+//! HTTP client and helpers for the tests of the mock endpoints.
 
 #![allow(dead_code)]
 
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 use tokio::net::TcpStream;
 
-/// A whole answer.
+/// A response with its complete body.
 #[derive(Debug)]
 pub struct FullResponse {
     pub status: StatusCode,
@@ -24,15 +24,15 @@
 
 impl FullResponse {
     pub fn json(&self) -> Value {
-        serde_json::from_slice(&self.body).expect("the answer is JSON")
+        serde_json::from_slice(&self.body).expect("the body is not JSON")
     }
 
     pub fn text(&self) -> &str {
-        std::str::from_utf8(&self.body).expect("the answer is text")
+        std::str::from_utf8(&self.body).expect("the body is not UTF-8")
     }
 }
 
-/// Sends a request on a connection of its own and returns when the head of the answer arrives.
+/// Sends a request on a new connection and returns when the head of the response arrives.
 pub async fn send(
     endpoint: &MockEndpoint,
     method: Method,
@@ -59,8 +59,9 @@
 }
 
 pub async fn get(endpoint: &MockEndpoint, path: &str) -> FullResponse {
-    let response = send(endpoint, Method::GET, path, &[], "").await.expect("an answer");
-    read_response(response).await.expect("a whole answer")
+    let response =
+        send(endpoint, Method::GET, path, &[], "").await.expect("cannot send the request");
+    read_response(response).await.expect("cannot read the response")
 }
 
 pub async fn post(
@@ -81,7 +82,7 @@
     post(endpoint, "/v1/chat/completions", headers, body).await
 }
 
-/// Opens a streamed call whose answer the test does not read yet.
+/// Sends a streamed call and returns when the head of the response arrives, with the body unread.
 pub async fn start_stream(
     endpoint: &MockEndpoint,
     headers: &[(&str, &str)],
@@ -91,7 +92,7 @@
     send(endpoint, Method::POST, "/v1/chat/completions", headers, &body.to_string()).await
 }
 
-/// Waits, by the paused clock, for a condition that other tasks bring about.
+/// Polls a condition every 10 ms of the paused clock, and panics after 10,000 attempts.
 pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..10_000 {
         if condition() {
@@ -99,10 +100,11 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("never: {what}");
+    panic!("condition not met: {what}");
 }
 
-/// Starts an engine with settings on top of a slow, even pace: 1 s per token, no prefill.
+/// Starts an engine that generates one token per second, whatever the load, and has no prefill
+/// time. `configure` may change these settings.
 pub async fn start_engine(
     configure: impl FnOnce(EngineConfigBuilder) -> EngineConfigBuilder,
 ) -> MockEndpoint {
@@ -110,13 +112,16 @@
         .token_interval(Duration::from_secs(1))
         .token_interval_per_call(Duration::ZERO)
         .prefill_per_token(Duration::ZERO);
-    MockEndpoint::start(configure(cfg).build().expect("valid settings")).await.expect("a free port")
+    MockEndpoint::start(configure(cfg).build().expect("invalid settings"))
+        .await
+        .expect("cannot start the engine")
 }
 
-/// A prompt of `blocks` whole cache blocks.
+/// Returns a call whose prompt fills `blocks` cache blocks of 256 bytes exactly.
 pub fn prompt(text: &str, blocks: usize) -> Value {
     let bytes = text.repeat(blocks * 256).into_bytes();
-    // The quotes of the JSON text count too.
-    let text = String::from_utf8(bytes[..blocks * 256 - 2].to_vec()).expect("ASCII");
+    // The two quotes of the JSON string count as prompt bytes.
+    let text =
+        String::from_utf8(bytes[..blocks * 256 - 2].to_vec()).expect("the text is not ASCII");
     json!({"model": "m", "max_tokens": 1, "messages": [text]})
 }
--- a/crates/standin/tests/execution_counts.rs
+++ b/crates/standin/tests/execution_counts.rs
@@ -1,4 +1,4 @@
-//! Executions of the plain service, and load reports.
+//! Execution counts of the service, and load reports.
 
 mod common;
 
@@ -14,7 +14,7 @@
     MockEndpoint::start(cfg.build().unwrap()).await.unwrap()
 }
 
-/// Guards against executions that are missed or counted under the wrong key.
+/// Guards against executions that are not counted, or counted under the wrong key or body.
 #[tokio::test(start_paused = true)]
 async fn executions_are_counted_by_key_and_body() {
     let service = start_service(Duration::ZERO).await;
@@ -39,7 +39,7 @@
     assert_eq!(service.counters().executions, 4);
 }
 
-/// Guards against an execution that a fault, a crash or a gone caller hides from the count.
+/// An execution counts even if a fault, a crash or a disconnected caller prevents its response.
 #[tokio::test(start_paused = true)]
 async fn executions_count_without_an_answer() {
     let service = start_service(Duration::from_secs(10)).await;
@@ -50,7 +50,7 @@
     };
     assert_eq!(send("error").await.unwrap().status(), 500);
     tokio::select! {
-        _ = send("hang") => panic!("a hanging call has no answer"),
+        _ = send("hang") => panic!("a hanging call got a response"),
         () = wait_until("the call runs", || service.counters().running == 1) => {}
     }
     wait_until("the caller has gone", || service.counters().running == 0).await;
@@ -60,7 +60,8 @@
     assert_eq!(service.service().unwrap().executions("k"), 3);
 }
 
-/// Guards against reports of the present load, which would hide herding on stale reports.
+/// Guards against reports of the present load. With those, tests could not show that a scheduler
+/// sends too many calls to one endpoint because its reports are stale.
 #[tokio::test(start_paused = true)]
 async fn load_reports_lag() {
     let engine = start_engine(|e| e.capacity(1).load_lag(Duration::from_secs(20))).await;
@@ -77,7 +78,8 @@
     drop(running);
 }
 
-/// Guards against a stopped stand-in that still answers, and a restart at another address.
+/// Guards against a stopped endpoint that still accepts connections, and against a restart on
+/// another address.
 #[tokio::test(start_paused = true)]
 async fn stop_and_restart_keep_the_address() {
     let mut service = start_service(Duration::ZERO).await;
--- a/crates/standin/tests/prefix_cache.rs
+++ b/crates/standin/tests/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of an engine and its events.
+//! Prefix cache of an engine, and its events.
 
 mod common;
 
@@ -25,8 +25,8 @@
     events.flat_map(|e| e["blocks"].as_array().unwrap()).map(|b| b.as_u64().unwrap()).collect()
 }
 
-/// Guards against hashes that differ from those of the scheduler, which would make every cache
-/// event useless to it.
+/// Guards against block hashes that differ from those of the scheduler, which could then match no
+/// cache event to a prompt.
 #[tokio::test(start_paused = true)]
 async fn block_hashes_agree_with_the_policy() {
     let engine = start_engine(|e| e.models(vec!["m@7".parse().unwrap()])).await;
@@ -43,7 +43,7 @@
     assert_eq!(blocks(&events(&engine, 0).await, "stored"), chain.blocks());
 }
 
-/// Guards against prefill that costs the same for a cached prompt.
+/// Cached tokens take no prefill time. Another model does not share the cached prompt.
 #[tokio::test(start_paused = true)]
 async fn cached_prompts_skip_prefill() {
     let engine = start_engine(|e| e.prefill_per_token(Duration::from_secs(1))).await;
@@ -60,7 +60,7 @@
     );
 }
 
-/// Guards against a cache without a limit, and against eviction of what was used last.
+/// The cache stays within its limit and evicts the least recently used blocks.
 #[tokio::test(start_paused = true)]
 async fn least_recently_used_blocks_are_evicted() {
     let engine = start_engine(|e| e.cache_blocks(4)).await;
@@ -79,7 +79,7 @@
     assert_eq!(cached_tokens(&engine, &[], &prompt("b", 2)).await, 0);
 }
 
-/// Guards against eviction of what a program holds while other memory is free to take.
+/// Guards against the eviction of blocks that a program holds while blocks without a holder remain.
 #[tokio::test(start_paused = true)]
 async fn held_blocks_outlast_others() {
     let engine = start_engine(|e| e.cache_blocks(4)).await;
@@ -91,7 +91,7 @@
     assert_eq!(cached_tokens(&engine, &program, &prompt("a", 2)).await, 128);
 }
 
-/// Guards against events that are visible at once, and against a wrong age.
+/// Guards against events that are published before `event_delay`, and against a wrong age.
 #[tokio::test(start_paused = true)]
 async fn events_are_delayed() {
     let engine = start_engine(|e| e.event_delay(Duration::from_secs(20))).await;
@@ -105,8 +105,8 @@
     assert!(events(&engine, 2).await.is_empty());
 }
 
-/// Guards against gaps that leave no trace in the numbers, and against runs that a seed does not
-/// determine.
+/// A lost event leaves a gap in the sequence numbers, and the seed determines which events are
+/// lost.
 #[tokio::test(start_paused = true)]
 async fn gaps_skip_numbers() {
     let mut seen = Vec::new();
--- a/crates/standin/tests/release_orders.rs
+++ b/crates/standin/tests/release_orders.rs
@@ -1,4 +1,4 @@
-//! Orders: release, fencing, models and roles.
+//! Orders: releases, fencing, models, roles and transfers between engines.
 
 mod common;
 
@@ -18,7 +18,8 @@
     json!({"kind": "release", "fencing": fencing, "program": program, "claim": claim, "team": "t"})
 }
 
-/// Guards against a release that leaves sub-agents behind, or takes programs of similar names.
+/// Guards against a release that misses child programs, or includes a program whose name only
+/// starts with the same text.
 #[tokio::test(start_paused = true)]
 async fn release_frees_a_program_and_its_descendants() {
     let engine = start_engine(|e| e).await;
@@ -32,8 +33,8 @@
     assert_eq!(engine.counters().held_programs, 2);
 }
 
-/// Guards against streams that go on for a program that has ended, and against a broken stream
-/// that looks whole.
+/// Guards against calls that continue after their program is released, and against a cancelled
+/// stream that looks complete.
 #[tokio::test(start_paused = true)]
 async fn release_cancels_streams_and_waiting_calls() {
     let engine = start_engine(|e| e.capacity(1)).await;
@@ -52,7 +53,7 @@
     assert_eq!(engine.counters().cancelled, 2);
 }
 
-/// Guards against a release of one claim that ends the stream of a later one.
+/// Guards against the release of one claim ending the stream of a later one.
 #[tokio::test(start_paused = true)]
 async fn release_of_a_claim_spares_other_claims() {
     let engine = start_engine(|e| e).await;
@@ -62,11 +63,15 @@
     assert_eq!(order(&engine, release("t/p", 1, Some(4))).await, StatusCode::OK);
     assert!(read_response(first).await.is_err());
     assert!(read_response(second).await.is_ok());
-    assert_eq!(engine.engine().unwrap().held_programs(), ["t/p".into()], "the program goes on");
+    assert_eq!(
+        engine.engine().unwrap().held_programs(),
+        ["t/p".into()],
+        "the program is no longer held"
+    );
 }
 
-/// Guards against a checking engine that obeys a stale order, and against numbers that are
-/// compared between different programs.
+/// Guards against an engine with [`Fencing::Check`] that executes a stale order, and against
+/// fencing numbers that are compared across programs.
 #[tokio::test(start_paused = true)]
 async fn stale_orders_are_refused_if_checked() {
     for (fencing, stale) in
@@ -78,12 +83,16 @@
         assert_eq!(order(&engine, release("t/p", 8, None)).await, stale);
         assert_eq!(engine.engine().unwrap().held_programs().is_empty(), stale == StatusCode::OK);
         assert_eq!(order(&engine, release("t/q", 8, None)).await, StatusCode::OK);
-        assert_eq!(order(&engine, release("t/p", 9, None)).await, StatusCode::OK, "resent");
+        assert_eq!(
+            order(&engine, release("t/p", 9, None)).await,
+            StatusCode::OK,
+            "a resent order is accepted"
+        );
     }
 }
 
-/// Guards against models that are served before their weights can have arrived, also when two
-/// engines load from one store.
+/// Guards against a model that is served before its weights are loaded. The loads of two engines
+/// from one store run one after the other.
 #[tokio::test(start_paused = true)]
 async fn loading_takes_the_time_of_the_weight_store() {
     let store = Arc::new(WeightStore::new(100));
@@ -109,7 +118,7 @@
     assert_eq!(chat(&a, &[], &call).await.unwrap().status, StatusCode::NOT_FOUND);
 }
 
-/// Guards against malformed orders that are acknowledged.
+/// Guards against malformed orders that are answered with a success status.
 #[tokio::test(start_paused = true)]
 async fn roles_are_set_and_malformed_orders_refused() {
     let engine = start_engine(|e| e).await;
@@ -123,7 +132,8 @@
     }
 }
 
-/// Guards against a transfer that loses blocks, and against references that outlive the release.
+/// Guards against a transfer that loses or reorders blocks, and against references that stay valid
+/// after the program is released.
 #[tokio::test(start_paused = true)]
 async fn programs_move_between_engines_by_reference() {
     let (from, to) = (start_engine(|e| e).await, start_engine(|e| e).await);
@@ -136,7 +146,8 @@
     let imported = post(&to, "/kv/import", &[], &import).await.unwrap();
     assert_eq!((imported.status, imported.json()["blocks"].clone()), (StatusCode::OK, json!(3)));
     assert_eq!(to.engine().unwrap().held_programs(), ["t/p".into()]);
-    // The order of the prompt is kept, so that it is evicted from its end there too.
+    // The importing engine keeps the order of the blocks, so that it evicts the prompt from its end
+    // too.
     let events = [get(&from, "/events").await.json(), get(&to, "/events").await.json()];
     assert_eq!(events[0]["events"][1]["blocks"], events[1]["events"][1]["blocks"]);
     let answer = chat(&to, &program, &prompt("a", 3)).await.unwrap().json();
--- a/crates/standin/tests/request_faults.rs
+++ b/crates/standin/tests/request_faults.rs
@@ -1,4 +1,4 @@
-//! Faults on request, of both kinds of stand-ins.
+//! Faults on request, for both kinds of mock endpoint.
 
 mod common;
 
@@ -28,7 +28,7 @@
     send(endpoint, Method::POST, "/v1/chat/completions", &headers, body).await
 }
 
-/// Guards against a crash that spares other connections or accepts new ones.
+/// Guards against a crash that leaves other connections open, or accepts new ones.
 #[tokio::test(start_paused = true)]
 async fn crash_drops_every_connection() {
     for by_body in [false, true] {
@@ -51,16 +51,20 @@
     }
 }
 
-/// Guards against a hanging call that is answered in the end.
+/// A hanging call is never answered, and other calls are not affected.
 #[tokio::test(start_paused = true)]
 async fn hang_never_answers() {
     for endpoint in start_both().await {
         assert!(timeout(LONG, send_with_fault(&endpoint, "hang", CALL)).await.is_err());
-        assert_eq!(get(&endpoint, "/load").await.status, StatusCode::OK, "others are served");
+        assert_eq!(
+            get(&endpoint, "/load").await.status,
+            StatusCode::OK,
+            "other calls must be answered"
+        );
     }
 }
 
-/// Guards against a silent answer that ends, or of which nothing arrives.
+/// A silent response sends part of its body and then neither continues nor ends.
 #[tokio::test(start_paused = true)]
 async fn silent_stops_within_the_body() {
     for endpoint in start_both().await {
@@ -74,7 +78,7 @@
     }
 }
 
-/// Guards against a silent stream that no order can release, so that it would hold memory forever.
+/// Guards against a silent stream that no order can release, which would hold memory forever.
 #[tokio::test(start_paused = true)]
 async fn silent_streams_can_be_released() {
     let [engine, _] = start_both().await;
@@ -90,7 +94,7 @@
     assert!(engine.engine().unwrap().held_programs().is_empty());
 }
 
-/// Guards against a stall that closes connections, or that new connections do not escape.
+/// Guards against a stall that closes connections, or affects new ones.
 #[tokio::test(start_paused = true)]
 async fn stall_silences_open_connections_only() {
     for endpoint in start_both().await {
@@ -105,7 +109,8 @@
     }
 }
 
-/// Guards against a truncated answer that a check of length or terminal frame cannot find.
+/// A truncated response can be detected by its `Content-Length`, a truncated stream by the missing
+/// `[DONE]`.
 #[tokio::test(start_paused = true)]
 async fn truncate_ends_the_body_early() {
     for endpoint in start_both().await {
@@ -119,7 +124,7 @@
     assert!(answer.text().contains("word1") && !answer.text().contains("[DONE]"));
 }
 
-/// Guards against answers whose faults differ from the requested ones.
+/// The faults `crossed`, `error` and `late` do what they name, and an unknown fault is rejected.
 #[tokio::test(start_paused = true)]
 async fn crossed_error_and_late() {
     for endpoint in start_both().await {
--- a/tests/crash_containment.rs
+++ b/tests/crash_containment.rs
@@ -20,7 +20,7 @@
 
 /// Number of endpoints that have crashed.
 fn crashed(fleet: &Fleet) -> usize {
-    let crashes = |i: &usize| fleet.stand_in_log(*i).contains("stand-in crashes");
+    let crashes = |i: &usize| fleet.stand_in_log(*i).contains("mock endpoint crashed");
     (0..fleet.stand_ins.len()).filter(crashes).count()
 }
 
