--- a/crates/standin/src/config.rs
+++ b/crates/standin/src/config.rs
@@ -155,7 +155,7 @@
         self.cold_capacity.unwrap_or(self.capacity)
     }
 
-    /// Returns the version reported by an engine that serves every model.
+    /// Returns the version of the models of an engine that serves every model.
     pub(crate) fn default_version() -> Arc<str> {
         DEFAULT_VERSION.into()
     }
@@ -250,7 +250,7 @@
         /// Defaults to the capacity.
         cold_capacity: Option<u32> => cold_capacity;
         /// Sets the number of concurrent calls above which a cold engine crashes, at least the cold
-        /// capacity. By default it never crashes.
+        /// capacity. By default it does not crash under load.
         cold_crash_above: Option<u32> => cold_crash_above;
         /// Sets the factor by which a cold engine slows down while it has more calls than it
         /// sustains, at least 1.
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Returns the programs that have cached blocks, running calls or queued calls, sorted.
+    /// Returns the programs that have running or queued calls, or have stored a prompt in this run
+    /// and were not released since. Sorted by name.
     pub fn held_programs(&self) -> Vec<Arc<str>> {
         self.run().lock().held_programs()
     }
--- a/crates/standin/src/engine/run.rs
+++ b/crates/standin/src/engine/run.rs
@@ -83,7 +83,8 @@
         self.record_load(now);
     }
 
-    /// Returns the programs that have cached blocks or calls, sorted.
+    /// Returns the programs that have calls, or stored a prompt and were not released since. Sorted
+    /// by name.
     pub(super) fn held_programs(&self) -> Vec<Arc<str>> {
         let mut held: Vec<_> =
             self.cache.programs().chain(self.batch.programs()).cloned().collect();
--- a/crates/standin/src/lifecycle.rs
+++ b/crates/standin/src/lifecycle.rs
@@ -44,7 +44,8 @@
     pub running: u32,
     /// Calls in the queue at present. Always 0 for a service.
     pub queued: u32,
-    /// Programs that have cached blocks or calls at present. Always 0 for a service.
+    /// Programs that have calls at present, or have stored a prompt and were not released since.
+    /// Always 0 for a service.
     pub held_programs: usize,
 }
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -47,7 +47,7 @@
     /// Returns the present run and the totals.
     fn lifecycle(&self) -> &Lifecycle;
 
-    /// Begins the next run with empty state.
+    /// Begins the next run and drops the state of the previous one.
     fn begin_run(&self);
 }
 
