--- a/crates/core/commands/certs.rs
+++ b/crates/core/commands/certs.rs
@@ -17,7 +17,7 @@
 use crate::flags::CertsFlags;
 
 /// Names in the certificates; the peer port tells instances from operators by them.
-const NAMES: [(&str, &str); 2] =
+const CERTIFICATES: [(&str, &str); 2] =
     [("instance", "instance.poplarspan.internal"), ("operator", "operator.poplarspan.internal")];
 
 /// The file that is written last.
@@ -31,44 +31,44 @@
     }
     fs::create_dir_all(&flags.out)
         .with_context(|| format!("cannot make {}", flags.out.display()))?;
-    write_all(&flags.out)?;
+    create_all(&flags.out)?;
     println!("wrote authority, instance and operator certificates to {}", flags.out.display());
     Ok(ExitCode::SUCCESS)
 }
 
 /// Makes an authority, and a certificate for instances and one for operators.
-pub(crate) fn write_all(folder: &Path) -> Result<()> {
+pub(crate) fn create_all(folder: &Path) -> Result<()> {
     let authority_key = KeyPair::generate()?;
     let mut authority = CertificateParams::default();
     authority.distinguished_name.push(DnType::CommonName, "poplarspan authority");
     authority.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
     authority.key_usages = vec![KeyUsagePurpose::KeyCertSign];
     let certificate = authority.self_signed(&authority_key)?;
-    write(folder, "authority.pem", &certificate.pem())?;
-    write(folder, "authority.key", &authority_key.serialize_pem())?;
+    create_file(folder, "authority.pem", &certificate.pem())?;
+    create_file(folder, "authority.key", &authority_key.serialize_pem())?;
     let issuer = Issuer::new(authority, authority_key);
-    for (file, name) in NAMES {
+    for (file_stem, name) in CERTIFICATES {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(vec![name.to_owned()])?;
         params.distinguished_name.push(DnType::CommonName, name);
         params.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
         let certificate = params.signed_by(&key, &issuer)?;
-        write(folder, &format!("{file}.pem"), &certificate.pem())?;
-        write(folder, &format!("{file}.key"), &key.serialize_pem())?;
+        create_file(folder, &format!("{file_stem}.pem"), &certificate.pem())?;
+        create_file(folder, &format!("{file_stem}.key"), &key.serialize_pem())?;
     }
     Ok(())
 }
 
-fn write(folder: &Path, name: &str, text: &str) -> Result<()> {
+fn create_file(folder: &Path, name: &str, text: &str) -> Result<()> {
     let path = folder.join(name);
     // Keys are for their owner only.
     let mode = if name.ends_with(".key") { 0o600 } else { 0o644 };
-    let mut f = OpenOptions::new()
+    let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(mode)
         .open(&path)
         .with_context(|| format!("cannot make {}", path.display()))?;
-    f.write_all(text.as_bytes()).with_context(|| format!("cannot write {}", path.display()))
+    file.write_all(text.as_bytes()).with_context(|| format!("cannot write {}", path.display()))
 }
--- a/crates/core/commands/dev.rs
+++ b/crates/core/commands/dev.rs
@@ -22,12 +22,12 @@
 use crate::flags::DevFlags;
 
 /// The sample objects, with places for what is only known at run time.
-const OBJECTS: &str = include_str!("../../../examples/dev.toml");
+const SAMPLE_OBJECTS: &str = include_str!("../../../examples/dev.toml");
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-const START_ATTEMPTS: usize = 50;
-const START_PAUSE: Duration = Duration::from_millis(100);
+const PUBLISH_ATTEMPTS: usize = 50;
+const PUBLISH_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Time in which published objects must be in force at the entry.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -35,40 +35,40 @@
 pub(crate) async fn run(flags: DevFlags) -> Result<ExitCode> {
     let folder = tempfile::tempdir().context("cannot make a temporary folder")?;
     let engine = start_engine().await?;
-    let orders = start_orders().await?;
+    let orders = start_order_service().await?;
     let key = generate_secret()?;
     let objects = sample_objects(&key, engine, orders)?;
-    let tls = make_certificates(folder.path())?;
+    let tls = create_certificates(folder.path())?;
     let running = start_instance(folder.path(), &tls, flags.entry_address).await?;
     publish(&running, &tls, folder.path(), &objects).await?;
     let ready = tokio::time::timeout(READY_TIMEOUT, running.ready()).await;
     ready.context("the sample objects were not in force in time")?;
-    let help = help(running.entry_address, running.probe_address, &key);
-    if let Err(e) = io::stdout().write_all(help.as_bytes()) {
+    let text = usage_text(running.entry_address, running.probe_address, &key);
+    if let Err(e) = io::stdout().write_all(text.as_bytes()) {
         // Whoever reads only the first lines still wants the calls served.
         let error = e.to_string();
         log::warn!(error = error.as_str(); "cannot print all calls");
     }
-    serve::until_signal(running).await
+    serve::run_until_signal(running).await
 }
 
 async fn start_engine() -> Result<SocketAddr> {
-    let socket = TcpListener::bind(LOOPBACK).await?;
-    let address = socket.local_addr()?;
-    tokio::spawn(Arc::new(Engine::new(EngineConfig::default())).serve(socket));
+    let listener = TcpListener::bind(LOOPBACK).await?;
+    let address = listener.local_addr()?;
+    tokio::spawn(Arc::new(Engine::new(EngineConfig::default())).serve(listener));
     Ok(address)
 }
 
-async fn start_orders() -> Result<SocketAddr> {
-    let socket = TcpListener::bind(LOOPBACK).await?;
-    let address = socket.local_addr()?;
-    tokio::spawn(Arc::new(Service::default()).serve(socket));
+async fn start_order_service() -> Result<SocketAddr> {
+    let listener = TcpListener::bind(LOOPBACK).await?;
+    let address = listener.local_addr()?;
+    tokio::spawn(Arc::new(Service::default()).serve(listener));
     Ok(address)
 }
 
 /// Puts the addresses of the stand-ins and the digest of the new key into the sample objects.
 fn sample_objects(key: &Secret, engine: SocketAddr, orders: SocketAddr) -> Result<ObjectSet> {
-    let mut document: toml::Table = OBJECTS.parse().context("the sample objects")?;
+    let mut document: toml::Table = SAMPLE_OBJECTS.parse().context("the sample objects")?;
     let mut set = |kind: &str, name: &str, field: &str, value: String| -> Result<()> {
         let objects = document.get_mut(kind).and_then(toml::Value::as_array_mut);
         let object = objects
@@ -88,10 +88,10 @@
         .map_err(|findings| anyhow::anyhow!("{findings}"))
 }
 
-fn make_certificates(folder: &Path) -> Result<TlsFiles> {
+fn create_certificates(folder: &Path) -> Result<TlsFiles> {
     let folder = folder.join("tls");
     std::fs::create_dir(&folder)?;
-    certs::write_all(&folder)?;
+    certs::create_all(&folder)?;
     Ok(TlsFiles {
         authority: folder.join("authority.pem"),
         certificate: folder.join("instance.pem"),
@@ -137,21 +137,21 @@
         expected_generation: 0,
         request_id: "dev".to_owned(),
         operator_key: String::new(),
-        objects: objects.iter().map(super::operator::write_change).collect(),
+        objects: objects.iter().map(super::operator::encode_change).collect(),
     };
-    for _ in 0..START_ATTEMPTS {
+    for _ in 0..PUBLISH_ATTEMPTS {
         let body = request::Body::Publish(publish.clone());
         match client.call(running.peer_address, body, CALL_TIMEOUT).await {
             Ok(response::Body::Publish(result)) if result.accepted => return Ok(()),
             Ok(_) => bail!("the sample objects were not accepted"),
             Err(e) => log::debug!("not published yet: {e}"),
         }
-        tokio::time::sleep(START_PAUSE).await;
+        tokio::time::sleep(PUBLISH_RETRY_INTERVAL).await;
     }
     bail!("the instance did not start to lead in time")
 }
 
-fn help(entry: SocketAddr, probe: SocketAddr, key: &Secret) -> String {
+fn usage_text(entry: SocketAddr, probe: SocketAddr, key: &Secret) -> String {
     let key = key.expose();
     format!(
         r#"Poplarspan serves calls at http://{entry}. Try:
--- a/crates/core/commands/files.rs
+++ b/crates/core/commands/files.rs
@@ -5,8 +5,8 @@
 use anyhow::{Context, Result};
 use poplarspan_objects::{Change, ObjectSet, Source, generate_secret};
 
-use super::{on_runtime, operator};
-use crate::flags::{DiffFlags, FileFlags};
+use super::{block_on, operator};
+use crate::flags::{DiffFlags, ObjectFileFlags};
 
 /// Reads object files.
 pub(crate) fn read(paths: &[PathBuf]) -> Result<Vec<Source>> {
@@ -19,7 +19,7 @@
 }
 
 /// Checks object files; prints every finding and returns None when there is one.
-pub(crate) fn read_checked(paths: &[PathBuf]) -> Result<Option<ObjectSet>> {
+pub(crate) fn read_and_check(paths: &[PathBuf]) -> Result<Option<ObjectSet>> {
     match poplarspan_objects::check(&read(paths)?) {
         Ok(set) => Ok(Some(set)),
         Err(findings) => {
@@ -32,24 +32,24 @@
 }
 
 /// `check`
-pub(crate) fn check(flags: &FileFlags) -> Result<ExitCode> {
-    let Some(set) = read_checked(&flags.files)? else { return Ok(ExitCode::FAILURE) };
+pub(crate) fn check(flags: &ObjectFileFlags) -> Result<ExitCode> {
+    let Some(set) = read_and_check(&flags.files)? else { return Ok(ExitCode::FAILURE) };
     println!("{} objects, no findings", set.len());
     Ok(ExitCode::SUCCESS)
 }
 
 /// `diff`
 pub(crate) fn diff(flags: &DiffFlags) -> Result<ExitCode> {
-    let Some(new) = read_checked(&flags.files.files)? else { return Ok(ExitCode::FAILURE) };
-    let old = if let Some(operator) = flags.operator() {
+    let Some(new) = read_and_check(&flags.files.files)? else { return Ok(ExitCode::FAILURE) };
+    let old = if let Some(operator) = flags.operator_flags() {
         let mut fetched = None;
-        on_runtime(async {
+        block_on(async {
             fetched = Some(operator::fetch(&operator).await?.1);
             Ok(ExitCode::SUCCESS)
         })?;
         fetched.context("the objects in force were not read")?
     } else {
-        match read_checked(&flags.against)? {
+        match read_and_check(&flags.against)? {
             Some(old) => old,
             None => return Ok(ExitCode::FAILURE),
         }
--- a/crates/core/commands/mod.rs
+++ b/crates/core/commands/mod.rs
@@ -18,19 +18,19 @@
 /// Runs a command and returns the exit status of the process.
 pub(crate) fn run(command: Command) -> Result<ExitCode> {
     match command {
-        Command::Serve(flags) => on_runtime(serve::run(*flags)),
-        Command::Node(flags) => on_one_thread(node::run(flags)),
+        Command::Serve(flags) => block_on(serve::run(*flags)),
+        Command::Node(flags) => block_on_current_thread(node::run(flags)),
         Command::Check(flags) => files::check(&flags),
         Command::Diff(flags) => files::diff(&flags),
-        Command::Publish(flags) => on_runtime(operator::publish(flags)),
-        Command::Get(flags) => on_runtime(operator::get(flags)),
-        Command::Status(flags) => on_runtime(operator::status(flags)),
-        Command::Init(flags) => on_runtime(serve::init(flags)),
-        Command::ReplaceVoter(flags) => on_runtime(operator::replace_voter(flags)),
+        Command::Publish(flags) => block_on(operator::publish(flags)),
+        Command::Get(flags) => block_on(operator::get(flags)),
+        Command::Status(flags) => block_on(operator::status(flags)),
+        Command::Init(flags) => block_on(serve::init(flags)),
+        Command::ReplaceVoter(flags) => block_on(operator::replace_voter(flags)),
         Command::Keygen => files::keygen(),
         Command::Certs(flags) => certs::run(&flags),
-        Command::Dev(flags) => on_runtime(dev::run(flags)),
-        Command::Endpoint(flags) => on_runtime(endpoint::run(flags)),
+        Command::Dev(flags) => block_on(dev::run(flags)),
+        Command::Endpoint(flags) => block_on(endpoint::run(flags)),
         Command::Completions { shell } => {
             clap_complete::generate(
                 shell,
@@ -44,11 +44,11 @@
 }
 
 /// Runs a command on a runtime of one thread, for machines that give a process part of a core.
-fn on_one_thread(command: impl Future<Output = Result<ExitCode>>) -> Result<ExitCode> {
+fn block_on_current_thread(command: impl Future<Output = Result<ExitCode>>) -> Result<ExitCode> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(command)
 }
 
 /// Runs a command that needs the asynchronous runtime.
-pub(crate) fn on_runtime(command: impl Future<Output = Result<ExitCode>>) -> Result<ExitCode> {
+pub(crate) fn block_on(command: impl Future<Output = Result<ExitCode>>) -> Result<ExitCode> {
     tokio::runtime::Builder::new_multi_thread().enable_all().build()?.block_on(command)
 }
--- a/crates/core/commands/node.rs
+++ b/crates/core/commands/node.rs
@@ -3,7 +3,7 @@
 use std::{path::Path, process::ExitCode, sync::Arc, time::Duration};
 
 use anyhow::{Context, Result};
-use poplarspan_platform::{Platform, read_settings};
+use poplarspan_platform::{Platform, parse_settings};
 use poplarspan_relay::{Relay, RunningInstance, Settings};
 use tokio::{
     signal::unix::{SignalKind, signal},
@@ -29,20 +29,20 @@
         _ = signals.terminate.recv() => return Ok(ExitCode::SUCCESS),
         _ = signals.interrupt.recv() => return Ok(ExitCode::SUCCESS),
     };
-    let mut held = text;
-    let mut ticks = interval(RELOAD_INTERVAL);
-    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut current_text = text;
+    let mut reload_timer = interval(RELOAD_INTERVAL);
+    reload_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
             _ = signals.interrupt.recv() => break,
-            _ = signals.hangup.recv() => reload(&running, &flags, &mut held),
-            _ = ticks.tick() => reload(&running, &flags, &mut held),
+            _ = signals.hangup.recv() => reload(&running, &flags, &mut current_text),
+            _ = reload_timer.tick() => reload(&running, &flags, &mut current_text),
             e = running.failed() => return Err(e).context("the instance has failed"),
         }
     }
-    let open = running.shutdown().await;
-    Ok(if open == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let open_connections = running.shutdown().await;
+    Ok(if open_connections == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 struct Signals {
@@ -66,20 +66,20 @@
 }
 
 fn parse(text: &str, flags: &NodeFlags) -> Result<Settings> {
-    read_settings(text, flags.metrics_port)
+    parse_settings(text, flags.metrics_port)
         .with_context(|| format!("cannot use {}", flags.settings.display()))
 }
 
 /// Takes changed settings. A file that cannot be used changes nothing.
-fn reload(running: &RunningInstance, flags: &NodeFlags, held: &mut String) {
+fn reload(running: &RunningInstance, flags: &NodeFlags, current_text: &mut String) {
     let changed = read(&flags.settings).and_then(|text| {
-        let settings = (text != *held).then(|| parse(&text, flags)).transpose()?;
+        let settings = (text != *current_text).then(|| parse(&text, flags)).transpose()?;
         Ok((text, settings))
     });
     match changed {
         Ok((text, Some(settings))) => {
             running.reload(&settings);
-            *held = text;
+            *current_text = text;
         }
         Ok((_, None)) => {}
         Err(e) => {
--- a/crates/core/commands/operator.rs
+++ b/crates/core/commands/operator.rs
@@ -13,19 +13,19 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const REPLACE_TIMEOUT: Duration = Duration::from_secs(90);
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A connection to the fleet that follows the leader of group 0.
-struct Fleet {
+struct FleetClient {
     client: PeerClient,
-    first: SocketAddr,
+    control: SocketAddr,
     target: SocketAddr,
     key: String,
     deadline: Instant,
     call_timeout: Duration,
 }
 
-impl Fleet {
+impl FleetClient {
     fn open(flags: &OperatorFlags) -> Result<Self> {
         let credentials = Credentials::load(&flags.tls.files())?;
         let local: SocketAddr =
@@ -39,7 +39,7 @@
         };
         Ok(Self {
             client: PeerClient::new(&credentials, local)?,
-            first: flags.control,
+            control: flags.control,
             target: flags.control,
             key,
             deadline: Instant::now() + flags.timeout,
@@ -56,7 +56,7 @@
                 Ok(answer) => return Ok(answer),
                 Err(e) => e,
             };
-            self.target = self.first;
+            self.target = self.control;
             match &error {
                 CallError::Failed(failure) => match failure.code() {
                     FailureCode::NotLeader => {
@@ -73,10 +73,10 @@
                 },
                 CallError::Unreachable { .. } | CallError::Unknown { .. } => {}
             }
-            if Instant::now() + RETRY_AFTER > self.deadline {
+            if Instant::now() + RETRY_INTERVAL > self.deadline {
                 return Err(error.into());
             }
-            sleep(RETRY_AFTER).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -91,18 +91,18 @@
 
 /// Reads the objects in force, with their generation.
 pub(crate) async fn fetch(flags: &OperatorFlags) -> Result<(u64, ObjectSet)> {
-    let mut fleet = Fleet::open(flags)?;
+    let mut fleet = FleetClient::open(flags)?;
     let get = peer::GetObjects { operator_key: fleet.key.clone() };
     let reply = match fleet.call(request::Body::GetObjects(get)).await? {
         response::Body::Objects(reply) => reply,
         _ => bail!("unexpected kind of answer"),
     };
-    let records = reply.objects.iter().map(read_record).collect::<Result<Vec<_>>>()?;
+    let records = reply.objects.iter().map(decode_record).collect::<Result<Vec<_>>>()?;
     let set = ObjectSet::from_records(&records).map_err(|e| anyhow::anyhow!("{e}"))?;
     Ok((reply.generation, set))
 }
 
-fn read_record(change: &peer::Change) -> Result<Record> {
+fn decode_record(change: &peer::Change) -> Result<Record> {
     let kind = change.kind.parse().with_context(|| format!("kind {}", change.kind))?;
     let body = change.body.clone().context("an object without a body")?;
     Ok(Record { kind, name: change.name.as_str().into(), body })
@@ -120,11 +120,11 @@
 
 /// `publish`
 pub(crate) async fn publish(flags: PublishFlags) -> Result<ExitCode> {
-    let Some(set) = files::read_checked(&flags.files.files)? else {
+    let Some(set) = files::read_and_check(&flags.files.files)? else {
         return Ok(ExitCode::FAILURE);
     };
-    let mut fleet = Fleet::open(&flags.operator)?;
-    let objects = ObjectSet::default().diff(&set).iter().map(write_change).collect();
+    let mut fleet = FleetClient::open(&flags.operator)?;
+    let objects = ObjectSet::default().diff(&set).iter().map(encode_change).collect();
     let publish = peer::Publish {
         expected_generation: flags.expect_generation,
         request_id: flags.request_id,
@@ -145,13 +145,13 @@
     }
     println!("published as generation {}", result.generation);
     if !flags.no_wait {
-        wait_in_force(&mut fleet, result.generation).await?;
+        wait_until_in_force(&mut fleet, result.generation).await?;
         println!("in force on every live instance");
     }
     Ok(ExitCode::SUCCESS)
 }
 
-async fn wait_in_force(fleet: &mut Fleet, generation: u64) -> Result<()> {
+async fn wait_until_in_force(fleet: &mut FleetClient, generation: u64) -> Result<()> {
     loop {
         let status = fleet.status().await?;
         // A newer generation in force contains this one or replaces it.
@@ -161,12 +161,12 @@
         if Instant::now() > fleet.deadline {
             bail!("accepted, but not known to be in force everywhere yet; see `poplarspan status`");
         }
-        sleep(RETRY_AFTER / 4).await;
+        sleep(RETRY_INTERVAL / 4).await;
     }
 }
 
 /// Converts a change for the peer port.
-pub(crate) fn write_change(change: &Change) -> peer::Change {
+pub(crate) fn encode_change(change: &Change) -> peer::Change {
     match change {
         Change::Upsert(record) => peer::Change {
             kind: record.kind.to_string(),
@@ -181,7 +181,7 @@
 
 /// `status`
 pub(crate) async fn status(flags: StatusFlags) -> Result<ExitCode> {
-    let mut fleet = Fleet::open(&flags.operator)?;
+    let mut fleet = FleetClient::open(&flags.operator)?;
     let status = fleet.status().await?;
     if flags.json {
         println!("{}", status_json(&status));
@@ -256,7 +256,7 @@
 
 /// `replace-voter`
 pub(crate) async fn replace_voter(flags: ReplaceVoterFlags) -> Result<ExitCode> {
-    let mut fleet = Fleet::open(&flags.operator)?;
+    let mut fleet = FleetClient::open(&flags.operator)?;
     let request = peer::ReplaceVoter {
         operator_key: fleet.key.clone(),
         old: flags.old,
--- a/crates/core/commands/serve.rs
+++ b/crates/core/commands/serve.rs
@@ -26,11 +26,11 @@
         drain_timeout: flags.drain_timeout,
     };
     let running = Instance::new(cfg)?.start().await?;
-    until_signal(running).await
+    run_until_signal(running).await
 }
 
 /// Runs an instance until SIGTERM or SIGINT, then takes it down.
-pub(crate) async fn until_signal(running: Running) -> Result<ExitCode> {
+pub(crate) async fn run_until_signal(running: Running) -> Result<ExitCode> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -38,8 +38,8 @@
         _ = interrupt.recv() => {}
         e = running.failed() => return Err(e).context("the replicated log has failed"),
     }
-    let cut = running.shutdown().await?;
-    Ok(if cut == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let open_connections = running.shutdown().await?;
+    Ok(if open_connections == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 /// `init`
--- a/crates/core/flags.rs
+++ b/crates/core/flags.rs
@@ -33,7 +33,7 @@
     /// Run one instance of a relay fleet.
     Node(NodeFlags),
     /// Check object files without publishing them.
-    Check(FileFlags),
+    Check(ObjectFileFlags),
     /// Show what publishing object files would change.
     Diff(DiffFlags),
     /// Publish object files as the next generation.
@@ -146,7 +146,7 @@
     #[command(flatten)]
     pub(crate) tls: TlsFlags,
     #[command(flatten)]
-    pub(crate) limits: LimitFlags,
+    pub(crate) limits: CallerLimitFlags,
     /// Time between "not ready" and the end of accepting, for the balancer to notice.
     #[arg(long, default_value = "2s", value_parser = humantime::parse_duration, env = "POPLARSPAN_DRAIN_GRACE")]
     pub(crate) drain_grace: Duration,
@@ -157,7 +157,7 @@
 
 /// Bounds towards callers.
 #[derive(Args, Clone, Debug)]
-pub(crate) struct LimitFlags {
+pub(crate) struct CallerLimitFlags {
     /// Largest head of a request, in bytes.
     #[arg(long, default_value_t = Limits::default().max_head, env = "POPLARSPAN_MAX_HEAD")]
     max_head: usize,
@@ -172,7 +172,7 @@
     max_held: usize,
 }
 
-impl LimitFlags {
+impl CallerLimitFlags {
     /// The limits as the library takes them.
     pub(crate) fn limits(&self) -> Limits {
         Limits {
@@ -198,7 +198,7 @@
 
 /// Object files.
 #[derive(Args, Debug)]
-pub(crate) struct FileFlags {
+pub(crate) struct ObjectFileFlags {
     /// Object files; together they form one set.
     #[arg(required = true, value_name = "FILE")]
     pub(crate) files: Vec<PathBuf>,
@@ -224,7 +224,7 @@
 #[derive(Args, Debug)]
 pub(crate) struct DiffFlags {
     #[command(flatten)]
-    pub(crate) files: FileFlags,
+    pub(crate) files: ObjectFileFlags,
     /// Compare with this object file instead of with the objects in force; may be repeated.
     #[arg(long, value_name = "FILE", required_unless_present = "control")]
     pub(crate) against: Vec<PathBuf>,
@@ -247,7 +247,7 @@
 
 impl DiffFlags {
     /// How to reach the fleet, if the comparison is with the objects in force.
-    pub(crate) fn operator(&self) -> Option<OperatorFlags> {
+    pub(crate) fn operator_flags(&self) -> Option<OperatorFlags> {
         Some(OperatorFlags {
             control: self.control?,
             operator_key_file: self.operator_key_file.clone(),
@@ -265,7 +265,7 @@
 #[derive(Args, Debug)]
 pub(crate) struct PublishFlags {
     #[command(flatten)]
-    pub(crate) files: FileFlags,
+    pub(crate) files: ObjectFileFlags,
     /// Generation that the files are based on; 0 for the first publication.
     #[arg(long, value_name = "N")]
     pub(crate) expect_generation: u64,
@@ -356,7 +356,7 @@
     #[arg(long, value_name = "IP:PORT", env = "POPLARSPAN_ENDPOINT_ADDRESS")]
     pub(crate) address: SocketAddr,
     #[command(flatten)]
-    pub(crate) life: LifeFlags,
+    pub(crate) standin: StandinFlags,
     #[command(flatten)]
     pub(crate) engine: Box<EngineFlags>,
     #[command(flatten)]
@@ -374,7 +374,7 @@
 
 /// Flags of both kinds of stand-ins.
 #[derive(Args, Debug)]
-pub(crate) struct LifeFlags {
+pub(crate) struct StandinFlags {
     /// Lag of load reports.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_LOAD_LAG")]
     pub(crate) load_lag: Duration,
@@ -440,7 +440,7 @@
     pub(crate) ramp: Duration,
     /// How the calls that a cold engine bears grow during the ramp.
     #[arg(long, value_enum, default_value = "step", env = "POPLARSPAN_ENDPOINT_RAMP_SHAPE")]
-    pub(crate) ramp_shape: ShapeFlag,
+    pub(crate) ramp_shape: RampShapeFlag,
     /// Time after which cache events are published.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_EVENT_DELAY")]
     pub(crate) event_delay: Duration,
@@ -472,7 +472,7 @@
 
 /// Shapes of the ramp.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
-pub(crate) enum ShapeFlag {
+pub(crate) enum RampShapeFlag {
     /// The cold capacity for the whole ramp.
     Step,
     /// Linearly from the cold capacity to the capacity.
--- a/crates/core/logging.rs
+++ b/crates/core/logging.rs
@@ -14,7 +14,7 @@
 use structured_logger::{Builder, json::new_writer};
 
 /// Lines that may wait for a reader of standard output; more are dropped and counted.
-const MAX_WAITING_LINES: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// Where the log goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,32 +31,34 @@
     let builder = Builder::with_level(level.as_str());
     match output {
         LogOutput::Stderr => builder.with_target_writer("*", new_writer(io::stderr())).init(),
-        LogOutput::Stdout => builder.with_target_writer("*", new_writer(Queue::start())).init(),
+        LogOutput::Stdout => {
+            builder.with_target_writer("*", new_writer(QueuedWriter::new())).init()
+        }
     }
 }
 
 /// Hands lines to the thread that writes them.
-struct Queue {
+struct QueuedWriter {
     tx: SyncSender<Vec<u8>>,
-    dropped: Arc<AtomicU64>,
+    dropped_lines: Arc<AtomicU64>,
     line: Vec<u8>,
 }
 
-impl Queue {
-    fn start() -> Self {
-        let (tx, rx) = sync_channel(MAX_WAITING_LINES);
-        let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
-        thread::spawn(move || write_lines(&rx, &counted));
-        Self { tx, dropped, line: Vec::new() }
+impl QueuedWriter {
+    fn new() -> Self {
+        let (tx, rx) = sync_channel(MAX_QUEUED_LINES);
+        let dropped_lines = Arc::new(AtomicU64::new(0));
+        let writer_dropped_lines = dropped_lines.clone();
+        thread::spawn(move || write_lines(&rx, &writer_dropped_lines));
+        Self { tx, dropped_lines, line: Vec::new() }
     }
 }
 
-impl Write for Queue {
+impl Write for QueuedWriter {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(buf);
         if self.line.ends_with(b"\n") && self.tx.try_send(std::mem::take(&mut self.line)).is_err() {
-            self.dropped.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.fetch_add(1, Ordering::Relaxed);
             metrics::counter!("poplarspan_dropped_log_lines_total").increment(1);
         }
         Ok(buf.len())
@@ -67,16 +69,17 @@
     }
 }
 
-fn write_lines(rx: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
+fn write_lines(rx: &Receiver<Vec<u8>>, dropped_lines: &AtomicU64) {
     let mut out = io::stdout();
     while let Ok(mut lines) = rx.recv() {
         while let Ok(line) = rx.try_recv() {
             lines.extend_from_slice(&line);
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            let note = format!("{{\"level\":\"WARN\",\"message\":\"{lost} log lines dropped\"}}\n");
-            lines.extend_from_slice(note.as_bytes());
+        let count = dropped_lines.swap(0, Ordering::Relaxed);
+        if count > 0 {
+            let warning =
+                format!("{{\"level\":\"WARN\",\"message\":\"{count} log lines dropped\"}}\n");
+            lines.extend_from_slice(warning.as_bytes());
         }
         // Without a reader there is nobody to tell.
         let _ = out.write_all(&lines).and_then(|()| out.flush());
