--- a/crates/standin/src/engine/events.rs
+++ b/crates/standin/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! Cache events, published late and with gaps.
+//! Log of cache events, published with a delay and with random gaps.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -8,12 +8,12 @@
 
 use crate::load::millis;
 
-/// Events that are kept for readers; older ones are lost to them.
+/// Events that are kept. Older ones are discarded, and readers that have not seen them find a gap.
 const MAX_EVENTS: usize = 4096;
-/// Events in one answer.
-const MAX_ANSWER_EVENTS: usize = 512;
+/// Maximum number of events in one response.
+const MAX_EVENTS_PER_RESPONSE: usize = 512;
 
-/// What happened to the blocks of an event.
+/// What happened to the blocks of an event. `Cleared` means that the cache is empty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum EventKind {
@@ -25,32 +25,33 @@
 #[derive(Debug)]
 struct Event {
     sequence: u64,
-    at: Instant,
+    recorded_at: Instant,
     kind: EventKind,
     blocks: Vec<u64>,
 }
 
-/// Event as it is published.
+/// An event in the response of `GET /events`.
 #[derive(Debug, Serialize)]
-struct PublishedEvent<'a> {
+struct EventEntry<'a> {
     sequence: u64,
     age_ms: u64,
     kind: EventKind,
     blocks: &'a [u64],
 }
 
-/// Answer of `GET /events`.
+/// Response of `GET /events`.
 #[derive(Debug, Serialize)]
-pub(super) struct PublishedEvents<'a> {
+pub(super) struct EventsResponse<'a> {
     run: u64,
-    events: Vec<PublishedEvent<'a>>,
+    events: Vec<EventEntry<'a>>,
 }
 
-/// Events of one run, numbered from 1. The first one says that the cache is empty.
+/// Events of one run, numbered from 1. The first one is `Cleared`, as a run begins with an empty
+/// cache.
 #[derive(Debug)]
 pub(super) struct EventLog {
     events: VecDeque<Event>,
-    last: u64,
+    last_sequence: u64,
     gap_rate: f64,
     rng: StdRng,
 }
@@ -58,48 +59,55 @@
 impl EventLog {
     pub(super) fn new(gap_rate: f64, seed: u64, now: Instant) -> Self {
         let rng = StdRng::seed_from_u64(seed);
-        let first = Event { sequence: 1, at: now, kind: EventKind::Cleared, blocks: Vec::new() };
-        Self { events: VecDeque::from([first]), last: 1, gap_rate, rng }
+        let first =
+            Event { sequence: 1, recorded_at: now, kind: EventKind::Cleared, blocks: Vec::new() };
+        Self { events: VecDeque::from([first]), last_sequence: 1, gap_rate, rng }
     }
 
-    /// Adds an event. A lost one takes a number too, so that readers can notice the gap.
+    /// Appends an event, or loses it with probability `gap_rate`. A lost event takes a sequence
+    /// number too, so that readers can detect the gap.
     pub(super) fn push(&mut self, kind: EventKind, blocks: Vec<u64>, now: Instant) {
         if blocks.is_empty() && kind != EventKind::Cleared {
             return;
         }
-        self.last += 1;
+        self.last_sequence += 1;
         if self.rng.random_bool(self.gap_rate) {
             return;
         }
         if self.events.len() >= MAX_EVENTS {
             self.events.pop_front();
         }
-        self.events.push_back(Event { sequence: self.last, at: now, kind, blocks });
+        self.events.push_back(Event {
+            sequence: self.last_sequence,
+            recorded_at: now,
+            kind,
+            blocks,
+        });
     }
 
-    /// Events after a number that are old enough to be published. A number that this run has not
-    /// reached comes from a reader of an earlier run, which gets all events.
-    pub(super) fn after(
+    /// Returns the events after the sequence number `after` that are at least `delay` old. A number
+    /// beyond the last one comes from a reader of an earlier run, which gets all events.
+    pub(super) fn events_after(
         &self,
         after: u64,
         run: u64,
         delay: Duration,
         now: Instant,
-    ) -> PublishedEvents<'_> {
-        let after = if after > self.last { 0 } else { after };
+    ) -> EventsResponse<'_> {
+        let after = if after > self.last_sequence { 0 } else { after };
         let first = self.events.partition_point(|e| e.sequence <= after);
         let events = self
             .events
             .range(first..)
-            .take_while(|e| now.duration_since(e.at) >= delay)
-            .take(MAX_ANSWER_EVENTS)
-            .map(|e| PublishedEvent {
+            .take_while(|e| now.duration_since(e.recorded_at) >= delay)
+            .take(MAX_EVENTS_PER_RESPONSE)
+            .map(|e| EventEntry {
                 sequence: e.sequence,
-                age_ms: millis(now.duration_since(e.at)),
+                age_ms: millis(now.duration_since(e.recorded_at)),
                 kind: e.kind,
                 blocks: &e.blocks,
             })
             .collect();
-        PublishedEvents { run, events }
+        EventsResponse { run, events }
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,18 +1,18 @@
-//! Stand-ins for endpoints, for tests and trials: a model engine and a plain service.
+//! Mock endpoints for tests and local trials: a model engine and a plain service.
 //!
-//! They offer the interface of an endpoint and its faults; they do not simulate a cluster. Requests
-//! ask for faults with the header `x-standin-fault`.
+//! A mock serves the HTTP interface of an endpoint and injects faults; it does not simulate a
+//! cluster. A request selects a fault with the header `x-standin-fault`.
 //!
 //! All state is in memory and belongs to one run. A crash or a restart begins the next run with
-//! empty state, except for the counters of [`Counters`] and the executions of a [`Service`], which
-//! stand for effects in the outside world.
+//! empty state. Only the totals in [`Counters`] and the execution counts of a [`Service`] are kept,
+//! because they model side effects that outlive the process.
 //!
 //! ```
-//! use poplarspan_standin::{ServiceConfig, StandIn};
+//! use poplarspan_standin::{MockEndpoint, ServiceConfig};
 //!
 //! # #[tokio::main(flavor = "current_thread")]
 //! # async fn main() -> anyhow::Result<()> {
-//! let mut service = StandIn::start(ServiceConfig::builder().build()?).await?;
+//! let mut service = MockEndpoint::start(ServiceConfig::builder().build()?).await?;
 //! let address = service.address();
 //! service.restart().await?;
 //! assert_eq!(service.address(), address);
@@ -24,18 +24,18 @@
 mod config;
 mod engine;
 mod fault;
-mod life;
+mod lifecycle;
 mod load;
+mod mock_endpoint;
 mod server;
 mod service;
 mod stall;
-mod start;
 
 pub use config::{
     ConfigError, EngineConfig, EngineConfigBuilder, Fencing, ModelVersion, RampShape,
     ServiceConfig, ServiceConfigBuilder,
 };
 pub use engine::{BLOCK_BYTES, BLOCK_TOKENS, Engine, WeightStore};
-pub use life::{Counters, Crashed};
+pub use lifecycle::{Counters, Crashed};
+pub use mock_endpoint::{MockEndpoint, MockEndpointConfig};
 pub use service::Service;
-pub use start::{StandIn, StandInConfig};
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,11 +1,11 @@
-//! Load reports with a lag.
+//! Load reports that lag behind the present load.
 
 use std::{collections::VecDeque, time::Duration};
 
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// Figures of a load report.
+/// Load of an endpoint at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
     pub(crate) running: u32,
@@ -13,7 +13,7 @@
     pub(crate) cache_blocks: u32,
 }
 
-/// Answer of `GET /load`.
+/// Response of `GET /load`.
 #[derive(Debug, Serialize)]
 pub(crate) struct LoadReport {
     run: u64,
@@ -24,7 +24,7 @@
     cache_blocks: u32,
 }
 
-/// Load of the last while, for reports about a moment that has passed.
+/// Recent load samples, from which the load of `lag` ago is reported.
 #[derive(Debug)]
 pub(crate) struct LoadHistory {
     started: Instant,
@@ -37,37 +37,38 @@
         Self { started, lag, samples: VecDeque::from([(started, Load::default())]) }
     }
 
-    /// Notes a change of the load.
-    pub(crate) fn note(&mut self, now: Instant, load: Load) {
+    /// Records a change of the load.
+    pub(crate) fn record(&mut self, now: Instant, load: Load) {
         self.samples.push_back((now, load));
-        let seen = self.seen(now);
-        // The first sample that is kept is the one in force at the reported moment.
-        while self.samples.get(1).is_some_and(|(at, _)| *at <= seen) {
+        let reported_at = self.reported_at(now);
+        // The first sample kept is the last one at or before the reported moment.
+        while self.samples.get(1).is_some_and(|(at, _)| *at <= reported_at) {
             self.samples.pop_front();
         }
     }
 
-    /// Reports the load of `lag` ago, or of the start if that is later.
+    /// Reports the load of `lag` ago, or of the start of the run if that is later.
     pub(crate) fn report(&self, run: u64, now: Instant) -> LoadReport {
-        let seen = self.seen(now);
-        let next = self.samples.partition_point(|(at, _)| *at <= seen);
+        let reported_at = self.reported_at(now);
+        let next = self.samples.partition_point(|(at, _)| *at <= reported_at);
         let load = self.samples[next.saturating_sub(1)].1;
         LoadReport {
             run,
-            uptime_ms: millis(seen.duration_since(self.started)),
+            uptime_ms: millis(reported_at.duration_since(self.started)),
             running: load.running,
             queued: load.queued,
-            age_ms: millis(now.duration_since(seen)),
+            age_ms: millis(now.duration_since(reported_at)),
             cache_blocks: load.cache_blocks,
         }
     }
 
-    fn seen(&self, now: Instant) -> Instant {
+    /// Returns the moment that a report made now describes.
+    fn reported_at(&self, now: Instant) -> Instant {
         now.checked_sub(self.lag).map_or(self.started, |at| at.max(self.started))
     }
 }
 
-/// Whole milliseconds.
+/// Returns the whole milliseconds of a duration.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
