--- a/benches/idle.rs
+++ b/benches/idle.rs
@@ -32,7 +32,7 @@
         if wanted("fleets") {
             for (replicas, entries) in FLEETS {
                 let mut fleet = Fleet::prepare(replicas, entries).await;
-                fleet.add_stand_in("engine-0", "engine", &[]);
+                fleet.add_mock_endpoint("engine-0", "engine", &[]);
                 fleet.start_all().await;
                 fleet.publish_and_wait().await;
                 measure(&fleet, "one engine").await;
@@ -42,7 +42,7 @@
             for count in ENDPOINTS {
                 let mut fleet = Fleet::prepare(1, 1).await;
                 for i in 0..count {
-                    fleet.add_stand_in(&format!("engine-{i}"), "engine", &[]);
+                    fleet.add_mock_endpoint(&format!("engine-{i}"), "engine", &[]);
                 }
                 fleet.start_all().await;
                 fleet.publish_and_wait().await;
@@ -60,7 +60,7 @@
 /// Measures the publication of a large object set, of one change to it, and the idle fleet after.
 async fn measure_large_set(teams: u32) {
     let mut fleet = Fleet::prepare(3, 2).await;
-    fleet.add_stand_in("engine-0", "engine", &[]);
+    fleet.add_mock_endpoint("engine-0", "engine", &[]);
     fleet.start_all().await;
     for i in 0..teams {
         let digest = Digest::of_secret(&i.to_string());
--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -1,8 +1,8 @@
 //! Measures the overhead of an instance, compared with calls sent directly to the endpoint.
 //!
-//! One instance, two stand-ins and this load generator run as separate processes on loopback. Run
-//! with `cargo bench --bench overhead`. Each figure is printed next to that of direct calls in the
-//! same run, since other load on the machine affects both.
+//! One instance, two mock endpoints and this load generator run as separate processes on loopback.
+//! Run with `cargo bench --bench overhead`. Each figure is printed next to that of direct calls in
+//! the same run, since other load on the machine affects both.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -43,16 +43,16 @@
     fleet.objects.rate = (1_000_000, 1_000_000);
     let engine = ["--token-interval", "50ms", "--token-interval-per-call", "0ms"];
     let wide = ["--capacity", "8192", "--prefill-per-token", "0ms"];
-    fleet.add_stand_in("engine-1", "engine", &[&engine[..], &wide[..]].concat());
-    fleet.add_stand_in("orders-1", "service", &[]);
+    fleet.add_mock_endpoint("engine-1", "engine", &[&engine[..], &wide[..]].concat());
+    fleet.add_mock_endpoint("orders-1", "service", &[]);
     fleet.objects.capacity = 8192;
     fleet.start_all().await;
     fleet.publish_and_wait().await;
-    fleet.check_stand_ins();
+    fleet.check_mock_endpoints();
     let target = Target {
         entry: fleet.members[0].entry,
-        service: fleet.stand_ins[1].address,
-        engine: fleet.stand_ins[0].address,
+        service: fleet.mock_endpoints[1].address,
+        engine: fleet.mock_endpoints[0].address,
         key: fleet.objects.team_key().to_owned(),
         instance: fleet.members[0].process.as_ref().expect("process is not running").id(),
     };
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -17,7 +17,7 @@
 /// endpoint has run it and then failed.
 #[tokio::test(flavor = "multi_thread")]
 async fn failing_endpoint() {
-    let fleet = Fleet::with_stand_ins(2, &SERVICES).await;
+    let fleet = Fleet::with_mock_endpoints(2, &SERVICES).await;
     for fault in ["crash", "hang", "silent", "crossed", "truncate", "stall", "late:5000"] {
         let key = format!("order-{fault}");
         let body = format!("{{\"fault\": \"{fault}\"}}");
@@ -31,8 +31,8 @@
             assert_eq!(again.refusal(), expected, "{fault}: {again:?}");
         }
         eventually("both services to restart", async || {
-            fleet.try_query_stand_in(0, "/load").await.is_some()
-                && fleet.try_query_stand_in(1, "/load").await.is_some()
+            fleet.try_query_mock_endpoint(0, "/load").await.is_some()
+                && fleet.try_query_mock_endpoint(1, "/load").await.is_some()
         })
         .await;
         assert_eq!(fleet.executions_of(&key).await, 1, "{fault}");
@@ -43,7 +43,7 @@
 /// response.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_order() {
-    let fleet = Fleet::with_stand_ins(1, &SERVICES).await;
+    let fleet = Fleet::with_mock_endpoints(1, &SERVICES).await;
     for i in [0, 1, 0] {
         let order = fleet.order(i, "order-1", "{}").header("x-standin-fault", "error");
         assert_eq!(CallResponse::fetch(order).await.status, 500);
@@ -57,12 +57,12 @@
 async fn killed_endpoint() {
     let flags: &[&str] = &["--delay", "800ms"];
     let services = [("orders-1", "service", flags), ("orders-2", "service", flags)];
-    let mut fleet = Fleet::with_stand_ins(1, &services).await;
+    let mut fleet = Fleet::with_mock_endpoints(1, &services).await;
     let call = tokio::spawn(CallResponse::fetch(fleet.order(1, "during", "{}")));
     let mut at = None;
     eventually("a running order", async || {
         for i in 0..2 {
-            let load = fleet.try_query_stand_in(i, "/load").await.expect("no load report");
+            let load = fleet.try_query_mock_endpoint(i, "/load").await.expect("no load report");
             if load["running"] == 1 {
                 at = Some(i);
             }
@@ -71,7 +71,7 @@
     })
     .await;
     let killed = at.expect("no service runs the order");
-    fleet.kill_stand_in(killed);
+    fleet.kill_mock_endpoint(killed);
     let first = call.await.expect("task panicked");
     let unknown = ("outcome_unknown".to_owned(), "unknown".to_owned());
     assert_eq!(first.refusal(), unknown, "{first:?}");
@@ -84,14 +84,14 @@
         assert_eq!(answer.status, 200, "{answer:?}");
         assert_eq!(fleet.executions_of(&key).await, 1);
     }
-    fleet.kill_stand_in(1 - killed);
+    fleet.kill_mock_endpoint(1 - killed);
     let refused =
         CallResponse::fetch(fleet.order(1, "nowhere", "{}").header("x-poplarspan-deadline", 3000));
     let refused = refused.await;
     assert_eq!(refused.ran(), "no", "{refused:?}");
     assert!(refused.headers.contains_key("retry-after"), "{refused:?}");
-    fleet.start_stand_in(0);
-    fleet.start_stand_in(1);
+    fleet.start_mock_endpoint(0);
+    fleet.start_mock_endpoint(1);
     eventually("the order to succeed after the restart", async || {
         CallResponse::fetch(fleet.order(0, "nowhere", "{}")).await.status == 200
     })
@@ -102,7 +102,7 @@
 /// Copies of an order that arrive at several instances at the same time must not run in parallel.
 #[tokio::test(flavor = "multi_thread")]
 async fn parallel_copies() {
-    let fleet = Fleet::with_stand_ins(2, &SERVICES).await;
+    let fleet = Fleet::with_mock_endpoints(2, &SERVICES).await;
     for n in 0..8 {
         let key = format!("order-{n}");
         let copies = (0..6).map(|i| CallResponse::fetch(fleet.order(i % 3, &key, &key)));
@@ -121,7 +121,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_gone() {
     let flags: &[&str] = &["--delay", "300ms"];
-    let fleet = Fleet::with_stand_ins(1, &[("orders-1", "service", flags)]).await;
+    let fleet = Fleet::with_mock_endpoints(1, &[("orders-1", "service", flags)]).await;
     let order = fleet.order(1, "order-1", "{}").timeout(Duration::from_millis(150));
     order.send().await.expect_err("the client timeout must expire first");
     eventually("the recorded response", async || {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -15,7 +15,7 @@
 const MAX_GROWTH_BYTES: u64 = 64 << 20;
 
 async fn fleet() -> CallFleet {
-    Fleet::with_stand_ins(1, &ENGINE).await
+    Fleet::with_mock_endpoints(1, &ENGINE).await
 }
 
 async fn check_serving(fleet: &Fleet) {
@@ -54,7 +54,7 @@
             "too_large",
         ),
     ];
-    let before = fleet.try_query_stand_in(0, "/load").await;
+    let before = fleet.try_query_mock_endpoint(0, "/load").await;
     for (what, call, status, code) in cases {
         // The instance may respond and close while the refused body is still being sent.
         let Ok(answer) = call.send().await else {
--- a/tests/crash_containment.rs
+++ b/tests/crash_containment.rs
@@ -15,13 +15,13 @@
 async fn engines() -> CallFleet {
     let names = ["engine-1", "engine-2", "engine-3", "engine-4", "engine-5"];
     let engines = names.map(|name| (name, "engine", FLAGS));
-    Fleet::with_stand_ins(2, &engines).await
+    Fleet::with_mock_endpoints(2, &engines).await
 }
 
 /// Number of endpoints that have crashed.
 fn crashed(fleet: &Fleet) -> usize {
-    let crashes = |i: &usize| fleet.stand_in_log(*i).contains("mock endpoint crashed");
-    (0..fleet.stand_ins.len()).filter(crashes).count()
+    let crashes = |i: &usize| fleet.mock_endpoint_log(*i).contains("mock endpoint crashed");
+    (0..fleet.mock_endpoints.len()).filter(crashes).count()
 }
 
 /// A request that crashes endpoints must reach at most two of them, also if its caller resends it
@@ -55,7 +55,7 @@
 async fn parallel_resends() {
     let names = ["orders-1", "orders-2", "orders-3", "orders-4", "orders-5"];
     let services = names.map(|name| (name, "service", FLAGS));
-    let fleet = Fleet::with_stand_ins(2, &services).await;
+    let fleet = Fleet::with_mock_endpoints(2, &services).await;
     let first = CallResponse::fetch(fleet.order(1, "order-1", "crash-me")).await;
     assert_eq!(first.code(), "outcome_unknown", "{first:?}");
     assert_eq!(crashed(&fleet), 1);
--- a/tests/fleet_rate.rs
+++ b/tests/fleet_rate.rs
@@ -15,8 +15,8 @@
 const BURST: u32 = 40;
 
 async fn limited() -> CallFleet {
-    let stand_ins: &[(&str, &str, &[&str])] = &[("orders-1", "service", &[])];
-    Fleet::configured(3, stand_ins, |fleet| fleet.objects.rate = (RATE, BURST)).await
+    let mock_endpoints: &[(&str, &str, &[&str])] = &[("orders-1", "service", &[])];
+    Fleet::configured(3, mock_endpoints, |fleet| fleet.objects.rate = (RATE, BURST)).await
 }
 
 /// Sends calls of one team to one instance at a fixed interval; returns the responses.
@@ -50,7 +50,7 @@
 
 /// Number of calls with this key that reached the service.
 async fn reached(fleet: &Fleet, key: &str) -> u64 {
-    let list: Value = fleet.try_query_stand_in(0, "/executions").await.expect("not a list");
+    let list: Value = fleet.try_query_mock_endpoint(0, "/executions").await.expect("not a list");
     let counted = list.as_array().expect("not a list").iter().find(|e| e["key"] == key);
     counted.map_or(0, |e| e["executions"].as_u64().expect("not a count"))
 }
--- a/tests/frozen_instance.rs
+++ b/tests/frozen_instance.rs
@@ -23,8 +23,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn key_withdrawn_meanwhile() {
     let mut fleet = Fleet::prepare(3, 1).await;
-    fleet.add_stand_in("engine-1", "engine", &[]);
-    fleet.add_stand_in("orders-1", "service", &["--delay", "300ms"]);
+    fleet.add_mock_endpoint("engine-1", "engine", &[]);
+    fleet.add_mock_endpoint("orders-1", "service", &["--delay", "300ms"]);
     fleet.objects.capacity = 8;
     fleet.start_all().await;
     fleet.publish_and_wait().await;
@@ -35,8 +35,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leader_frozen() {
     let mut fleet = Fleet::prepare(3, 0).await;
-    fleet.add_stand_in("engine-1", "engine", &[]);
-    fleet.add_stand_in("orders-1", "service", &["--delay", "300ms"]);
+    fleet.add_mock_endpoint("engine-1", "engine", &[]);
+    fleet.add_mock_endpoint("orders-1", "service", &["--delay", "300ms"]);
     fleet.objects.capacity = 8;
     fleet.start_all().await;
     fleet.publish_and_wait().await;
--- a/tests/graceful_drain.rs
+++ b/tests/graceful_drain.rs
@@ -14,8 +14,8 @@
 async fn open_calls() {
     let engine: &[&str] = &["--token-interval", "20ms", "--capacity", "4"];
     let service: &[&str] = &["--delay", "1500ms"];
-    let stand_ins = [("engine-1", "engine", engine), ("orders-1", "service", service)];
-    let mut fleet = Fleet::configured(2, &stand_ins, |fleet| {
+    let mock_endpoints = [("engine-1", "engine", engine), ("orders-1", "service", service)];
+    let mut fleet = Fleet::configured(2, &mock_endpoints, |fleet| {
         // The engine runs four calls at once; the instance queues the others.
         fleet.objects.capacity = 4;
     })
@@ -35,8 +35,8 @@
     let gone = fleet.order(1, "order-gone", "{}").timeout(Duration::from_millis(500));
     gone.send().await.expect_err("the client timeout must expire first");
     eventually("running calls", async || {
-        let engine = fleet.try_query_stand_in(0, "/load").await.expect("no load report");
-        let service = fleet.try_query_stand_in(1, "/load").await.expect("no load report");
+        let engine = fleet.try_query_mock_endpoint(0, "/load").await.expect("no load report");
+        let service = fleet.try_query_mock_endpoint(1, "/load").await.expect("no load report");
         engine["running"].as_u64() >= Some(1) && service["running"].as_u64() >= Some(1)
     })
     .await;
--- a/tests/lost_instance.rs
+++ b/tests/lost_instance.rs
@@ -19,8 +19,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn open_calls() {
     let mut fleet = Fleet::prepare(3, 1).await;
-    fleet.add_stand_in("engine-1", "engine", &["--token-interval", "700ms"]);
-    fleet.add_stand_in("orders-1", "service", &["--delay", "4s"]);
+    fleet.add_mock_endpoint("engine-1", "engine", &["--token-interval", "700ms"]);
+    fleet.add_mock_endpoint("orders-1", "service", &["--delay", "4s"]);
     fleet.start_all().await;
     fleet.publish_and_wait().await;
     let turn = |i: usize| {
@@ -32,7 +32,8 @@
     let lost = [tokio::spawn(turn_at(ENTRY)), tokio::spawn(order_at(ENTRY))];
     eventually("both calls to reach their endpoints", async || {
         fleet.executions(SERVICE, ORDER).await == 1
-            && fleet.query_stand_in(ENGINE, "/held").await == serde_json::json!(["team-a/trip"])
+            && fleet.query_mock_endpoint(ENGINE, "/held").await
+                == serde_json::json!(["team-a/trip"])
     })
     .await;
     let calls = (turn(OTHER), fleet.order(OTHER, ORDER, "{}"));
@@ -50,7 +51,7 @@
     assert_eq!(fleet.executions(SERVICE, ORDER).await, 1);
     assert_eq!(fleet.history("trip").await, [(1, "a long question".to_owned())]);
     assert_ne!(
-        fleet.query_stand_in(ENGINE, "/held").await,
+        fleet.query_mock_endpoint(ENGINE, "/held").await,
         serde_json::json!([]),
         "an open program keeps its memory"
     );
@@ -58,7 +59,7 @@
     let finish = fleet.client.post(url).bearer_auth(fleet.objects.team_key());
     assert_eq!(send_call(finish).await.status, 200);
     eventually("the engine to release its memory", async || {
-        fleet.query_stand_in(ENGINE, "/held").await == serde_json::json!([])
+        fleet.query_mock_endpoint(ENGINE, "/held").await == serde_json::json!([])
     })
     .await;
     let again = send_call(fleet.order(1, ORDER, "{}")).await;
--- a/tests/program_budgets.rs
+++ b/tests/program_budgets.rs
@@ -100,7 +100,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn turn_limit() {
     let engine: &[(&str, &str, &[&str])] = &[("engine-1", "engine", &["--token-interval", "1ms"])];
-    let fleet = Fleet::with_stand_ins(1, engine).await;
+    let fleet = Fleet::with_mock_endpoints(1, engine).await;
     let call = |n: usize| {
         let call = fleet.chat(n % 2, &format!("question {n}"));
         CallResponse::fetch(call.header("x-poplarspan-program", "loop"))
@@ -117,7 +117,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn history_size() {
     let engine: &[(&str, &str, &[&str])] = &[("engine-1", "engine", &["--token-interval", "1ms"])];
-    let fleet = Fleet::with_stand_ins(1, engine).await;
+    let fleet = Fleet::with_mock_endpoints(1, engine).await;
     let mut messages = vec![json!({"role": "user", "content": "first question"})];
     for n in 1..=4 {
         let call = fleet.chat_with(n % 2, "", json!({"messages": messages}));
--- a/tests/released_memory.rs
+++ b/tests/released_memory.rs
@@ -10,15 +10,18 @@
 
 async fn wait_released(fleet: &Fleet) {
     eventually("the engine to release its memory", async || {
-        fleet.try_query_stand_in(0, "/held").await == Some(json!([]))
-            && fleet.try_query_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
+        fleet.try_query_mock_endpoint(0, "/held").await == Some(json!([]))
+            && fleet
+                .try_query_mock_endpoint(0, "/load")
+                .await
+                .is_some_and(|load| load["running"] == 0)
     })
     .await;
 }
 
 async fn wait_held(fleet: &Fleet, program: &str) {
     eventually("the engine to hold memory of the program", async || {
-        let held = fleet.try_query_stand_in(0, "/held").await.unwrap_or(Value::Null);
+        let held = fleet.try_query_mock_endpoint(0, "/held").await.unwrap_or(Value::Null);
         let held = held.as_array().cloned().unwrap_or_default();
         held.iter().any(|name| name.as_str() == Some(&format!("team-a/{program}")))
     })
@@ -36,7 +39,7 @@
 /// stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn finished_program() {
-    let fleet = Fleet::with_stand_ins(1, &ENGINE).await;
+    let fleet = Fleet::with_mock_endpoints(1, &ENGINE).await;
     let question = "a question that is longer than a block ".repeat(40);
     let root = fleet.chat(1, &question).header("x-poplarspan-program", "trip");
     assert_eq!(CallResponse::fetch(root).await.status, 200);
@@ -55,7 +58,7 @@
 /// A stream must be cancelled at its engine after its caller disconnects or its instance is killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_streams() {
-    let mut fleet = Fleet::with_stand_ins(2, &ENGINE).await;
+    let mut fleet = Fleet::with_mock_endpoints(2, &ENGINE).await;
     let long = json!({"stream": true, "max_tokens": 4000});
     let start = async |i: usize, program: &str| {
         let call = fleet.chat_with(i, program, long.clone());
@@ -68,7 +71,7 @@
     wait_held(&fleet, "hung-up").await;
     drop(hung_up);
     eventually("the cancelled stream", async || {
-        fleet.try_query_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
+        fleet.try_query_mock_endpoint(0, "/load").await.is_some_and(|load| load["running"] == 0)
     })
     .await;
     let lost = start(1, "lost").await;
@@ -76,7 +79,7 @@
     fleet.kill(1);
     assert!(lost.text().await.is_err());
     eventually("the cancelled stream", async || {
-        fleet.try_query_stand_in(0, "/load").await.is_some_and(|load| load["running"] == 0)
+        fleet.try_query_mock_endpoint(0, "/load").await.is_some_and(|load| load["running"] == 0)
     })
     .await;
     for program in ["hung-up", "lost"] {
--- a/tests/silent_connections.rs
+++ b/tests/silent_connections.rs
@@ -10,7 +10,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_engine() {
     let flags: &[&str] = &["--token-interval", "2ms"];
-    let fleet = Fleet::with_stand_ins(1, &[("engine-1", "engine", flags)]).await;
+    let fleet = Fleet::with_mock_endpoints(1, &[("engine-1", "engine", flags)]).await;
     for round in 0..2 {
         // Fills the connection pool.
         let calls =
@@ -38,7 +38,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stalled_pool() {
     let flags: &[&str] = &["--token-interval", "2ms"];
-    let fleet = Fleet::with_stand_ins(1, &[("engine-1", "engine", flags)]).await;
+    let fleet = Fleet::with_mock_endpoints(1, &[("engine-1", "engine", flags)]).await;
     let calls = (0..6).map(|n| CallResponse::fetch(fleet.chat(1, &format!("before {n}"))));
     assert!(join_all(calls).await.iter().all(|response| response.status == 200));
     // Sent through the other instance, so that the idle connections of instance 1 stall as well.
--- a/tests/status_warnings.rs
+++ b/tests/status_warnings.rs
@@ -10,7 +10,7 @@
 async fn majority_in_one_zone() {
     let mut fleet = Fleet::prepare(3, 0).await;
     "zone-1".clone_into(&mut fleet.members[1].zone);
-    fleet.add_stand_in("engine-1", "engine", &[]);
+    fleet.add_mock_endpoint("engine-1", "engine", &[]);
     fleet.start_all().await;
     fleet.publish_and_wait().await;
     let expected = "zone zone-1 holds 2 of 3 voters";
--- a/tests/support/calls.rs
+++ b/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! Responses as callers receive them, and fleets with chosen stand-ins.
+//! Responses as callers receive them, and fleets with chosen mock endpoints.
 
 use std::{
     ops::{Deref, DerefMut},
@@ -85,34 +85,34 @@
 }
 
 impl Fleet {
-    /// Starts one control replica, `entries` entry instances, and stand-ins given as name, kind and
-    /// flags.
-    pub async fn with_stand_ins(
+    /// Starts one control replica, `entries` entry instances, and mock endpoints given as name,
+    /// kind and flags.
+    pub async fn with_mock_endpoints(
         entries: u64,
-        stand_ins: &[(&str, &'static str, &[&str])],
+        mock_endpoints: &[(&str, &'static str, &[&str])],
     ) -> CallFleet {
-        Self::configured(entries, stand_ins, |_| {}).await
+        Self::configured(entries, mock_endpoints, |_| {}).await
     }
 
-    /// Like [`Fleet::with_stand_ins`], but applies `change` before any process starts.
+    /// Like [`Fleet::with_mock_endpoints`], but applies `change` before any process starts.
     pub async fn configured(
         entries: u64,
-        stand_ins: &[(&str, &'static str, &[&str])],
+        mock_endpoints: &[(&str, &'static str, &[&str])],
         change: impl FnOnce(&mut Self),
     ) -> CallFleet {
         let permit = FLEET_PERMITS.acquire().await.expect("semaphore is closed");
         let mut fleet = Self::prepare(1, entries).await;
         change(&mut fleet);
-        for (name, kind, flags) in stand_ins {
-            fleet.add_stand_in(name, kind, flags);
+        for (name, kind, flags) in mock_endpoints {
+            fleet.add_mock_endpoint(name, kind, flags);
         }
-        if stand_ins.iter().all(|(_, kind, _)| *kind != "engine") {
+        if mock_endpoints.iter().all(|(_, kind, _)| *kind != "engine") {
             // The object file has a chat route, so at least one endpoint must serve the model.
-            fleet.add_stand_in("spare-engine", "engine", &[]);
+            fleet.add_mock_endpoint("spare-engine", "engine", &[]);
         }
         fleet.start_all().await;
         fleet.publish_and_wait().await;
-        fleet.check_stand_ins();
+        fleet.check_mock_endpoints();
         fleet.warm_up().await;
         CallFleet { fleet, _permit: permit }
     }
@@ -152,9 +152,11 @@
     /// Number of executions under an idempotency key, summed over all running services.
     pub async fn executions_of(&self, key: &str) -> u64 {
         let mut sum = 0;
-        for i in 0..self.stand_ins.len() {
-            if self.stand_ins[i].kind == "service" && self.stand_ins[i].process.is_some() {
-                let list = self.try_query_stand_in(i, "/executions").await.expect("not a list");
+        for i in 0..self.mock_endpoints.len() {
+            if self.mock_endpoints[i].kind == "service" && self.mock_endpoints[i].process.is_some()
+            {
+                let list =
+                    self.try_query_mock_endpoint(i, "/executions").await.expect("not a list");
                 let counted = list.as_array().expect("not a list").iter().find(|e| e["key"] == key);
                 sum += counted.map_or(0, |e| e["executions"].as_u64().expect("not a count"));
             }
@@ -162,21 +164,21 @@
         sum
     }
 
-    /// Sends a `GET` to a stand-in over a new connection, since open ones may be stalled. None if
-    /// there is no JSON response.
-    pub async fn try_query_stand_in(&self, i: usize, path: &str) -> Option<Value> {
-        let url = format!("http://{}{path}", self.stand_ins[i].address);
+    /// Sends a `GET` to a mock endpoint over a new connection, since open ones may be stalled. None
+    /// if there is no JSON response.
+    pub async fn try_query_mock_endpoint(&self, i: usize, path: &str) -> Option<Value> {
+        let url = format!("http://{}{path}", self.mock_endpoints[i].address);
         UNPOOLED_CLIENT.get(url).timeout(WAIT_TIMEOUT).send().await.ok()?.json().await.ok()
     }
 
-    /// Sends SIGKILL to a stand-in and waits for its exit.
-    pub fn kill_stand_in(&mut self, i: usize) {
-        self.stand_ins[i].process.take().expect("stand-in is not running").kill();
+    /// Sends SIGKILL to a mock endpoint and waits for its exit.
+    pub fn kill_mock_endpoint(&mut self, i: usize) {
+        self.mock_endpoints[i].process.take().expect("mock endpoint is not running").kill();
     }
 
-    /// Log of a stand-in.
-    pub fn stand_in_log(&self, i: usize) -> String {
-        let path = self.folder.path().join(&self.stand_ins[i].name);
+    /// Log of a mock endpoint.
+    pub fn mock_endpoint_log(&self, i: usize) -> String {
+        let path = self.folder.path().join(&self.mock_endpoints[i].name);
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -53,7 +53,7 @@
 /// A fleet of processes in a temporary folder. Dropping it kills the processes.
 pub struct Fleet {
     pub members: Vec<Member>,
-    pub stand_ins: Vec<StandIn>,
+    pub mock_endpoints: Vec<MockEndpoint>,
     pub objects: ObjectFile,
     pub network: Network,
     pub client: reqwest::Client,
@@ -64,8 +64,8 @@
     _permit: SemaphorePermit<'static>,
 }
 
-/// A stand-in endpoint process.
-pub struct StandIn {
+/// A process that serves as a mock endpoint.
+pub struct MockEndpoint {
     pub name: String,
     pub address: SocketAddr,
     kind: &'static str,
@@ -78,11 +78,11 @@
     /// and publishes an object set with them.
     pub async fn start(replicas: u64, entries: u64) -> Self {
         let mut fleet = Self::prepare(replicas, entries).await;
-        fleet.add_stand_in("engine-1", "engine", &["--token-interval", "2ms"]);
-        fleet.add_stand_in("orders-1", "service", &[]);
+        fleet.add_mock_endpoint("engine-1", "engine", &["--token-interval", "2ms"]);
+        fleet.add_mock_endpoint("orders-1", "service", &[]);
         fleet.start_all().await;
         fleet.publish_and_wait().await;
-        fleet.check_stand_ins();
+        fleet.check_mock_endpoints();
         fleet
     }
 
@@ -109,10 +109,10 @@
         let client =
             reqwest::Client::builder().no_proxy().build().expect("failed to build the HTTP client");
         let objects = ObjectFile::new();
-        let stand_ins = Vec::new();
+        let mock_endpoints = Vec::new();
         let fleet = Self {
             members,
-            stand_ins,
+            mock_endpoints,
             objects,
             network,
             client,
@@ -146,29 +146,31 @@
         self.folder.path().join(format!("data-{replica}"))
     }
 
-    /// Starts a stand-in and adds it to the object file.
-    pub fn add_stand_in(&mut self, name: &str, kind: &'static str, flags: &[&str]) {
+    /// Starts a mock endpoint and adds it to the object file.
+    pub fn add_mock_endpoint(&mut self, name: &str, kind: &'static str, flags: &[&str]) {
         let address = free_port();
         let flags = flags.iter().map(|f| (*f).to_owned()).collect();
-        let stand_in = StandIn { name: name.to_owned(), address, kind, flags, process: None };
-        self.stand_ins.push(stand_in);
+        let mock_endpoint =
+            MockEndpoint { name: name.to_owned(), address, kind, flags, process: None };
+        self.mock_endpoints.push(mock_endpoint);
         self.objects.add_endpoint(name, kind, address);
-        self.start_stand_in(self.stand_ins.len() - 1);
+        self.start_mock_endpoint(self.mock_endpoints.len() - 1);
     }
 
-    pub fn start_stand_in(&mut self, i: usize) {
-        let stand_in = &mut self.stand_ins[i];
-        let address = stand_in.address.to_string();
-        let mut args = vec!["endpoint", "--kind", stand_in.kind, "--address", &address];
-        args.extend(stand_in.flags.iter().map(String::as_str));
-        stand_in.process = Some(Process::start(&args, &self.folder.path().join(&stand_in.name)));
+    pub fn start_mock_endpoint(&mut self, i: usize) {
+        let mock_endpoint = &mut self.mock_endpoints[i];
+        let address = mock_endpoint.address.to_string();
+        let mut args = vec!["endpoint", "--kind", mock_endpoint.kind, "--address", &address];
+        args.extend(mock_endpoint.flags.iter().map(String::as_str));
+        mock_endpoint.process =
+            Some(Process::start(&args, &self.folder.path().join(&mock_endpoint.name)));
     }
 
-    /// Checks that no stand-in has exited, for instance because of an invalid flag.
-    pub fn check_stand_ins(&mut self) {
-        for stand_in in &mut self.stand_ins {
-            let ended = stand_in.process.as_mut().is_some_and(Process::has_ended);
-            assert!(!ended, "stand-in {} has exited", stand_in.name);
+    /// Checks that no mock endpoint has exited, for instance because of an invalid flag.
+    pub fn check_mock_endpoints(&mut self) {
+        for mock_endpoint in &mut self.mock_endpoints {
+            let ended = mock_endpoint.process.as_mut().is_some_and(Process::has_ended);
+            assert!(!ended, "mock endpoint {} has exited", mock_endpoint.name);
         }
     }
 
@@ -357,25 +359,25 @@
         request.header("idempotency-key", key).body(body.to_owned())
     }
 
-    /// Number of times that the stand-in service ran the request with an idempotency key.
-    pub async fn executions(&self, stand_in: usize, key: &str) -> u64 {
-        let all = self.all_executions(stand_in).await;
+    /// Number of times that the mock service ran the request with an idempotency key.
+    pub async fn executions(&self, mock_endpoint: usize, key: &str) -> u64 {
+        let all = self.all_executions(mock_endpoint).await;
         all.iter().find(|(k, _)| k == key).map_or(0, |(_, n)| *n)
     }
 
-    /// Number of times that the stand-in service ran each request, by idempotency key. Requests
-    /// without a key are left out.
-    pub async fn all_executions(&self, stand_in: usize) -> Vec<(String, u64)> {
-        let list = self.query_stand_in(stand_in, "/executions").await;
+    /// Number of times that the mock service ran each request, by idempotency key. Requests without
+    /// a key are left out.
+    pub async fn all_executions(&self, mock_endpoint: usize) -> Vec<(String, u64)> {
+        let list = self.query_mock_endpoint(mock_endpoint, "/executions").await;
         let read =
             |e: &serde_json::Value| Some((e["key"].as_str()?.into(), e["executions"].as_u64()?));
         let all = list.as_array().expect("not a list").iter().filter_map(read);
         all.filter(|(key, _): &(String, u64)| !key.is_empty()).collect()
     }
 
-    /// Sends a `GET` to one of the stand-in's own paths and returns its JSON response.
-    pub async fn query_stand_in(&self, stand_in: usize, path: &str) -> serde_json::Value {
-        let url = format!("http://{}{path}", self.stand_ins[stand_in].address);
+    /// Sends a `GET` to one of the mock endpoint's own paths and returns its JSON response.
+    pub async fn query_mock_endpoint(&self, mock_endpoint: usize, path: &str) -> serde_json::Value {
+        let url = format!("http://{}{path}", self.mock_endpoints[mock_endpoint].address);
         self.client
             .get(url)
             .send()
--- a/tests/support/traffic.rs
+++ b/tests/support/traffic.rs
@@ -109,7 +109,7 @@
 
     /// Stops the callers and checks what was acknowledged: each completed turn is in the history
     /// once and in order, each completed order ran once, and no order ran twice.
-    pub async fn stop_and_check(mut self, fleet: &Fleet, stand_in: usize) {
+    pub async fn stop_and_check(mut self, fleet: &Fleet, mock_endpoint: usize) {
         self.stop.store(true, Ordering::Relaxed);
         while let Some(ended) = self.tasks.join_next().await {
             ended.expect("caller panicked");
@@ -125,7 +125,7 @@
         }
         let orders =
             std::mem::take(&mut *self.acknowledged.orders.lock().expect("lock is poisoned"));
-        let executions = fleet.all_executions(stand_in).await;
+        let executions = fleet.all_executions(mock_endpoint).await;
         for (key, answered) in orders {
             let ran = executions.iter().find(|(k, _)| *k == key).map_or(0, |(_, n)| *n);
             let allowed = if answered { 1..=1 } else { 0..=1 };
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -32,7 +32,7 @@
 /// A truncated, crossed or late response must not be passed on as complete or recorded for resends.
 #[tokio::test(flavor = "multi_thread")]
 async fn failing_answers() {
-    let fleet = Fleet::with_stand_ins(1, &engines()).await;
+    let fleet = Fleet::with_mock_endpoints(1, &engines()).await;
     for fault in FAULTS {
         for stream in [false, true] {
             for program in [false, true] {
@@ -57,7 +57,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_stream() {
     let flags: &[&str] = &["--token-interval", "20ms"];
-    let mut fleet = Fleet::with_stand_ins(1, &[("engine-1", "engine", flags)]).await;
+    let mut fleet = Fleet::with_mock_endpoints(1, &[("engine-1", "engine", flags)]).await;
     for http2 in [false, true] {
         let client = reqwest::Client::builder().no_proxy();
         let client = if http2 { client.http2_prior_knowledge() } else { client };
@@ -73,10 +73,10 @@
             .await
             .expect("failed to read the first event")
             .expect("failed to read the first event");
-        fleet.kill_stand_in(0);
+        fleet.kill_mock_endpoint(0);
         let rest = answer.text().await;
         assert!(rest.is_err(), "http2={http2}: {rest:?}");
-        fleet.start_stand_in(0);
+        fleet.start_mock_endpoint(0);
         fleet.warm_up().await;
     }
 }
@@ -84,9 +84,9 @@
 /// A call that may be repeated must be retried at another endpoint.
 #[tokio::test(flavor = "multi_thread")]
 async fn retried_call() {
-    let mut fleet = Fleet::with_stand_ins(1, &engines()).await;
+    let mut fleet = Fleet::with_mock_endpoints(1, &engines()).await;
     for killed in [0, 1] {
-        fleet.kill_stand_in(killed);
+        fleet.kill_mock_endpoint(killed);
         for program in [false, true] {
             for n in 0..4 {
                 let what = format!("killed={killed} program={program} {n}");
@@ -101,7 +101,7 @@
                 check(&what, &response, n % 2 == 1);
             }
         }
-        fleet.start_stand_in(killed);
+        fleet.start_mock_endpoint(killed);
         fleet.warm_up().await;
     }
 }
--- a/tests/withdrawn_key.rs
+++ b/tests/withdrawn_key.rs
@@ -25,8 +25,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn waiting_calls() {
     let mut fleet = Fleet::prepare(1, 1).await;
-    fleet.add_stand_in("engine-1", "engine", &["--capacity", "4", "--token-interval", "800ms"]);
-    fleet.add_stand_in("orders-1", "service", &["--delay", "3s"]);
+    fleet.add_mock_endpoint(
+        "engine-1",
+        "engine",
+        &["--capacity", "4", "--token-interval", "800ms"],
+    );
+    fleet.add_mock_endpoint("orders-1", "service", &["--delay", "3s"]);
     fleet.objects.capacity = 4;
     fleet.start_all().await;
     fleet.publish_and_wait().await;
@@ -44,7 +48,7 @@
     }
     eventually("calls to reach both endpoints", async || {
         !fleet.all_executions(SERVICE).await.is_empty()
-            && fleet.query_stand_in(ENGINE, "/load").await["running"] != 0
+            && fleet.query_mock_endpoint(ENGINE, "/load").await["running"] != 0
     })
     .await;
     fleet.objects.withdrawn = true;
--- a/tests/zone_out.rs
+++ b/tests/zone_out.rs
@@ -16,7 +16,7 @@
 };
 use tokio::{task::JoinSet, time::sleep};
 
-/// Indices of the stand-in services; the first is in zone-1.
+/// Indices of the mock services; the first is in zone-1.
 const FIRST: usize = 0;
 const OTHERS: [usize; 2] = [1, 2];
 const CALLERS: usize = 24;
@@ -64,8 +64,8 @@
     }
 }
 
-async fn served(fleet: &Fleet, stand_in: usize) -> usize {
-    fleet.all_executions(stand_in).await.len()
+async fn served(fleet: &Fleet, mock_endpoint: usize) -> usize {
+    fleet.all_executions(mock_endpoint).await.len()
 }
 
 async fn served_by_others(fleet: &Fleet) -> usize {
@@ -94,9 +94,9 @@
 async fn zone_and_endpoint() {
     let mut fleet = Fleet::prepare(1, 1).await;
     for name in ["orders-1", "orders-2", "orders-3"] {
-        fleet.add_stand_in(name, "service", &["--delay", "50ms"]);
+        fleet.add_mock_endpoint(name, "service", &["--delay", "50ms"]);
     }
-    fleet.add_stand_in("engine-1", "engine", &[]);
+    fleet.add_mock_endpoint("engine-1", "engine", &[]);
     fleet.objects.capacity = 6;
     fleet.objects.rate = (5000, 5000);
     fleet.start_all().await;
