--- a/tests/endless_bytes.rs
+++ b/tests/endless_bytes.rs
@@ -42,17 +42,17 @@
         assert!(!is_complete_success(&answer), "{path} was reported as a complete success");
         assert!(since.elapsed() < TIMEOUT + ANSWER_GRACE, "{path} took {:?}", since.elapsed());
     };
-    let most = async {
-        let mut most = 0;
+    let watch_memory = async {
+        let mut peak_mib = 0;
         loop {
-            most = fleet.fronts[0].memory_mib().max(most);
-            assert!(most < MAX_FRONT_MIB, "{path}: {most} MiB");
+            peak_mib = fleet.fronts[0].memory_mib().max(peak_mib);
+            assert!(peak_mib < MAX_FRONT_MIB, "{path}: {peak_mib} MiB");
             sleep(Duration::from_millis(20)).await;
         }
     };
     tokio::select! {
         _ = join_all((0..CALLS).map(call)) => {}
-        () = most => {}
+        () = watch_memory => {}
     }
 }
 
--- a/tests/fleet_rate.rs
+++ b/tests/fleet_rate.rs
@@ -56,8 +56,11 @@
 }
 
 fn check_bound(reached: u64, started: Instant) {
-    let most = f64::from(BURST) + f64::from(RATE) * started.elapsed().as_secs_f64();
-    assert!(reached as f64 <= most, "{reached} calls reached the service; the rate allows {most}");
+    let limit = f64::from(BURST) + f64::from(RATE) * started.elapsed().as_secs_f64();
+    assert!(
+        reached as f64 <= limit,
+        "{reached} calls reached the service; the rate allows {limit}"
+    );
     assert!(reached > u64::from(RATE), "only {reached} calls reached the service");
 }
 
--- a/tests/program_budgets.rs
+++ b/tests/program_budgets.rs
@@ -88,11 +88,11 @@
         call(300, 0).await.status == 200
     })
     .await;
-    let whole = call(975, 1).await;
+    let over_budget = call(975, 1).await;
     assert_eq!(
-        whole.code(),
+        over_budget.code(),
         "budget_exceeded",
-        "the tokens of the stream were not charged: {whole:?}"
+        "the tokens of the stream were not charged: {over_budget:?}"
     );
 }
 
--- a/tests/racing_operators.rs
+++ b/tests/racing_operators.rs
@@ -74,9 +74,10 @@
         (0..outcomes.len()).filter(|n| outcomes[*n].status.success()).collect();
     let texts: Vec<_> = outcomes.iter().map(|o| (&o.stdout, &o.stderr)).collect();
     assert_eq!(winners.len(), 1, "{texts:?}");
-    let told = format!("generation {} was published by operator-{}", expected + 1, winners[0]);
+    let expected_message =
+        format!("generation {} was published by operator-{}", expected + 1, winners[0]);
     for (n, outcome) in outcomes.iter().enumerate() {
-        assert!(n == winners[0] || outcome.stderr.contains(&told), "{texts:?}");
+        assert!(n == winners[0] || outcome.stderr.contains(&expected_message), "{texts:?}");
     }
     winners[0]
 }
@@ -108,12 +109,16 @@
             })
             .collect();
         fleet.kill(leader);
-        let told = format!("published as generation {}\n", generation + 1);
+        let expected_message = format!("published as generation {}\n", generation + 1);
         for copy in copies {
-            assert_eq!(copy.await.expect("publication failed"), told);
+            assert_eq!(copy.await.expect("publication failed"), expected_message);
         }
         let late = operator.publish(3, &text, generation, &request, &["--no-wait"]);
-        assert_eq!(late.success().stdout, told, "a resend to the new leader has another outcome");
+        assert_eq!(
+            late.success().stdout,
+            expected_message,
+            "a resend to the new leader has another outcome"
+        );
         let objects = fleet.operate(3, &["get"]).success().stdout;
         assert!(objects.starts_with(&format!("generation {}\n", generation + 1)), "{objects}");
         assert!(objects.contains(&format!("\"marker-{generation}\"")), "{objects}");
--- a/tests/support/soak/check.rs
+++ b/tests/support/soak/check.rs
@@ -146,13 +146,13 @@
         let mut at: Vec<_> =
             self.executions.iter().filter(|r| r.team == "blue").map(|r| r.at).collect();
         at.sort_unstable();
-        let most =
+        let limit =
             (RATE_PER_S * WINDOW.as_secs_f64() + BURST) * (1.0 + ALLOWED_EXCESS) + SLACK_CALLS;
         let count =
             |from: &Instant| at.iter().filter(|t| *t >= from && **t < *from + WINDOW).count();
         let worst = at.iter().map(count).max()?;
-        (worst as f64 > most)
-            .then(|| format!("{worst} calls of a team in one window, at most {most} allowed"))
+        (worst as f64 > limit)
+            .then(|| format!("{worst} calls of a team in one window, at most {limit} allowed"))
     }
 
     fn crashing(&self, runs: &BTreeMap<&str, Vec<&Execution>>) -> Vec<String> {
@@ -184,9 +184,9 @@
         let calls = self.calls.iter().filter(is_other).count();
         let refused =
             self.calls.iter().filter(is_other).filter(|s| s.status == REFUSED_STATUS).count();
-        let most = MAX_REFUSED + calls * MAX_REFUSED_PER_THOUSAND / 1_000;
-        (refused > most)
-            .then(|| format!("{refused} of {calls} other calls refused, at most {most} allowed"))
+        let limit = MAX_REFUSED + calls * MAX_REFUSED_PER_THOUSAND / 1_000;
+        (refused > limit)
+            .then(|| format!("{refused} of {calls} other calls refused, at most {limit} allowed"))
     }
 
     fn revocation(&self) -> Vec<String> {
--- a/tests/support/traffic.rs
+++ b/tests/support/traffic.rs
@@ -118,10 +118,10 @@
         assert!(!turns.is_empty(), "no turn was completed");
         for (program, answered) in turns {
             let history = fleet.history(&program).await;
-            let whole: Vec<(u64, String)> = (1..=answered.max(history.len() as u32))
+            let expected: Vec<(u64, String)> = (1..=answered.max(history.len() as u32))
                 .map(|turn| (u64::from(turn), content(&program, turn)))
                 .collect();
-            assert_eq!(history, whole, "{program}: {answered} turns were completed");
+            assert_eq!(history, expected, "{program}: {answered} turns were completed");
         }
         let orders =
             std::mem::take(&mut *self.acknowledged.orders.lock().expect("lock is poisoned"));
@@ -153,8 +153,8 @@
                     }
                     let call = self.call("/v1/chat/completions").json(&body);
                     let call = call.header("x-poplarspan-program", &program);
-                    let got = send_call(call.header("x-poplarspan-turn", turn)).await;
-                    if got.status == 200 {
+                    let outcome = send_call(call.header("x-poplarspan-turn", turn)).await;
+                    if outcome.status == 200 {
                         break;
                     }
                     sleep(RETRY_DELAY).await;
--- a/tests/zone_out.rs
+++ b/tests/zone_out.rs
@@ -45,9 +45,9 @@
                     }
                     let request = client.get(&url).bearer_auth(&key);
                     let key = format!("call-{n}-{call}");
-                    let got = send_call(request.header("idempotency-key", key)).await;
-                    if got.status != 200 {
-                        refused.push(got);
+                    let outcome = send_call(request.header("idempotency-key", key)).await;
+                    if outcome.status != 200 {
+                        refused.push(outcome);
                     }
                 }
                 refused
