--- a/crates/core/commands/certs.rs
+++ b/crates/core/commands/certs.rs
@@ -1,4 +1,4 @@
-//! Certificates for the peer port.
+//! Generates certificates for the peer port.
 
 use std::{
     fs::{self, OpenOptions},
@@ -16,27 +16,29 @@
 
 use crate::flags::CertsFlags;
 
-/// Names in the certificates; the peer port tells instances from operators by them.
+/// File stem and DNS name of each certificate. The peer port distinguishes instances from operators
+/// by the DNS name.
 const CERTIFICATES: [(&str, &str); 2] =
     [("instance", "instance.poplarspan.internal"), ("operator", "operator.poplarspan.internal")];
 
-/// The file that is written last.
+/// File that is written last, so its existence shows that the folder is complete.
 const LAST_FILE: &str = "operator.key";
 
 /// `certs`
 pub(crate) fn run(flags: &CertsFlags) -> Result<ExitCode> {
     if flags.keep && flags.out.join(LAST_FILE).exists() {
-        println!("kept the certificates in {}", flags.out.display());
+        println!("keeping the existing certificates in {}", flags.out.display());
         return Ok(ExitCode::SUCCESS);
     }
     fs::create_dir_all(&flags.out)
-        .with_context(|| format!("cannot make {}", flags.out.display()))?;
+        .with_context(|| format!("cannot create {}", flags.out.display()))?;
     create_all(&flags.out)?;
     println!("wrote authority, instance and operator certificates to {}", flags.out.display());
     Ok(ExitCode::SUCCESS)
 }
 
-/// Makes an authority, and a certificate for instances and one for operators.
+/// Creates a certificate authority, a certificate for instances and one for operators, each with
+/// its private key. Fails if one of the files exists.
 pub(crate) fn create_all(folder: &Path) -> Result<()> {
     let authority_key = KeyPair::generate()?;
     let mut authority = CertificateParams::default();
@@ -62,13 +64,13 @@
 
 fn create_file(folder: &Path, name: &str, text: &str) -> Result<()> {
     let path = folder.join(name);
-    // Keys are for their owner only.
+    // Private keys must only be readable by their owner.
     let mode = if name.ends_with(".key") { 0o600 } else { 0o644 };
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(mode)
         .open(&path)
-        .with_context(|| format!("cannot make {}", path.display()))?;
+        .with_context(|| format!("cannot create {}", path.display()))?;
     file.write_all(text.as_bytes()).with_context(|| format!("cannot write {}", path.display()))
 }
--- a/crates/core/commands/dev.rs
+++ b/crates/core/commands/dev.rs
@@ -1,4 +1,4 @@
-//! Everything in one process, to try it out.
+//! Runs an instance with simulated endpoints and sample objects in one process.
 
 use std::{
     io::{self, Write},
@@ -21,19 +21,19 @@
 use super::{certs, serve};
 use crate::flags::DevFlags;
 
-/// The sample objects, with places for what is only known at run time.
+/// The sample objects. Endpoint addresses and the key digest are replaced at run time.
 const SAMPLE_OBJECTS: &str = include_str!("../../../examples/dev.toml");
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 const PUBLISH_ATTEMPTS: usize = 50;
 const PUBLISH_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which published objects must be in force at the entry.
+/// Maximum time until the published objects are in force.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// `dev`
 pub(crate) async fn run(flags: DevFlags) -> Result<ExitCode> {
-    let folder = tempfile::tempdir().context("cannot make a temporary folder")?;
+    let folder = tempfile::tempdir().context("cannot create a temporary folder")?;
     let engine = start_engine().await?;
     let orders = start_order_service().await?;
     let key = generate_secret()?;
@@ -42,12 +42,12 @@
     let running = start_instance(folder.path(), &tls, flags.entry_address).await?;
     publish(&running, &tls, folder.path(), &objects).await?;
     let ready = tokio::time::timeout(READY_TIMEOUT, running.ready()).await;
-    ready.context("the sample objects were not in force in time")?;
+    ready.context("timed out waiting for the sample objects to be in force")?;
     let text = usage_text(running.entry_address, running.probe_address, &key);
     if let Err(e) = io::stdout().write_all(text.as_bytes()) {
-        // Whoever reads only the first lines still wants the calls served.
+        // The reader may close the pipe after the first lines; the instance keeps serving calls.
         let error = e.to_string();
-        log::warn!(error = error.as_str(); "cannot print all calls");
+        log::warn!(error = error.as_str(); "cannot print the sample calls");
     }
     serve::run_until_signal(running).await
 }
@@ -66,9 +66,11 @@
     Ok(address)
 }
 
-/// Puts the addresses of the stand-ins and the digest of the new key into the sample objects.
+/// Returns the sample objects with the addresses of the simulated endpoints and the digest of
+/// `key`.
 fn sample_objects(key: &Secret, engine: SocketAddr, orders: SocketAddr) -> Result<ObjectSet> {
-    let mut document: toml::Table = SAMPLE_OBJECTS.parse().context("the sample objects")?;
+    let mut document: toml::Table =
+        SAMPLE_OBJECTS.parse().context("cannot parse the sample objects")?;
     let mut set = |kind: &str, name: &str, field: &str, value: String| -> Result<()> {
         let objects = document.get_mut(kind).and_then(toml::Value::as_array_mut);
         let object = objects
@@ -76,7 +78,7 @@
             .flatten()
             .find(|o| o.get("name").and_then(toml::Value::as_str) == Some(name))
             .and_then(toml::Value::as_table_mut)
-            .with_context(|| format!("the sample objects have no {kind} {name}"))?;
+            .with_context(|| format!("the sample objects contain no {kind} {name}"))?;
         object.insert(field.to_owned(), value.into());
         Ok(())
     };
@@ -143,12 +145,12 @@
         let body = request::Body::Publish(publish.clone());
         match client.call(running.peer_address, body, CALL_TIMEOUT).await {
             Ok(response::Body::Publish(result)) if result.accepted => return Ok(()),
-            Ok(_) => bail!("the sample objects were not accepted"),
-            Err(e) => log::debug!("not published yet: {e}"),
+            Ok(_) => bail!("the instance did not accept the sample objects"),
+            Err(e) => log::debug!("cannot publish the sample objects yet: {e}"),
         }
         tokio::time::sleep(PUBLISH_RETRY_INTERVAL).await;
     }
-    bail!("the instance did not start to lead in time")
+    bail!("timed out publishing the sample objects")
 }
 
 fn usage_text(entry: SocketAddr, probe: SocketAddr, key: &Secret) -> String {
@@ -160,15 +162,15 @@
   curl -s http://{entry}/v1/chat/completions -H 'authorization: Bearer {key}' \
     -d '{{"model":"demo-chat","max_tokens":8,"messages":[{{"role":"user","content":"hello"}}]}}'
 
-  # The first turn of a program, streamed
+  # The first turn of a program, as a stream
   curl -sN http://{entry}/v1/chat/completions -H 'authorization: Bearer {key}' \
     -H 'x-poplarspan-program: trip-1' -H 'x-poplarspan-turn: 1' \
     -d '{{"model":"demo-chat","stream":true,"max_tokens":8,"messages":[{{"role":"user","content":"plan a trip"}}]}}'
 
-  # What the program has done so far
+  # The history of the program
   curl -s http://{entry}/v1/programs/trip-1/history -H 'authorization: Bearer {key}'
 
-  # An order that runs once, however often it is sent
+  # An order that runs at most once, even if it is sent again
   curl -s http://{entry}/orders/new -H 'authorization: Bearer {key}' \
     -H 'idempotency-key: order-1' -d '{{"item":"ticket"}}'
 
--- a/crates/core/commands/endpoint.rs
+++ b/crates/core/commands/endpoint.rs
@@ -1,4 +1,4 @@
-//! Runs a stand-in for an endpoint.
+//! Runs a simulated endpoint.
 
 use std::{process::ExitCode, sync::Arc, time::SystemTime};
 
@@ -14,7 +14,7 @@
     StandinFlags,
 };
 
-/// Exit status after a crash on request, apart from those of failures and usage errors.
+/// Exit code after a simulated crash. Differs from the codes of failures (1) and usage errors (2).
 const CRASH_EXIT_CODE: u8 = 70;
 const USAGE_EXIT_CODE: u8 = 2;
 
@@ -46,7 +46,7 @@
     ExitCode::from(USAGE_EXIT_CODE)
 }
 
-/// A number of the first run that is higher than that of earlier processes.
+/// Returns the Unix time in milliseconds, so that run numbers increase from process to process.
 fn default_first_run() -> Result<u64> {
     let time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?;
     Ok(u64::try_from(time.as_millis())?)
@@ -55,7 +55,7 @@
 async fn listen(flags: &EndpointFlags) -> Result<TcpListener> {
     let listener = TcpListener::bind(flags.address).await?;
     let address = listener.local_addr()?.to_string();
-    log::info!(address = address.as_str(); "stand-in started");
+    log::info!(address = address.as_str(); "simulated endpoint started");
     Ok(listener)
 }
 
--- a/crates/core/commands/files.rs
+++ b/crates/core/commands/files.rs
@@ -1,4 +1,4 @@
-//! Commands on object files, which need no fleet.
+//! Commands that work on object files, and `keygen`.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -18,7 +18,7 @@
     paths.iter().map(read).collect()
 }
 
-/// Checks object files; prints every finding and returns None when there is one.
+/// Reads and checks object files. Prints all findings and returns `None` if there are any.
 pub(crate) fn read_and_check(paths: &[PathBuf]) -> Result<Option<ObjectSet>> {
     match poplarspan_objects::check(&read(paths)?) {
         Ok(set) => Ok(Some(set)),
@@ -47,7 +47,7 @@
             fetched = Some(operator::fetch(&operator).await?.1);
             Ok(ExitCode::SUCCESS)
         })?;
-        fetched.context("the objects in force were not read")?
+        fetched.context("cannot read the objects in force")?
     } else {
         match read_and_check(&flags.against)? {
             Some(old) => old,
@@ -73,7 +73,7 @@
 
 /// `keygen`
 pub(crate) fn keygen() -> Result<ExitCode> {
-    let secret = generate_secret().context("no random bytes")?;
+    let secret = generate_secret().context("cannot get random bytes")?;
     println!("secret: {}", secret.expose());
     println!("digest: {}", secret.digest());
     Ok(ExitCode::SUCCESS)
--- a/crates/core/commands/mod.rs
+++ b/crates/core/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! Implementations of the commands.
 
 mod certs;
 mod dev;
@@ -15,7 +15,7 @@
 
 use crate::flags::{Command, Flags};
 
-/// Runs a command and returns the exit status of the process.
+/// Runs a command and returns the exit code of the process.
 pub(crate) fn run(command: Command) -> Result<ExitCode> {
     match command {
         Command::Serve(flags) => block_on(serve::run(*flags)),
@@ -43,12 +43,13 @@
     }
 }
 
-/// Runs a command on a runtime of one thread, for machines that give a process part of a core.
+/// Runs a command on a single-threaded runtime, for machines where a process gets less than one
+/// core.
 fn block_on_current_thread(command: impl Future<Output = Result<ExitCode>>) -> Result<ExitCode> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()?.block_on(command)
 }
 
-/// Runs a command that needs the asynchronous runtime.
+/// Runs a command on a multi-threaded runtime.
 pub(crate) fn block_on(command: impl Future<Output = Result<ExitCode>>) -> Result<ExitCode> {
     tokio::runtime::Builder::new_multi_thread().enable_all().build()?.block_on(command)
 }
--- a/crates/core/commands/node.rs
+++ b/crates/core/commands/node.rs
@@ -1,4 +1,4 @@
-//! Runs one instance of a relay fleet, as the platform's settings file says.
+//! Runs an instance of a relay fleet, configured by the platform's settings file.
 
 use std::{path::Path, process::ExitCode, sync::Arc, time::Duration};
 
@@ -12,12 +12,12 @@
 
 use crate::flags::NodeFlags;
 
-/// The settings file may change without a signal; it is looked at this often.
+/// How often the settings file is read again, since it may change without a SIGHUP.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// `node`
 pub(crate) async fn run(flags: NodeFlags) -> Result<ExitCode> {
-    // First of all, since a signal that nobody listens for ends the process.
+    // Installed first, because the default action of these signals terminates the process.
     let mut signals = Signals::new()?;
     let text = read(&flags.settings)?;
     let settings = parse(&text, &flags)?;
@@ -25,7 +25,7 @@
     let relay = Relay { settings, protocol, tls: flags.tls.files() };
     let running = tokio::select! {
         running = relay.start() => running?,
-        // The start may wait for room on the disk.
+        // The start may wait for free disk space.
         _ = signals.terminate.recv() => return Ok(ExitCode::SUCCESS),
         _ = signals.interrupt.recv() => return Ok(ExitCode::SUCCESS),
     };
@@ -38,7 +38,7 @@
             _ = signals.interrupt.recv() => break,
             _ = signals.hangup.recv() => reload(&running, &flags, &mut current_text),
             _ = reload_timer.tick() => reload(&running, &flags, &mut current_text),
-            e = running.failed() => return Err(e).context("the instance has failed"),
+            e = running.failed() => return Err(e).context("the instance failed"),
         }
     }
     let open_connections = running.shutdown().await;
@@ -70,7 +70,7 @@
         .with_context(|| format!("cannot use {}", flags.settings.display()))
 }
 
-/// Takes changed settings. A file that cannot be used changes nothing.
+/// Applies changed settings. If the file is unreadable or invalid, the current settings stay.
 fn reload(running: &RunningInstance, flags: &NodeFlags, current_text: &mut String) {
     let changed = read(&flags.settings).and_then(|text| {
         let settings = (text != *current_text).then(|| parse(&text, flags)).transpose()?;
@@ -84,7 +84,7 @@
         Ok((_, None)) => {}
         Err(e) => {
             let error = format!("{e:#}");
-            log::error!(error = error.as_str(); "settings are not reloaded");
+            log::error!(error = error.as_str(); "cannot reload settings; keeping the current ones");
         }
     }
 }
--- a/crates/core/commands/operator.rs
+++ b/crates/core/commands/operator.rs
@@ -1,4 +1,4 @@
-//! Commands of operators to a running fleet.
+//! Commands that operators run against a fleet.
 
 use std::{net::SocketAddr, process::ExitCode, time::Duration};
 
@@ -15,7 +15,7 @@
 const REPLACE_TIMEOUT: Duration = Duration::from_secs(90);
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A connection to the fleet that follows the leader of group 0.
+/// Client that sends requests to the leader of group 0.
 struct FleetClient {
     client: PeerClient,
     control: SocketAddr,
@@ -47,8 +47,9 @@
         })
     }
 
-    /// Sends a call to the leader, and again while the leader is not known. All operators' calls
-    /// may be repeated: a publication is recognised by its request id.
+    /// Sends a request to the leader, and retries until the deadline while the leader is unknown or
+    /// unavailable, or the outcome is unknown. All operator requests are safe to retry:
+    /// publications are deduplicated by their request id.
     async fn call(&mut self, body: request::Body) -> Result<response::Body> {
         let mut redirected = false;
         loop {
@@ -62,7 +63,8 @@
                     FailureCode::NotLeader => {
                         if let Ok(leader) = failure.leader_address.parse() {
                             self.target = leader;
-                            // The first hint is followed at once; later ones may lead in circles.
+                            // Follow only the first redirect at once; replicas with outdated
+                            // views may redirect to each other.
                             if !std::mem::replace(&mut redirected, true) {
                                 continue;
                             }
@@ -84,18 +86,18 @@
         let request = peer::StatusRequest { operator_key: self.key.clone() };
         match self.call(request::Body::Status(request)).await? {
             response::Body::Status(status) => Ok(status),
-            _ => bail!("unexpected kind of answer"),
+            _ => bail!("unexpected response type"),
         }
     }
 }
 
-/// Reads the objects in force, with their generation.
+/// Fetches the objects in force and their generation.
 pub(crate) async fn fetch(flags: &OperatorFlags) -> Result<(u64, ObjectSet)> {
     let mut fleet = FleetClient::open(flags)?;
     let get = peer::GetObjects { operator_key: fleet.key.clone() };
     let reply = match fleet.call(request::Body::GetObjects(get)).await? {
         response::Body::Objects(reply) => reply,
-        _ => bail!("unexpected kind of answer"),
+        _ => bail!("unexpected response type"),
     };
     let records = reply.objects.iter().map(decode_record).collect::<Result<Vec<_>>>()?;
     let set = ObjectSet::from_records(&records).map_err(|e| anyhow::anyhow!("{e}"))?;
@@ -103,8 +105,9 @@
 }
 
 fn decode_record(change: &peer::Change) -> Result<Record> {
-    let kind = change.kind.parse().with_context(|| format!("kind {}", change.kind))?;
-    let body = change.body.clone().context("an object without a body")?;
+    let kind =
+        change.kind.parse().with_context(|| format!("invalid object kind {}", change.kind))?;
+    let body = change.body.clone().context("object has no body")?;
     Ok(Record { kind, name: change.name.as_str().into(), body })
 }
 
@@ -133,7 +136,7 @@
     };
     let result = match fleet.call(request::Body::Publish(publish)).await? {
         response::Body::Publish(result) => result,
-        _ => bail!("unexpected kind of answer"),
+        _ => bail!("unexpected response type"),
     };
     if !result.accepted {
         eprintln!(
@@ -154,18 +157,18 @@
 async fn wait_until_in_force(fleet: &mut FleetClient, generation: u64) -> Result<()> {
     loop {
         let status = fleet.status().await?;
-        // A newer generation in force contains this one or replaces it.
+        // A newer generation includes this one or replaces it.
         if status.generation >= generation && status.in_force {
             return Ok(());
         }
         if Instant::now() > fleet.deadline {
-            bail!("accepted, but not known to be in force everywhere yet; see `poplarspan status`");
+            bail!("published, but not confirmed in force everywhere yet; run `poplarspan status`");
         }
         sleep(RETRY_INTERVAL / 4).await;
     }
 }
 
-/// Converts a change for the peer port.
+/// Encodes a change for the peer protocol.
 pub(crate) fn encode_change(change: &Change) -> peer::Change {
     match change {
         Change::Upsert(record) => peer::Change {
@@ -263,14 +266,14 @@
         new: flags.new,
         new_address: flags.new_address.to_string(),
     };
-    // The new replica has to catch up first.
+    // The new replica has to catch up with the log first.
     fleet.deadline = fleet.deadline.max(Instant::now() + REPLACE_TIMEOUT);
     fleet.call_timeout = REPLACE_TIMEOUT;
     match fleet.call(request::Body::ReplaceVoter(request)).await? {
         response::Body::VoterReplaced(_) => {
-            println!("replica {} has taken the place of replica {}", flags.new, flags.old);
+            println!("replica {} has replaced replica {}", flags.new, flags.old);
             Ok(ExitCode::SUCCESS)
         }
-        _ => bail!("unexpected kind of answer"),
+        _ => bail!("unexpected response type"),
     }
 }
--- a/crates/core/commands/serve.rs
+++ b/crates/core/commands/serve.rs
@@ -1,4 +1,4 @@
-//! Runs one instance, and prepares data folders for control replicas.
+//! Runs an instance, and creates data folders for control replicas.
 
 use std::process::ExitCode;
 
@@ -29,14 +29,15 @@
     run_until_signal(running).await
 }
 
-/// Runs an instance until SIGTERM or SIGINT, then takes it down.
+/// Waits for SIGTERM or SIGINT, then shuts the instance down. The exit code is a failure if
+/// connections were still open after the drain timeout.
 pub(crate) async fn run_until_signal(running: Running) -> Result<ExitCode> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        e = running.failed() => return Err(e).context("the replicated log has failed"),
+        e = running.failed() => return Err(e).context("the replicated log failed"),
     }
     let open_connections = running.shutdown().await?;
     Ok(if open_connections == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
@@ -45,6 +46,6 @@
 /// `init`
 pub(crate) async fn init(flags: InitFlags) -> Result<ExitCode> {
     init_data_folder(&flags.data_dir, flags.replica, &flags.voters).await?;
-    println!("made data folder {} for replica {}", flags.data_dir.display(), flags.replica);
+    println!("created data folder {} for replica {}", flags.data_dir.display(), flags.replica);
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/core/flags.rs
+++ b/crates/core/flags.rs
@@ -1,4 +1,4 @@
-//! The command line. Every flag can also be given as an environment variable.
+//! Command line flags. Most of them can also be set by an environment variable.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -10,53 +10,52 @@
 
 /// A scheduler for agent programs.
 ///
-/// It takes calls from agent programs, keeps the calls of each program in order, runs calls that
-/// must not be repeated at most once, gives each team its fair share, and routes calls to model
-/// engines and plain services.
+/// Accepts calls from agent programs and routes them to model engines and plain services. Keeps the
+/// calls of each program in order, runs non-idempotent calls at most once, and shares capacity
+/// fairly between teams.
 ///
-/// Start with `poplarspan dev`, which runs everything in one process.
+/// To try it out, run `poplarspan dev`, which starts everything in one process.
 #[derive(Debug, Parser)]
 #[command(name = "poplarspan", version, max_term_width = 100)]
 pub(crate) struct Flags {
-    /// Least severe level that is logged: off, error, warn, info, debug or trace.
+    /// Log level: off, error, warn, info, debug or trace.
     #[arg(long, global = true, default_value = "info", env = "POPLARSPAN_LOG_LEVEL")]
     pub(crate) log_level: log::LevelFilter,
     #[command(subcommand)]
     pub(crate) command: Command,
 }
 
-/// What to do.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Run one instance.
+    /// Run an instance.
     Serve(Box<ServeFlags>),
-    /// Run one instance of a relay fleet.
+    /// Run an instance of a relay fleet.
     Node(NodeFlags),
-    /// Check object files without publishing them.
+    /// Validate object files without publishing them.
     Check(ObjectFileFlags),
-    /// Show what publishing object files would change.
+    /// Show the changes that publishing object files would make.
     Diff(DiffFlags),
     /// Publish object files as the next generation.
     Publish(PublishFlags),
     /// Print the objects in force.
     Get(OperatorFlags),
-    /// Print instances, replicas, endpoints and the generation in force.
+    /// Print the state of instances, replicas and endpoints, and the generation in force.
     Status(StatusFlags),
-    /// Write a new data folder for a control replica.
+    /// Create the data folder of a control replica.
     Init(InitFlags),
-    /// Replace a control replica whose disk is lost.
+    /// Replace a control replica that has lost its disk.
     ReplaceVoter(ReplaceVoterFlags),
-    /// Make a key for a team or an operator.
+    /// Generate a key for a team or an operator.
     Keygen,
-    /// Make an authority and certificates for the peer port.
+    /// Generate a certificate authority and certificates for the peer port.
     Certs(CertsFlags),
-    /// Run everything in one process, to try it out.
+    /// Run a complete system in one process, to try it out.
     Dev(DevFlags),
-    /// Run a stand-in for an endpoint, for tests and trials.
+    /// Run a simulated endpoint, for tests.
     Endpoint(EndpointFlags),
-    /// Print a completion script for a shell.
+    /// Print a shell completion script.
     Completions {
-        /// The shell.
+        /// Shell to generate the script for.
         shell: clap_complete::Shell,
     },
 }
@@ -64,10 +63,10 @@
 /// Flags of `node`.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct NodeFlags {
-    /// Settings file of the platform.
+    /// Settings file in the platform's format.
     #[arg(long, value_name = "FILE", env = "POPLARSPAN_BOOT")]
     pub(crate) settings: PathBuf,
-    /// Port that serves metrics, on the machine's address.
+    /// TCP port that serves metrics, on the IP address in the settings file.
     #[arg(long, value_name = "PORT", default_value_t = 9464, env = "POPLARSPAN_METRICS_PORT")]
     pub(crate) metrics_port: u16,
     #[command(flatten)]
@@ -75,29 +74,28 @@
 }
 
 impl Command {
-    /// Where the log goes: the platform takes it from standard output, everyone else expects results
-    /// there.
+    /// Destination of the log. The platform collects logs from standard output; all other commands
+    /// write their results there and log to standard error.
     pub(crate) fn log_output(&self) -> LogOutput {
         if matches!(self, Self::Node(_)) { LogOutput::Stdout } else { LogOutput::Stderr }
     }
 }
 
-/// TLS files of the peer port.
+/// TLS flags of the peer port.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct TlsFlags {
-    /// Certificates of the authority, PEM.
+    /// PEM file with the CA certificates.
     #[arg(long, value_name = "FILE", env = "POPLARSPAN_TLS_AUTHORITY")]
     tls_authority: PathBuf,
-    /// Certificate chain of this process, PEM.
+    /// PEM file with the certificate chain of this process.
     #[arg(long, value_name = "FILE", env = "POPLARSPAN_TLS_CERTIFICATE")]
     tls_certificate: PathBuf,
-    /// Private key of this process, PEM.
+    /// PEM file with the private key of this process.
     #[arg(long, value_name = "FILE", env = "POPLARSPAN_TLS_KEY")]
     tls_key: PathBuf,
 }
 
 impl TlsFlags {
-    /// The files as the library takes them.
     pub(crate) fn files(&self) -> TlsFiles {
         TlsFiles {
             authority: self.tls_authority.clone(),
@@ -110,31 +108,31 @@
 /// Flags of `serve`.
 #[derive(Args, Debug)]
 pub(crate) struct ServeFlags {
-    /// Name of the instance, unique in the fleet.
+    /// Name of the instance; must be unique in the fleet.
     #[arg(long, env = "POPLARSPAN_NAME")]
     pub(crate) name: String,
-    /// Availability zone that the instance runs in.
+    /// Availability zone of the instance.
     #[arg(long, env = "POPLARSPAN_ZONE")]
     pub(crate) zone: String,
-    /// Address for callers (TCP).
+    /// TCP address to listen on for callers.
     #[arg(long, value_name = "IP:PORT", env = "POPLARSPAN_ENTRY_ADDRESS")]
     pub(crate) entry_address: SocketAddr,
-    /// Address for other instances and operators (UDP).
+    /// UDP address to listen on for other instances and operators.
     #[arg(long, value_name = "IP:PORT", env = "POPLARSPAN_PEER_ADDRESS")]
     pub(crate) peer_address: SocketAddr,
-    /// Address at which others reach the peer address, if it is another one.
+    /// Address that other instances use to connect to the peer address, if different.
     #[arg(long, value_name = "IP:PORT", env = "POPLARSPAN_ADVERTISE_ADDRESS")]
     pub(crate) advertise_address: Option<SocketAddr>,
-    /// Address for metrics, health and readiness (TCP).
+    /// TCP address to listen on for metrics, health and readiness probes.
     #[arg(long, value_name = "IP:PORT", env = "POPLARSPAN_PROBE_ADDRESS")]
     pub(crate) probe_address: SocketAddr,
-    /// Peer addresses of instances that may already run, separated by commas.
+    /// Comma-separated peer addresses of instances that may already be running.
     #[arg(long, value_name = "IP:PORT", value_delimiter = ',', env = "POPLARSPAN_SEEDS")]
     pub(crate) seeds: Vec<SocketAddr>,
-    /// Data folder made by `poplarspan init`; makes the instance a control replica.
+    /// Data folder created by `poplarspan init`; makes the instance a control replica.
     #[arg(long, value_name = "FOLDER", env = "POPLARSPAN_DATA_DIR")]
     pub(crate) data_dir: Option<PathBuf>,
-    /// Peer addresses of all control replicas, as number@address, separated by commas.
+    /// Comma-separated peer addresses of all control replicas, as number@address.
     #[arg(
         long,
         value_name = "N@IP:PORT",
@@ -147,33 +145,33 @@
     pub(crate) tls: TlsFlags,
     #[command(flatten)]
     pub(crate) limits: CallerLimitFlags,
-    /// Time between "not ready" and the end of accepting, for the balancer to notice.
+    /// Delay on shutdown between reporting "not ready" and closing the listener, so that load
+    /// balancers stop sending new connections.
     #[arg(long, default_value = "2s", value_parser = humantime::parse_duration, env = "POPLARSPAN_DRAIN_GRACE")]
     pub(crate) drain_grace: Duration,
-    /// Longest time that a shutdown waits for open calls.
+    /// Maximum time that a shutdown waits for open calls.
     #[arg(long, default_value = "10m", value_parser = humantime::parse_duration, env = "POPLARSPAN_DRAIN_TIMEOUT")]
     pub(crate) drain_timeout: Duration,
 }
 
-/// Bounds towards callers.
+/// Limits on callers' requests and connections.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct CallerLimitFlags {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     #[arg(long, default_value_t = Limits::default().max_head, env = "POPLARSPAN_MAX_HEAD")]
     max_head: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[arg(long, default_value_t = Limits::default().max_body, env = "POPLARSPAN_MAX_BODY")]
     max_body: usize,
-    /// Open connections from callers.
+    /// Maximum number of open connections from callers.
     #[arg(long, default_value_t = Limits::default().max_connections, env = "POPLARSPAN_MAX_CONNECTIONS")]
     max_connections: usize,
-    /// Bytes of bodies that all open calls may hold together.
+    /// Maximum size of the request bodies of all open calls together, in bytes.
     #[arg(long, default_value_t = Limits::default().max_held, env = "POPLARSPAN_MAX_HELD")]
     max_held: usize,
 }
 
 impl CallerLimitFlags {
-    /// The limits as the library takes them.
     pub(crate) fn limits(&self) -> Limits {
         Limits {
             max_head: self.max_head,
@@ -188,23 +186,23 @@
 fn parse_replica(text: &str) -> Result<ReplicaAddress, String> {
     let (replica, address) =
         text.split_once('@').ok_or_else(|| "expected number@address".to_owned())?;
-    let replica = replica.parse().map_err(|e| format!("replica number: {e}"))?;
-    let address = address.parse().map_err(|e| format!("address: {e}"))?;
+    let replica = replica.parse().map_err(|e| format!("invalid replica number: {e}"))?;
+    let address = address.parse().map_err(|e| format!("invalid address: {e}"))?;
     if replica == 0 {
         return Err("replica numbers start at 1".to_owned());
     }
     Ok(ReplicaAddress { replica, address })
 }
 
-/// Object files.
+/// Object files to read.
 #[derive(Args, Debug)]
 pub(crate) struct ObjectFileFlags {
-    /// Object files; together they form one set.
+    /// Object files, which are read as one set.
     #[arg(required = true, value_name = "FILE")]
     pub(crate) files: Vec<PathBuf>,
 }
 
-/// How an operator reaches the fleet.
+/// Connection and credentials of an operator.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct OperatorFlags {
     /// Peer address of any instance.
@@ -215,7 +213,7 @@
     pub(crate) operator_key_file: Option<PathBuf>,
     #[command(flatten)]
     pub(crate) tls: TlsFlags,
-    /// Longest time to wait for an answer.
+    /// Maximum time to wait for the result.
     #[arg(long, default_value = "10s", value_parser = humantime::parse_duration, env = "POPLARSPAN_TIMEOUT")]
     pub(crate) timeout: Duration,
 }
@@ -225,7 +223,7 @@
 pub(crate) struct DiffFlags {
     #[command(flatten)]
     pub(crate) files: ObjectFileFlags,
-    /// Compare with this object file instead of with the objects in force; may be repeated.
+    /// Compare with this object file instead of the objects in force; may be repeated.
     #[arg(long, value_name = "FILE", required_unless_present = "control")]
     pub(crate) against: Vec<PathBuf>,
     /// Peer address of any instance.
@@ -234,19 +232,20 @@
     /// File that holds the operator's key.
     #[arg(long, value_name = "FILE", env = "POPLARSPAN_OPERATOR_KEY_FILE")]
     pub(crate) operator_key_file: Option<PathBuf>,
-    /// Certificates of the authority, PEM.
+    /// PEM file with the CA certificates.
     #[arg(long, value_name = "FILE", env = "POPLARSPAN_TLS_AUTHORITY", requires_all = ["tls_certificate", "tls_key"])]
     pub(crate) tls_authority: Option<PathBuf>,
-    /// Certificate chain of the operator, PEM.
+    /// PEM file with the operator's certificate chain.
     #[arg(long, value_name = "FILE", env = "POPLARSPAN_TLS_CERTIFICATE")]
     pub(crate) tls_certificate: Option<PathBuf>,
-    /// Private key of the operator, PEM.
+    /// PEM file with the operator's private key.
     #[arg(long, value_name = "FILE", env = "POPLARSPAN_TLS_KEY")]
     pub(crate) tls_key: Option<PathBuf>,
 }
 
 impl DiffFlags {
-    /// How to reach the fleet, if the comparison is with the objects in force.
+    /// Returns the connection flags if `control` and all TLS flags are set, which means that the
+    /// comparison is with the objects in force.
     pub(crate) fn operator_flags(&self) -> Option<OperatorFlags> {
         Some(OperatorFlags {
             control: self.control?,
@@ -266,15 +265,17 @@
 pub(crate) struct PublishFlags {
     #[command(flatten)]
     pub(crate) files: ObjectFileFlags,
-    /// Generation that the files are based on; 0 for the first publication.
+    /// Generation that the files are based on; 0 for the first publication. If another generation
+    /// is current, nothing is published.
     #[arg(long, value_name = "N")]
     pub(crate) expect_generation: u64,
-    /// Name of this publication; a resend under the same name gets the first answer.
+    /// Unique id of this publication; a retry with the same id returns the first result.
     #[arg(long, value_name = "ID")]
     pub(crate) request_id: String,
     #[command(flatten)]
     pub(crate) operator: OperatorFlags,
-    /// Return once the publication is accepted, before it is in force everywhere.
+    /// Return as soon as the publication is accepted, without waiting until it is in force on every
+    /// live instance.
     #[arg(long)]
     pub(crate) no_wait: bool,
 }
@@ -292,16 +293,16 @@
 /// Flags of `init`.
 #[derive(Args, Debug)]
 pub(crate) struct InitFlags {
-    /// Folder to make; it must not exist or must be empty.
+    /// Folder to create; if it exists, it must be empty.
     #[arg(long, value_name = "FOLDER", env = "POPLARSPAN_DATA_DIR")]
     pub(crate) data_dir: PathBuf,
-    /// Number of this replica. A number is never used again after its disk was lost.
+    /// Number of this replica. Never reuse the number of a replica that has lost its disk.
     #[arg(long, value_name = "N")]
     pub(crate) replica: u64,
-    /// Numbers of all first voters, separated by commas; the same list on each of them.
+    /// Comma-separated numbers of all initial voters; must be the same list on each of them.
     #[arg(long, value_name = "N", value_delimiter = ',', required_unless_present = "join")]
     pub(crate) voters: Vec<u64>,
-    /// Make a replica that joins an existing fleet, see `replace-voter`.
+    /// Create a replica that joins an existing fleet; see `replace-voter`.
     #[arg(long, conflicts_with = "voters")]
     pub(crate) join: bool,
 }
@@ -309,13 +310,13 @@
 /// Flags of `replace-voter`.
 #[derive(Args, Debug)]
 pub(crate) struct ReplaceVoterFlags {
-    /// Number of the replica that is lost.
+    /// Number of the replica to replace.
     #[arg(long, value_name = "N")]
     pub(crate) old: u64,
-    /// Number of the replica that takes its place.
+    /// Number of the new replica.
     #[arg(long, value_name = "N")]
     pub(crate) new: u64,
-    /// Peer address of the replica that takes its place.
+    /// Peer address of the new replica.
     #[arg(long, value_name = "IP:PORT")]
     pub(crate) new_address: SocketAddr,
     #[command(flatten)]
@@ -325,10 +326,10 @@
 /// Flags of `certs`.
 #[derive(Args, Debug)]
 pub(crate) struct CertsFlags {
-    /// Folder to write to; it must not exist or must be empty.
+    /// Output folder, created if missing. Existing files are not overwritten.
     #[arg(long, value_name = "FOLDER")]
     pub(crate) out: PathBuf,
-    /// Keep the certificates that are in the folder already.
+    /// Do nothing if the folder already holds a complete set of certificates.
     #[arg(long)]
     pub(crate) keep: bool,
 }
@@ -336,7 +337,7 @@
 /// Flags of `dev`.
 #[derive(Args, Debug)]
 pub(crate) struct DevFlags {
-    /// Address for callers; port 0 takes a free one.
+    /// TCP address to listen on for callers; port 0 selects a free port.
     #[arg(
         long,
         value_name = "IP:PORT",
@@ -349,10 +350,10 @@
 /// Flags of `endpoint`.
 #[derive(Args, Debug)]
 pub(crate) struct EndpointFlags {
-    /// Kind of stand-in.
+    /// Kind of endpoint to simulate.
     #[arg(long, value_enum, default_value = "engine", env = "POPLARSPAN_ENDPOINT_KIND")]
     pub(crate) kind: EndpointKind,
-    /// Address to listen on.
+    /// TCP address to listen on.
     #[arg(long, value_name = "IP:PORT", env = "POPLARSPAN_ENDPOINT_ADDRESS")]
     pub(crate) address: SocketAddr,
     #[command(flatten)]
@@ -363,95 +364,95 @@
     pub(crate) service: ServiceFlags,
 }
 
-/// Kinds of stand-ins.
+/// Kinds of simulated endpoints.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 pub(crate) enum EndpointKind {
-    /// A model engine.
+    /// Model engine.
     Engine,
-    /// A plain service that counts its executions.
+    /// Plain service that counts its executions.
     Service,
 }
 
-/// Flags of both kinds of stand-ins.
+/// Flags of all simulated endpoints.
 #[derive(Args, Debug)]
 pub(crate) struct StandinFlags {
-    /// Lag of load reports.
+    /// Age of the load that is reported.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_LOAD_LAG")]
     pub(crate) load_lag: Duration,
-    /// How long connections are refused after a crash.
+    /// How long connections are refused after a simulated crash.
     #[arg(long, default_value = "1s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_RESTART_AFTER")]
     pub(crate) restart_after: Duration,
-    /// End the process at a crash, with status 70.
+    /// Exit with status 70 on a simulated crash.
     #[arg(long, env = "POPLARSPAN_ENDPOINT_EXIT_ON_CRASH")]
     pub(crate) exit_on_crash: bool,
-    /// Number of the first run; by default the time of the start in milliseconds.
+    /// Number of the first run [default: Unix time in milliseconds].
     #[arg(long, value_name = "N", env = "POPLARSPAN_ENDPOINT_FIRST_RUN")]
     pub(crate) first_run: Option<u64>,
 }
 
-/// Flags of plain services.
+/// Flags of simulated plain services.
 #[derive(Args, Debug)]
 #[command(next_help_heading = "Plain service")]
 pub(crate) struct ServiceFlags {
-    /// Time that an execution takes.
+    /// Duration of an execution.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_DELAY")]
     pub(crate) delay: Duration,
 }
 
-/// Flags of model engines.
+/// Flags of simulated model engines.
 #[derive(Args, Debug)]
 #[command(next_help_heading = "Model engine")]
 pub(crate) struct EngineFlags {
-    /// Calls that run at once.
+    /// Maximum number of concurrent calls.
     #[arg(long, default_value_t = 8, env = "POPLARSPAN_ENDPOINT_CAPACITY")]
     pub(crate) capacity: u32,
-    /// Calls that wait; further ones are answered 503.
+    /// Maximum number of queued calls; further calls get a 503 response.
     #[arg(long, default_value_t = 64, env = "POPLARSPAN_ENDPOINT_MAX_QUEUE")]
     pub(crate) max_queue: u32,
-    /// Retry-After of these answers.
+    /// Retry-After value of these 503 responses.
     #[arg(long, default_value = "1s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_RETRY_AFTER")]
     pub(crate) retry_after: Duration,
-    /// Time per token of a call that runs alone.
+    /// Time per output token when one call is running.
     #[arg(long, default_value = "5ms", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_TOKEN_INTERVAL")]
     pub(crate) token_interval: Duration,
-    /// What each further running call adds to the time per token.
+    /// Increase of the time per output token for each further concurrent call.
     #[arg(long, default_value = "200us", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_TOKEN_INTERVAL_PER_CALL")]
     pub(crate) token_interval_per_call: Duration,
-    /// Time that an uncached token of the prompt takes.
+    /// Prefill time per uncached prompt token.
     #[arg(long, default_value = "20us", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_PREFILL_PER_TOKEN")]
     pub(crate) prefill_per_token: Duration,
-    /// Tokens of an answer when the request names no limit.
+    /// Number of output tokens if the request sets no limit.
     #[arg(long, default_value_t = 16, env = "POPLARSPAN_ENDPOINT_DEFAULT_TOKENS")]
     pub(crate) default_tokens: u64,
-    /// Memory of the prefix cache, in blocks of 256 bytes.
+    /// Capacity of the prefix cache, in blocks of 256 bytes.
     #[arg(long, default_value_t = 4096, env = "POPLARSPAN_ENDPOINT_CACHE_BLOCKS")]
     pub(crate) cache_blocks: u32,
-    /// Calls at once that a cold engine bears before it slows down; the capacity by default.
+    /// Number of concurrent calls above which a cold engine slows down [default: the capacity].
     #[arg(long, value_name = "N", env = "POPLARSPAN_ENDPOINT_COLD_CAPACITY")]
     pub(crate) cold_capacity: Option<u32>,
-    /// Calls at once above which a cold engine crashes; never by default.
+    /// Number of concurrent calls above which a cold engine crashes [default: no limit].
     #[arg(long, value_name = "N", env = "POPLARSPAN_ENDPOINT_COLD_CRASH_ABOVE")]
     pub(crate) cold_crash_above: Option<u32>,
-    /// Factor by which a cold engine with too many calls slows down.
+    /// Slowdown factor of a cold engine above its cold capacity.
     #[arg(long, default_value_t = 4.0, env = "POPLARSPAN_ENDPOINT_COLD_SLOWDOWN")]
     pub(crate) cold_slowdown: f64,
-    /// How long the engine is cold after a start.
+    /// How long an engine is cold after a start.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_RAMP")]
     pub(crate) ramp: Duration,
-    /// How the calls that a cold engine bears grow during the ramp.
+    /// How the cold capacity changes during the ramp.
     #[arg(long, value_enum, default_value = "step", env = "POPLARSPAN_ENDPOINT_RAMP_SHAPE")]
     pub(crate) ramp_shape: RampShapeFlag,
-    /// Time after which cache events are published.
+    /// Delay before cache events are published.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_EVENT_DELAY")]
     pub(crate) event_delay: Duration,
-    /// Share of cache events that are lost, 0 to 1.
+    /// Fraction of cache events that are lost, from 0 to 1.
     #[arg(long, default_value_t = 0.0, env = "POPLARSPAN_ENDPOINT_EVENT_GAP_RATE")]
     pub(crate) event_gap_rate: f64,
-    /// What is done with the fencing numbers of orders.
+    /// How to treat the fencing numbers of orders.
     #[arg(long, value_enum, default_value = "check", env = "POPLARSPAN_ENDPOINT_FENCING")]
     pub(crate) fencing: FencingFlag,
-    /// Models that are loaded at the start, as model@version, separated by commas; by default the
-    /// engine serves every model.
+    /// Comma-separated models that are loaded at the start, as model@version [default: serve all
+    /// models].
     #[arg(
         long,
         value_name = "MODEL@VERSION",
@@ -459,31 +460,31 @@
         env = "POPLARSPAN_ENDPOINT_MODELS"
     )]
     pub(crate) models: Vec<ModelVersion>,
-    /// Size of a model's weights, in bytes.
+    /// Size of the weights of a model, in bytes.
     #[arg(long, default_value_t = 1 << 30, env = "POPLARSPAN_ENDPOINT_WEIGHT_BYTES")]
     pub(crate) weight_bytes: u64,
-    /// Rate of the weight store, in bytes per second.
+    /// Throughput of the weight store, in bytes per second.
     #[arg(long, default_value_t = 1 << 30, env = "POPLARSPAN_ENDPOINT_WEIGHT_RATE")]
     pub(crate) weight_rate: u64,
-    /// Seed of random numbers.
+    /// Seed of the random number generator.
     #[arg(long, default_value_t = 0, env = "POPLARSPAN_ENDPOINT_SEED")]
     pub(crate) seed: u64,
 }
 
-/// Shapes of the ramp.
+/// Shapes of the cold start ramp.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 pub(crate) enum RampShapeFlag {
-    /// The cold capacity for the whole ramp.
+    /// Keep the cold capacity until the end of the ramp.
     Step,
-    /// Linearly from the cold capacity to the capacity.
+    /// Grow linearly from the cold capacity to the capacity.
     Linear,
 }
 
-/// Ways to treat fencing numbers.
+/// Treatment of fencing numbers.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 pub(crate) enum FencingFlag {
-    /// Refuse stale orders.
+    /// Reject stale orders.
     Check,
-    /// Carry out every order.
+    /// Execute all orders.
     Ignore,
 }
--- a/crates/core/lib.rs
+++ b/crates/core/lib.rs
@@ -1,24 +1,26 @@
-//! The coordination parts of Poplarspan, a scheduler for agent programs, for use in other programs.
+//! The libraries of Poplarspan, a scheduler for agent programs, for use in other programs.
 //!
-//! Each part is a crate of its own and can be used alone:
+//! Each module is a crate that can be used on its own:
 //!
-//! | Part | Purpose | Owner of its state | When the owner fails |
+//! | Crate | Purpose | State is held by | When the holder fails |
 //! |---|---|---|---|
-//! | [`objects`] | named objects that refer to one another, checked as a whole | none; sets are immutable values | nothing is lost |
-//! | [`agreement`] | a replicated log for several groups | the voters of each group | the other voters go on while a majority is left |
-//! | [`ledger`] | replicated state machines for objects, membership and programs | the log of the group | another voter goes on with the same state |
-//! | [`policy`] | rate shares, fair queueing, routing, ramps, retry budgets | the instance that decides | rebuilt; rate buckets move to a successor |
-//! | [`server`] | one whole instance | the instance, for its open calls | they are claimed again or have an unknown outcome |
-//! | [`proto`] | the messages between instances | none | nothing is lost |
+//! | [`objects`] | parses named objects and validates them as one set | no one; sets are immutable values | nothing is lost |
+//! | [`agreement`] | replicated log for several groups | the voters of each group | the group continues while a majority of its voters is available |
+//! | [`ledger`] | replicated state machines for objects, membership and programs | the log of the group | another voter continues with the same state |
+//! | [`policy`] | rate shares, fair queueing, routing, ramps, retry budgets | the instance that makes the decision | the state is rebuilt; rate buckets move to a successor |
+//! | [`server`] | a complete instance | the instance, for its open calls | open calls are claimed again or have an unknown outcome |
+//! | [`proto`] | messages between instances | no one | nothing is lost |
+//!
+//! [`relay`] and [`platform`] implement a second kind of fleet, which forwards calls between
+//! callers and endpoints of the users' platform.
 //!
 //! `objects`, `policy`, `agreement` and `ledger` each have runnable examples in the folder
-//! `examples` of their crate. The page of each part states its units, its errors and, where there
-//! is one, the published algorithm that it implements.
+//! `examples` of their crate. The documentation of each crate states its units, its errors and the
+//! published algorithm that it implements, if any.
 //!
 //! # Example
 //!
-//! A set of objects is checked, and a program of one of its teams is mapped to the group that
-//! holds it:
+//! Checks a set of objects, and finds the group that stores a program of one of its teams:
 //!
 //! ```
 //! use poplarspan::{ledger, objects};
--- a/crates/core/logging.rs
+++ b/crates/core/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines.
+//! Logger that writes JSON lines.
 
 use std::{
     io::{self, Write},
@@ -13,20 +13,21 @@
 use log::LevelFilter;
 use structured_logger::{Builder, json::new_writer};
 
-/// Lines that may wait for a reader of standard output; more are dropped and counted.
+/// Maximum number of lines queued for standard output. When the queue is full, lines are dropped
+/// and counted.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Where the log goes.
+/// Destination of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LogOutput {
-    /// Standard error, written by the thread that logs.
+    /// Standard error, written synchronously by the logging thread.
     Stderr,
-    /// Standard output, written by a thread of its own, so that a reader that stops reading blocks
-    /// nothing else.
+    /// Standard output, written by a dedicated thread. If the reader stops reading, only this
+    /// thread blocks.
     Stdout,
 }
 
-/// Installs the logger of this process.
+/// Installs the global logger of the process.
 pub(crate) fn install(level: LevelFilter, output: LogOutput) {
     let builder = Builder::with_level(level.as_str());
     match output {
@@ -37,7 +38,7 @@
     }
 }
 
-/// Hands lines to the thread that writes them.
+/// Queues complete lines for the writer thread and never blocks.
 struct QueuedWriter {
     tx: SyncSender<Vec<u8>>,
     dropped_lines: Arc<AtomicU64>,
@@ -81,7 +82,7 @@
                 format!("{{\"level\":\"WARN\",\"message\":\"{count} log lines dropped\"}}\n");
             lines.extend_from_slice(warning.as_bytes());
         }
-        // Without a reader there is nobody to tell.
+        // An error means that standard output is closed, so it cannot be reported there.
         let _ = out.write_all(&lines).and_then(|()| out.flush());
     }
 }
--- a/crates/core/main.rs
+++ b/crates/core/main.rs
@@ -1,4 +1,4 @@
-//! The `poplarspan` program.
+//! The `poplarspan` command.
 
 mod commands;
 mod flags;
