--- a/crates/standin/tests/prefix_cache.rs
+++ b/crates/standin/tests/prefix_cache.rs
@@ -1,21 +1,21 @@
-//! The prefix cache of an engine and its events.
+//! Prefix cache of an engine, and its events.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{chat, engine, get, prompt};
+use common::{chat, get, prompt, start_engine};
 use poplarspan_policy::route::PrefixChain;
-use poplarspan_standin::{BLOCK_BYTES, StandIn};
+use poplarspan_standin::{BLOCK_BYTES, MockEndpoint};
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-async fn cached_tokens(engine: &StandIn, headers: &[(&str, &str)], body: &Value) -> u64 {
+async fn cached_tokens(engine: &MockEndpoint, headers: &[(&str, &str)], body: &Value) -> u64 {
     let answer = chat(engine, headers, body).await.unwrap().json();
     answer["usage"]["cached_tokens"].as_u64().unwrap()
 }
 
-async fn events(engine: &StandIn, after: u64) -> Vec<Value> {
+async fn events(engine: &MockEndpoint, after: u64) -> Vec<Value> {
     let answer = get(engine, &format!("/events?after={after}")).await.json();
     answer["events"].as_array().unwrap().clone()
 }
@@ -25,28 +25,28 @@
     events.flat_map(|e| e["blocks"].as_array().unwrap()).map(|b| b.as_u64().unwrap()).collect()
 }
 
-/// Guards against hashes that differ from those of the scheduler, which would make every cache
-/// event useless to it.
+/// Guards against block hashes that differ from those of the scheduler, which could then match no
+/// cache event to a prompt.
 #[tokio::test(start_paused = true)]
 async fn block_hashes_agree_with_the_policy() {
-    let engine = engine(|e| e.models(vec!["m@7".parse().unwrap()])).await;
+    let engine = start_engine(|e| e.models(vec!["m@7".parse().unwrap()])).await;
     let messages =
         [r#"{"role": "user",  "content":"a"}"#.to_owned(), json!("b".repeat(700)).to_string()];
     let body =
         format!(r#"{{"model":"m","max_tokens":1,"messages":[{}, {}]}}"#, messages[0], messages[1]);
     let path = "/v1/chat/completions";
-    let response = common::open(&engine, http::Method::POST, path, &[], &body).await.unwrap();
-    common::whole(response).await.unwrap();
+    let response = common::send(&engine, http::Method::POST, path, &[], &body).await.unwrap();
+    common::read_response(response).await.unwrap();
     let mut chain = PrefixChain::new("m@7", BLOCK_BYTES);
     messages.iter().for_each(|m| chain.extend(m.as_bytes()));
     assert_eq!(chain.blocks().len(), 2);
     assert_eq!(blocks(&events(&engine, 0).await, "stored"), chain.blocks());
 }
 
-/// Guards against prefill that costs the same for a cached prompt.
+/// Cached tokens take no prefill time. Another model does not share the cached prompt.
 #[tokio::test(start_paused = true)]
 async fn cached_prompts_skip_prefill() {
-    let engine = engine(|e| e.prefill_per_token(Duration::from_secs(1))).await;
+    let engine = start_engine(|e| e.prefill_per_token(Duration::from_secs(1))).await;
     let start = Instant::now();
     assert_eq!(cached_tokens(&engine, &[], &prompt("a", 4)).await, 0);
     assert!(start.elapsed() >= Duration::from_secs(4 * 64));
@@ -60,10 +60,10 @@
     );
 }
 
-/// Guards against a cache without a limit, and against eviction of what was used last.
+/// The cache stays within its limit and evicts the least recently used blocks.
 #[tokio::test(start_paused = true)]
 async fn least_recently_used_blocks_are_evicted() {
-    let engine = engine(|e| e.cache_blocks(4)).await;
+    let engine = start_engine(|e| e.cache_blocks(4)).await;
     for text in ["a", "b", "a", "c"] {
         cached_tokens(&engine, &[], &prompt(text, 2)).await;
     }
@@ -79,10 +79,10 @@
     assert_eq!(cached_tokens(&engine, &[], &prompt("b", 2)).await, 0);
 }
 
-/// Guards against eviction of what a program holds while other memory is free to take.
+/// Guards against the eviction of blocks that a program holds while blocks without a holder remain.
 #[tokio::test(start_paused = true)]
 async fn held_blocks_outlast_others() {
-    let engine = engine(|e| e.cache_blocks(4)).await;
+    let engine = start_engine(|e| e.cache_blocks(4)).await;
     let program = [("x-program", "t/p")];
     cached_tokens(&engine, &program, &prompt("a", 2)).await;
     for text in ["b", "c", "d"] {
@@ -91,10 +91,10 @@
     assert_eq!(cached_tokens(&engine, &program, &prompt("a", 2)).await, 128);
 }
 
-/// Guards against events that are visible at once, and against a wrong age.
+/// Guards against events that are published before `event_delay`, and against a wrong age.
 #[tokio::test(start_paused = true)]
 async fn events_are_delayed() {
-    let engine = engine(|e| e.event_delay(Duration::from_secs(20))).await;
+    let engine = start_engine(|e| e.event_delay(Duration::from_secs(20))).await;
     cached_tokens(&engine, &[], &prompt("a", 1)).await;
     assert!(events(&engine, 0).await.is_empty());
     tokio::time::sleep(Duration::from_secs(30)).await;
@@ -105,13 +105,13 @@
     assert!(events(&engine, 2).await.is_empty());
 }
 
-/// Guards against gaps that leave no trace in the numbers, and against runs that a seed does not
-/// determine.
+/// A lost event leaves a gap in the sequence numbers, and the seed determines which events are
+/// lost.
 #[tokio::test(start_paused = true)]
 async fn gaps_skip_numbers() {
     let mut seen = Vec::new();
     for _ in 0..2 {
-        let engine = engine(|e| e.event_gap_rate(0.5).seed(11)).await;
+        let engine = start_engine(|e| e.event_gap_rate(0.5).seed(11)).await;
         for n in 0..20 {
             cached_tokens(&engine, &[], &prompt(&format!("{n:02}"), 1)).await;
         }
