--- a/crates/core/commands/files.rs
+++ b/crates/core/commands/files.rs
@@ -1,12 +1,12 @@
-//! Commands on object files, which need no fleet.
+//! Commands that work on object files, and `keygen`.
 
 use std::{path::PathBuf, process::ExitCode};
 
 use anyhow::{Context, Result};
 use poplarspan_objects::{Change, ObjectSet, Source, generate_secret};
 
-use super::{on_runtime, operator};
-use crate::flags::{DiffFlags, FileFlags};
+use super::{block_on, operator};
+use crate::flags::{DiffFlags, ObjectFileFlags};
 
 /// Reads object files.
 pub(crate) fn read(paths: &[PathBuf]) -> Result<Vec<Source>> {
@@ -18,8 +18,8 @@
     paths.iter().map(read).collect()
 }
 
-/// Checks object files; prints every finding and returns None when there is one.
-pub(crate) fn read_checked(paths: &[PathBuf]) -> Result<Option<ObjectSet>> {
+/// Reads and checks object files. Prints all findings and returns `None` if there are any.
+pub(crate) fn read_and_check(paths: &[PathBuf]) -> Result<Option<ObjectSet>> {
     match poplarspan_objects::check(&read(paths)?) {
         Ok(set) => Ok(Some(set)),
         Err(findings) => {
@@ -32,24 +32,24 @@
 }
 
 /// `check`
-pub(crate) fn check(flags: &FileFlags) -> Result<ExitCode> {
-    let Some(set) = read_checked(&flags.files)? else { return Ok(ExitCode::FAILURE) };
+pub(crate) fn check(flags: &ObjectFileFlags) -> Result<ExitCode> {
+    let Some(set) = read_and_check(&flags.files)? else { return Ok(ExitCode::FAILURE) };
     println!("{} objects, no findings", set.len());
     Ok(ExitCode::SUCCESS)
 }
 
 /// `diff`
 pub(crate) fn diff(flags: &DiffFlags) -> Result<ExitCode> {
-    let Some(new) = read_checked(&flags.files.files)? else { return Ok(ExitCode::FAILURE) };
-    let old = if let Some(operator) = flags.operator() {
+    let Some(new) = read_and_check(&flags.files.files)? else { return Ok(ExitCode::FAILURE) };
+    let old = if let Some(operator) = flags.operator_flags() {
         let mut fetched = None;
-        on_runtime(async {
+        block_on(async {
             fetched = Some(operator::fetch(&operator).await?.1);
             Ok(ExitCode::SUCCESS)
         })?;
-        fetched.context("the objects in force were not read")?
+        fetched.context("cannot read the objects in force")?
     } else {
-        match read_checked(&flags.against)? {
+        match read_and_check(&flags.against)? {
             Some(old) => old,
             None => return Ok(ExitCode::FAILURE),
         }
@@ -73,7 +73,7 @@
 
 /// `keygen`
 pub(crate) fn keygen() -> Result<ExitCode> {
-    let secret = generate_secret().context("no random bytes")?;
+    let secret = generate_secret().context("cannot get random bytes")?;
     println!("secret: {}", secret.expose());
     println!("digest: {}", secret.digest());
     Ok(ExitCode::SUCCESS)
--- a/crates/core/commands/operator.rs
+++ b/crates/core/commands/operator.rs
@@ -1,4 +1,4 @@
-//! Commands of operators to a running fleet.
+//! Commands that operators run against a fleet.
 
 use std::{net::SocketAddr, process::ExitCode, time::Duration};
 
@@ -13,19 +13,19 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const REPLACE_TIMEOUT: Duration = Duration::from_secs(90);
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A connection to the fleet that follows the leader of group 0.
-struct Fleet {
+/// Client that sends requests to the leader of group 0.
+struct FleetClient {
     client: PeerClient,
-    first: SocketAddr,
+    control: SocketAddr,
     target: SocketAddr,
     key: String,
     deadline: Instant,
     call_timeout: Duration,
 }
 
-impl Fleet {
+impl FleetClient {
     fn open(flags: &OperatorFlags) -> Result<Self> {
         let credentials = Credentials::load(&flags.tls.files())?;
         let local: SocketAddr =
@@ -39,7 +39,7 @@
         };
         Ok(Self {
             client: PeerClient::new(&credentials, local)?,
-            first: flags.control,
+            control: flags.control,
             target: flags.control,
             key,
             deadline: Instant::now() + flags.timeout,
@@ -47,8 +47,9 @@
         })
     }
 
-    /// Sends a call to the leader, and again while the leader is not known. All operators' calls
-    /// may be repeated: a publication is recognised by its request id.
+    /// Sends a request to the leader, and retries until the deadline while the leader is unknown or
+    /// unavailable, or the outcome is unknown. All operator requests are safe to retry:
+    /// publications are deduplicated by their request id.
     async fn call(&mut self, body: request::Body) -> Result<response::Body> {
         let mut redirected = false;
         loop {
@@ -56,13 +57,14 @@
                 Ok(answer) => return Ok(answer),
                 Err(e) => e,
             };
-            self.target = self.first;
+            self.target = self.control;
             match &error {
                 CallError::Failed(failure) => match failure.code() {
                     FailureCode::NotLeader => {
                         if let Ok(leader) = failure.leader_address.parse() {
                             self.target = leader;
-                            // The first hint is followed at once; later ones may lead in circles.
+                            // Follow only the first redirect at once; replicas with outdated
+                            // views may redirect to each other.
                             if !std::mem::replace(&mut redirected, true) {
                                 continue;
                             }
@@ -73,10 +75,10 @@
                 },
                 CallError::Unreachable { .. } | CallError::Unknown { .. } => {}
             }
-            if Instant::now() + RETRY_AFTER > self.deadline {
+            if Instant::now() + RETRY_INTERVAL > self.deadline {
                 return Err(error.into());
             }
-            sleep(RETRY_AFTER).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -84,27 +86,28 @@
         let request = peer::StatusRequest { operator_key: self.key.clone() };
         match self.call(request::Body::Status(request)).await? {
             response::Body::Status(status) => Ok(status),
-            _ => bail!("unexpected kind of answer"),
+            _ => bail!("unexpected response type"),
         }
     }
 }
 
-/// Reads the objects in force, with their generation.
+/// Fetches the objects in force and their generation.
 pub(crate) async fn fetch(flags: &OperatorFlags) -> Result<(u64, ObjectSet)> {
-    let mut fleet = Fleet::open(flags)?;
+    let mut fleet = FleetClient::open(flags)?;
     let get = peer::GetObjects { operator_key: fleet.key.clone() };
     let reply = match fleet.call(request::Body::GetObjects(get)).await? {
         response::Body::Objects(reply) => reply,
-        _ => bail!("unexpected kind of answer"),
+        _ => bail!("unexpected response type"),
     };
-    let records = reply.objects.iter().map(read_record).collect::<Result<Vec<_>>>()?;
+    let records = reply.objects.iter().map(decode_record).collect::<Result<Vec<_>>>()?;
     let set = ObjectSet::from_records(&records).map_err(|e| anyhow::anyhow!("{e}"))?;
     Ok((reply.generation, set))
 }
 
-fn read_record(change: &peer::Change) -> Result<Record> {
-    let kind = change.kind.parse().with_context(|| format!("kind {}", change.kind))?;
-    let body = change.body.clone().context("an object without a body")?;
+fn decode_record(change: &peer::Change) -> Result<Record> {
+    let kind =
+        change.kind.parse().with_context(|| format!("invalid object kind {}", change.kind))?;
+    let body = change.body.clone().context("object has no body")?;
     Ok(Record { kind, name: change.name.as_str().into(), body })
 }
 
@@ -120,11 +123,11 @@
 
 /// `publish`
 pub(crate) async fn publish(flags: PublishFlags) -> Result<ExitCode> {
-    let Some(set) = files::read_checked(&flags.files.files)? else {
+    let Some(set) = files::read_and_check(&flags.files.files)? else {
         return Ok(ExitCode::FAILURE);
     };
-    let mut fleet = Fleet::open(&flags.operator)?;
-    let objects = ObjectSet::default().diff(&set).iter().map(write_change).collect();
+    let mut fleet = FleetClient::open(&flags.operator)?;
+    let objects = ObjectSet::default().diff(&set).iter().map(encode_change).collect();
     let publish = peer::Publish {
         expected_generation: flags.expect_generation,
         request_id: flags.request_id,
@@ -133,7 +136,7 @@
     };
     let result = match fleet.call(request::Body::Publish(publish)).await? {
         response::Body::Publish(result) => result,
-        _ => bail!("unexpected kind of answer"),
+        _ => bail!("unexpected response type"),
     };
     if !result.accepted {
         eprintln!(
@@ -145,28 +148,28 @@
     }
     println!("published as generation {}", result.generation);
     if !flags.no_wait {
-        wait_in_force(&mut fleet, result.generation).await?;
+        wait_until_in_force(&mut fleet, result.generation).await?;
         println!("in force on every live instance");
     }
     Ok(ExitCode::SUCCESS)
 }
 
-async fn wait_in_force(fleet: &mut Fleet, generation: u64) -> Result<()> {
+async fn wait_until_in_force(fleet: &mut FleetClient, generation: u64) -> Result<()> {
     loop {
         let status = fleet.status().await?;
-        // A newer generation in force contains this one or replaces it.
+        // A newer generation includes this one or replaces it.
         if status.generation >= generation && status.in_force {
             return Ok(());
         }
         if Instant::now() > fleet.deadline {
-            bail!("accepted, but not known to be in force everywhere yet; see `poplarspan status`");
+            bail!("published, but not confirmed in force everywhere yet; run `poplarspan status`");
         }
-        sleep(RETRY_AFTER / 4).await;
+        sleep(RETRY_INTERVAL / 4).await;
     }
 }
 
-/// Converts a change for the peer port.
-pub(crate) fn write_change(change: &Change) -> peer::Change {
+/// Encodes a change for the peer protocol.
+pub(crate) fn encode_change(change: &Change) -> peer::Change {
     match change {
         Change::Upsert(record) => peer::Change {
             kind: record.kind.to_string(),
@@ -181,7 +184,7 @@
 
 /// `status`
 pub(crate) async fn status(flags: StatusFlags) -> Result<ExitCode> {
-    let mut fleet = Fleet::open(&flags.operator)?;
+    let mut fleet = FleetClient::open(&flags.operator)?;
     let status = fleet.status().await?;
     if flags.json {
         println!("{}", status_json(&status));
@@ -256,21 +259,21 @@
 
 /// `replace-voter`
 pub(crate) async fn replace_voter(flags: ReplaceVoterFlags) -> Result<ExitCode> {
-    let mut fleet = Fleet::open(&flags.operator)?;
+    let mut fleet = FleetClient::open(&flags.operator)?;
     let request = peer::ReplaceVoter {
         operator_key: fleet.key.clone(),
         old: flags.old,
         new: flags.new,
         new_address: flags.new_address.to_string(),
     };
-    // The new replica has to catch up first.
+    // The new replica has to catch up with the log first.
     fleet.deadline = fleet.deadline.max(Instant::now() + REPLACE_TIMEOUT);
     fleet.call_timeout = REPLACE_TIMEOUT;
     match fleet.call(request::Body::ReplaceVoter(request)).await? {
         response::Body::VoterReplaced(_) => {
-            println!("replica {} has taken the place of replica {}", flags.new, flags.old);
+            println!("replica {} has replaced replica {}", flags.new, flags.old);
             Ok(ExitCode::SUCCESS)
         }
-        _ => bail!("unexpected kind of answer"),
+        _ => bail!("unexpected response type"),
     }
 }
--- a/tests/fleet_rate.rs
+++ b/tests/fleet_rate.rs
@@ -1,4 +1,4 @@
-//! Guards against a team that gets more than its rate by calling many instances.
+//! Guards against a team that exceeds its rate by calling many instances.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use support::{
     Fleet,
-    calls::{CallFleet, Seen},
+    calls::{CallFleet, CallResponse},
 };
 use tokio::time::Instant;
 
@@ -15,12 +15,18 @@
 const BURST: u32 = 40;
 
 async fn limited() -> CallFleet {
-    let stand_ins: &[(&str, &str, &[&str])] = &[("orders-1", "service", &[])];
-    Fleet::configured(3, stand_ins, |fleet| fleet.objects.rate = (RATE, BURST)).await
+    let mock_endpoints: &[(&str, &str, &[&str])] = &[("orders-1", "service", &[])];
+    Fleet::configured(3, mock_endpoints, |fleet| fleet.objects.rate = (RATE, BURST)).await
 }
 
-/// Calls of one team at one instance, at an even pace, until the time is over.
-async fn send(fleet: &Fleet, i: usize, key: &str, pace: Duration, until: Instant) -> Vec<Seen> {
+/// Sends calls of one team to one instance at a fixed interval; returns the responses.
+async fn send(
+    fleet: &Fleet,
+    i: usize,
+    key: &str,
+    pace: Duration,
+    until: Instant,
+) -> Vec<CallResponse> {
     let mut calls = Vec::new();
     let url = format!("http://{}/orders", fleet.members[i].entry);
     while Instant::now() < until {
@@ -29,29 +35,37 @@
         calls.push(tokio::spawn(async move {
             let answer = call.send().await.ok()?;
             let (status, headers) = (answer.status(), answer.headers().clone());
-            Some(Seen { status, headers, body: answer.text().await.map_err(|e| e.to_string()) })
+            Some(CallResponse {
+                status,
+                headers,
+                body: answer.text().await.map_err(|e| e.to_string()),
+            })
         }));
         tokio::time::sleep(pace).await;
     }
     let answers = futures::future::join_all(calls).await;
-    // A killed instance gives no answers.
-    answers.into_iter().filter_map(|answer| answer.expect("no panic")).collect()
+    // Calls to a killed instance have no response.
+    answers.into_iter().filter_map(|answer| answer.expect("task panicked")).collect()
 }
 
-/// Number of calls of the team that reached the service.
+/// Number of calls with this key that reached the service.
 async fn reached(fleet: &Fleet, key: &str) -> u64 {
-    let list: Value = fleet.ask_stand_in(0, "/executions").await.expect("a list");
-    let counted = list.as_array().expect("a list").iter().find(|e| e["key"] == key);
-    counted.map_or(0, |e| e["executions"].as_u64().expect("a count"))
+    let list: Value = fleet.try_query_mock_endpoint(0, "/executions").await.expect("not a list");
+    let counted = list.as_array().expect("not a list").iter().find(|e| e["key"] == key);
+    counted.map_or(0, |e| e["executions"].as_u64().expect("not a count"))
 }
 
 fn check_bound(reached: u64, started: Instant) {
-    let most = f64::from(BURST) + f64::from(RATE) * started.elapsed().as_secs_f64();
-    assert!(reached as f64 <= most, "{reached} calls, and at most {most} are within the rate");
-    assert!(reached > u64::from(RATE), "the team got next to nothing: {reached}");
+    let limit = f64::from(BURST) + f64::from(RATE) * started.elapsed().as_secs_f64();
+    assert!(
+        reached as f64 <= limit,
+        "{reached} calls reached the service; the rate allows {limit}"
+    );
+    assert!(reached > u64::from(RATE), "only {reached} calls reached the service");
 }
 
-/// The instances together let more through than the rate, or refuse another team within its rate.
+/// The instances together must keep to the rate of a team, and must not refuse another team within
+/// its rate.
 #[tokio::test(flavor = "multi_thread")]
 async fn greedy_team() {
     let fleet = limited().await;
@@ -67,27 +81,28 @@
         send(&fleet, 2, modest, pace, until),
     );
     check_bound(reached(&fleet, greedy).await, started);
-    for refused in [a, b, c, d].iter().flatten().filter(|seen| seen.status != 200) {
-        // A token that comes just before the deadline leaves no time for the call.
+    for refused in [a, b, c, d].iter().flatten().filter(|response| response.status != 200) {
+        // A rate token that arrives just before the deadline leaves no time for the call.
         assert!(["rate_limited", "overloaded", "deadline"].contains(&refused.code().as_str()));
         assert!(refused.ran() == "no" || refused.code() == "deadline", "{refused:?}");
         assert!(refused.headers.contains_key("retry-after"), "{refused:?}");
     }
-    assert!(other.iter().all(|seen| seen.status == 200), "{other:?}");
+    assert!(other.iter().all(|response| response.status == 200), "{other:?}");
     assert_eq!(reached(&fleet, modest).await, other.len() as u64);
 }
 
-/// A new owner of a team's bucket starts with a full one while grants of the former are in use.
+/// The new owner of a team's token bucket must not start with a full bucket while grants of the
+/// previous owner are still in use.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_owner() {
     let mut fleet = limited().await;
     let greedy = fleet.objects.team_key().to_owned();
     let started = Instant::now();
     let pace = Duration::from_millis(25);
-    // Each entry instance in turn, as any of them may own the bucket.
+    // Any entry instance may own the bucket, so each is killed in turn.
     for killed in 1..4 {
         let until = Instant::now() + Duration::from_secs(4);
-        let victim = fleet.members[killed].process.take().expect("the instance runs");
+        let victim = fleet.members[killed].process.take().expect("instance is not running");
         let kill = async {
             tokio::time::sleep(Duration::from_secs(1)).await;
             victim.kill();
--- a/tests/support/faulty.rs
+++ b/tests/support/faulty.rs
@@ -1,6 +1,7 @@
-//! Answers of servers in trouble: bytes that are no answer, without an end, until the caller closes.
+//! Malformed, endless and truncated responses.
 //!
-//! A server takes this part for a connection whose first request asks for it by its path.
+//! A server sends one of these on a connection if the path of its first request contains
+//! [`PATH_MARKER`] and the name of the fault.
 
 use std::time::Duration;
 
@@ -10,23 +11,23 @@
     time::sleep,
 };
 
-const MARK: &str = "/faulty/";
-const PIECE_BYTES: usize = 16 * 1024;
-/// Nothing that a test waits for takes longer.
-const STALL: Duration = Duration::from_secs(120);
+const PATH_MARKER: &str = "/faulty/";
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Longer than any wait of a test.
+const STALL_TIME: Duration = Duration::from_secs(120);
 
-/// The fault that the first request asks for, if any.
-pub async fn wanted(stream: &TcpStream) -> Option<String> {
+/// Returns the fault that the first request of a connection asks for, without consuming bytes.
+pub async fn requested_fault(stream: &TcpStream) -> Option<String> {
     let mut buf = [0; 4096];
     let len = stream.peek(&mut buf).await.ok()?;
     let line = std::str::from_utf8(&buf[..len]).ok()?.lines().next()?.to_owned();
     let path = line.split(' ').nth(1)?;
-    Some(path.split_once(MARK)?.1.to_owned())
+    Some(path.split_once(PATH_MARKER)?.1.to_owned())
 }
 
-/// Sends the faulty answer until the other side closes.
-pub async fn answer(stream: &mut TcpStream, kind: &str) {
-    let mut buf = vec![0; PIECE_BYTES];
+/// Sends a faulty response; endless ones are sent until the peer closes the connection.
+pub async fn send_response(stream: &mut TcpStream, kind: &str) {
+    let mut buf = vec![0; CHUNK_BYTES];
     let Ok(len) = stream.read(&mut buf).await else { return };
     let head = String::from_utf8_lossy(&buf[..len]).to_lowercase();
     let header = |name: &str| {
@@ -35,15 +36,15 @@
     };
     let id = header("request-id");
     let sealed = format!("HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nserver-seal: s\r\n");
-    let text = "a".repeat(PIECE_BYTES);
-    let event = "data: a\n\n".repeat(PIECE_BYTES / 9);
+    let text = "a".repeat(CHUNK_BYTES);
+    let event = "data: a\n\n".repeat(CHUNK_BYTES / 9);
     let chunk = |data: &str| format!("{:x}\r\n{data}\r\n", data.len());
     let chunked = "transfer-encoding: chunked\r\n\r\n";
     let streamed = "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
     if kind == "copy" {
-        return send_copy(stream, &sealed).await;
+        return send_twice(stream, &sealed).await;
     }
-    let (start, piece) = match kind {
+    let (start, repeated) = match kind {
         "head" => (format!("{sealed}x-a: "), text),
         "heads" => (String::new(), "HTTP/1.1 100 Continue\r\n\r\n".repeat(500)),
         "body" => (format!("{sealed}\r\n"), text),
@@ -52,7 +53,7 @@
         "trailer" => (format!("{sealed}{chunked}0\r\nx-a: "), text),
         "event" => (format!("{sealed}{streamed}"), chunk(&text)),
         "events" => (format!("{sealed}{streamed}"), chunk(&event)),
-        // Ends in the middle of an event, with nothing that tells its length.
+        // Ends within an event; neither a length nor chunks mark the end.
         "cut" => {
             let cut = "content-type: text/event-stream\r\n\r\ndata: a\n\ndata: b";
             (format!("{sealed}{cut}"), String::new())
@@ -69,23 +70,23 @@
     if kind == "cut" {
         return;
     }
-    if piece.is_empty() {
-        return sleep(STALL).await;
+    if repeated.is_empty() {
+        return sleep(STALL_TIME).await;
     }
-    // Ends when the other side has closed.
-    while stream.write_all(piece.as_bytes()).await.is_ok() {}
+    // Writing fails once the peer has closed the connection.
+    while stream.write_all(repeated.as_bytes()).await.is_ok() {}
 }
 
-/// Answers one request, and sends the same answer again when the next one has arrived.
-async fn send_copy(stream: &mut TcpStream, sealed: &str) {
+/// Responds to one request, and sends the same response again to the next one.
+async fn send_twice(stream: &mut TcpStream, sealed: &str) {
     let answer = format!("{sealed}content-length: 4\r\n\r\ncopy");
     if stream.write_all(answer.as_bytes()).await.is_err() {
         return;
     }
     let mut buf = [0; 4096];
     if let Ok(1..) = stream.read(&mut buf).await {
-        // The caller may have closed.
+        // The peer may have closed the connection.
         let _ = stream.write_all(answer.as_bytes()).await;
-        sleep(STALL).await;
+        sleep(STALL_TIME).await;
     }
 }
--- a/tests/support/watch.rs
+++ b/tests/support/watch.rs
@@ -1,4 +1,4 @@
-//! Watches that no instance goes back to an older generation.
+//! Checks that no instance returns to an older generation.
 
 use std::{
     sync::{
@@ -12,15 +12,15 @@
 
 use super::{Fleet, generation_of};
 
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Watches the generation in force at each instance until it is stopped.
-pub struct Watch {
+/// Polls the generation in force at each instance until it is stopped.
+pub struct GenerationMonitor {
     stop: Arc<AtomicBool>,
     task: JoinHandle<Vec<u64>>,
 }
 
-impl Watch {
+impl GenerationMonitor {
     pub fn start(fleet: &Fleet) -> Self {
         let stop = Arc::<AtomicBool>::default();
         let (client, stopped) = (fleet.client.clone(), stop.clone());
@@ -29,27 +29,27 @@
         let task = tokio::spawn(async move {
             let mut highest = vec![0; members.len()];
             while !stopped.load(Ordering::Relaxed) {
-                for (i, (probe, has_disk)) in members.iter().enumerate() {
+                for (i, (probe, is_replica)) in members.iter().enumerate() {
                     let Some(generation) = generation_of(&client, *probe).await else { continue };
-                    // Without a disk an instance starts without objects.
-                    let none_yet = generation == 0 && !has_disk;
+                    // An instance without a data folder starts without objects.
+                    let not_loaded = generation == 0 && !is_replica;
                     assert!(
-                        none_yet || generation >= highest[i],
-                        "instance {i} went back from generation {} to {generation}",
+                        not_loaded || generation >= highest[i],
+                        "instance {i} returned from generation {} to {generation}",
                         highest[i]
                     );
                     highest[i] = highest[i].max(generation);
                 }
-                sleep(PAUSE).await;
+                sleep(POLL_INTERVAL).await;
             }
             highest
         });
         Self { stop, task }
     }
 
-    /// Stops, and returns the highest generation of each instance.
+    /// Stops and returns the highest generation seen at each instance.
     pub async fn stop(self) -> Vec<u64> {
         self.stop.store(true, Ordering::Relaxed);
-        self.task.await.expect("no generation goes back")
+        self.task.await.expect("monitor failed")
     }
 }
