--- a/crates/core/commands/certs.rs
+++ b/crates/core/commands/certs.rs
@@ -24,7 +24,6 @@
 /// File that is written last, so its existence shows that the folder is complete.
 const LAST_FILE: &str = "operator.key";
 
-/// `certs`
 pub(crate) fn run(flags: &CertsFlags) -> Result<ExitCode> {
     if flags.keep && flags.out.join(LAST_FILE).exists() {
         println!("keeping the existing certificates in {}", flags.out.display());
--- a/crates/core/commands/dev.rs
+++ b/crates/core/commands/dev.rs
@@ -31,7 +31,6 @@
 /// Maximum time until the published objects are in force.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// `dev`
 pub(crate) async fn run(flags: DevFlags) -> Result<ExitCode> {
     let folder = tempfile::tempdir().context("cannot create a temporary folder")?;
     let engine = start_engine().await?;
--- a/crates/core/commands/endpoint.rs
+++ b/crates/core/commands/endpoint.rs
@@ -18,7 +18,6 @@
 const CRASH_EXIT_CODE: u8 = 70;
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// `endpoint`
 pub(crate) async fn run(flags: EndpointFlags) -> Result<ExitCode> {
     let first_run = flags.standin.first_run.map_or_else(default_first_run, Ok)?;
     match flags.kind {
--- a/crates/core/commands/files.rs
+++ b/crates/core/commands/files.rs
@@ -31,14 +31,12 @@
     }
 }
 
-/// `check`
 pub(crate) fn check(flags: &ObjectFileFlags) -> Result<ExitCode> {
     let Some(set) = read_and_check(&flags.files)? else { return Ok(ExitCode::FAILURE) };
     println!("{} objects, no findings", set.len());
     Ok(ExitCode::SUCCESS)
 }
 
-/// `diff`
 pub(crate) fn diff(flags: &DiffFlags) -> Result<ExitCode> {
     let Some(new) = read_and_check(&flags.files.files)? else { return Ok(ExitCode::FAILURE) };
     let old = if let Some(operator) = flags.operator_flags() {
@@ -71,7 +69,6 @@
     }
 }
 
-/// `keygen`
 pub(crate) fn keygen() -> Result<ExitCode> {
     let secret = generate_secret().context("cannot get random bytes")?;
     println!("secret: {}", secret.expose());
--- a/crates/core/commands/node.rs
+++ b/crates/core/commands/node.rs
@@ -15,7 +15,6 @@
 /// How often the settings file is read again, since it may change without a SIGHUP.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// `node`
 pub(crate) async fn run(flags: NodeFlags) -> Result<ExitCode> {
     // Installed first, because the default action of these signals terminates the process.
     let mut signals = Signals::new()?;
--- a/crates/core/commands/operator.rs
+++ b/crates/core/commands/operator.rs
@@ -111,7 +111,6 @@
     Ok(Record { kind, name: change.name.as_str().into(), body })
 }
 
-/// `get`
 pub(crate) async fn get(flags: OperatorFlags) -> Result<ExitCode> {
     let (generation, set) = fetch(&flags).await?;
     println!("generation {generation}");
@@ -121,7 +120,6 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// `publish`
 pub(crate) async fn publish(flags: PublishFlags) -> Result<ExitCode> {
     let Some(set) = files::read_and_check(&flags.files.files)? else {
         return Ok(ExitCode::FAILURE);
@@ -182,7 +180,6 @@
     }
 }
 
-/// `status`
 pub(crate) async fn status(flags: StatusFlags) -> Result<ExitCode> {
     let mut fleet = FleetClient::open(&flags.operator)?;
     let status = fleet.status().await?;
@@ -257,7 +254,6 @@
     })
 }
 
-/// `replace-voter`
 pub(crate) async fn replace_voter(flags: ReplaceVoterFlags) -> Result<ExitCode> {
     let mut fleet = FleetClient::open(&flags.operator)?;
     let request = peer::ReplaceVoter {
--- a/crates/core/commands/serve.rs
+++ b/crates/core/commands/serve.rs
@@ -8,7 +8,6 @@
 
 use crate::flags::{InitFlags, ServeFlags};
 
-/// `serve`
 pub(crate) async fn run(flags: ServeFlags) -> Result<ExitCode> {
     let cfg = InstanceConfig {
         name: flags.name.into(),
@@ -43,7 +42,6 @@
     Ok(if open_connections == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// `init`
 pub(crate) async fn init(flags: InitFlags) -> Result<ExitCode> {
     init_data_folder(&flags.data_dir, flags.replica, &flags.voters).await?;
     println!("created data folder {} for replica {}", flags.data_dir.display(), flags.replica);
--- a/crates/core/flags.rs
+++ b/crates/core/flags.rs
@@ -60,7 +60,6 @@
     },
 }
 
-/// Flags of `node`.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct NodeFlags {
     /// Settings file in the platform's format.
@@ -105,7 +104,6 @@
     }
 }
 
-/// Flags of `serve`.
 #[derive(Args, Debug)]
 pub(crate) struct ServeFlags {
     /// Name of the instance; must be unique in the fleet.
@@ -218,7 +216,6 @@
     pub(crate) timeout: Duration,
 }
 
-/// Flags of `diff`.
 #[derive(Args, Debug)]
 pub(crate) struct DiffFlags {
     #[command(flatten)]
@@ -260,7 +257,6 @@
     }
 }
 
-/// Flags of `publish`.
 #[derive(Args, Debug)]
 pub(crate) struct PublishFlags {
     #[command(flatten)]
@@ -280,7 +276,6 @@
     pub(crate) no_wait: bool,
 }
 
-/// Flags of `status`.
 #[derive(Args, Debug)]
 pub(crate) struct StatusFlags {
     #[command(flatten)]
@@ -290,7 +285,6 @@
     pub(crate) json: bool,
 }
 
-/// Flags of `init`.
 #[derive(Args, Debug)]
 pub(crate) struct InitFlags {
     /// Folder to create; if it exists, it must be empty.
@@ -307,7 +301,6 @@
     pub(crate) join: bool,
 }
 
-/// Flags of `replace-voter`.
 #[derive(Args, Debug)]
 pub(crate) struct ReplaceVoterFlags {
     /// Number of the replica to replace.
@@ -323,7 +316,6 @@
     pub(crate) operator: OperatorFlags,
 }
 
-/// Flags of `certs`.
 #[derive(Args, Debug)]
 pub(crate) struct CertsFlags {
     /// Output folder, created if missing. Existing files are not overwritten.
@@ -334,7 +326,6 @@
     pub(crate) keep: bool,
 }
 
-/// Flags of `dev`.
 #[derive(Args, Debug)]
 pub(crate) struct DevFlags {
     /// TCP address to listen on for callers; port 0 selects a free port.
@@ -347,7 +338,6 @@
     pub(crate) entry_address: SocketAddr,
 }
 
-/// Flags of `endpoint`.
 #[derive(Args, Debug)]
 pub(crate) struct EndpointFlags {
     /// Kind of endpoint to simulate.
