--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy on loopback whose connections can be delayed, silenced in one or both directions, reset.
+//! A TCP proxy on loopback that can delay data, stall one or both directions, and reset
+//! connections.
 
 use std::{
     net::SocketAddr,
@@ -16,39 +17,40 @@
     time::sleep,
 };
 
-/// What a link does with what it is to carry.
+/// How a link handles the data of its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Mode {
     Pass,
-    /// Everything arrives later.
+    /// Adds [`LATENCY`] to each read.
     Delay,
-    /// Nothing arrives at the far end any more, and nobody is told.
-    DeafFarEnd,
-    /// Nothing arrives at the near end any more, and nobody is told.
-    DeafNearEnd,
-    Silent,
+    /// Holds back data to the upstream server; the connection stays open.
+    StallUpstream,
+    /// Holds back data to the client; the connection stays open.
+    StallDownstream,
+    /// Holds back data in both directions; the connection stays open.
+    StallBoth,
 }
 
-const DELAY: Duration = Duration::from_millis(150);
-const POLL: Duration = Duration::from_millis(20);
+const LATENCY: Duration = Duration::from_millis(150);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A link to one address.
+/// A proxy for one upstream address.
 pub struct Link {
     mode: AtomicU8,
     resets: watch::Sender<u32>,
 }
 
 impl Link {
-    /// Listens on `near` and connects to `far`.
-    pub async fn open(near: SocketAddr, far: SocketAddr) -> Arc<Self> {
-        let socket = TcpListener::bind(near).await.expect("an address of its own");
+    /// Listens on `listen` and forwards each connection to `upstream`.
+    pub async fn open(listen: SocketAddr, upstream: SocketAddr) -> Arc<Self> {
+        let socket = TcpListener::bind(listen).await.expect("failed to bind the listener");
         let link =
             Arc::new(Self { mode: AtomicU8::new(Mode::Pass as u8), resets: watch::Sender::new(0) });
         let accepting = link.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = socket.accept().await {
-                tokio::spawn(accepting.clone().carry(stream, far));
+                tokio::spawn(accepting.clone().forward(stream, upstream));
             }
         });
         link
@@ -63,41 +65,55 @@
         self.resets.send_modify(|n| *n += 1);
     }
 
-    fn is(&self, modes: &[Mode]) -> bool {
+    fn has_mode(&self, modes: &[Mode]) -> bool {
         let mode = self.mode.load(Ordering::Relaxed);
         modes.iter().any(|m| *m as u8 == mode)
     }
 
-    async fn carry(self: Arc<Self>, near: TcpStream, far: SocketAddr) {
+    async fn forward(self: Arc<Self>, client: TcpStream, upstream: SocketAddr) {
         let mut resets = self.resets.subscribe();
-        let Ok(far) = TcpStream::connect(far).await else { return reset(near) };
-        let (mut near_rx, mut near_tx) = near.into_split();
-        let (mut far_rx, mut far_tx) = far.into_split();
+        let Ok(upstream) = TcpStream::connect(upstream).await else { return reset(client) };
+        let (mut client_rx, mut client_tx) = client.into_split();
+        let (mut upstream_rx, mut upstream_tx) = upstream.into_split();
         let is_reset = {
-            let there = self.copy(&mut near_rx, &mut far_tx, &[Mode::DeafFarEnd, Mode::Silent]);
-            let back = self.copy(&mut far_rx, &mut near_tx, &[Mode::DeafNearEnd, Mode::Silent]);
+            let upward = self.copy(
+                &mut client_rx,
+                &mut upstream_tx,
+                &[Mode::StallUpstream, Mode::StallBoth],
+            );
+            let downward = self.copy(
+                &mut upstream_rx,
+                &mut client_tx,
+                &[Mode::StallDownstream, Mode::StallBoth],
+            );
             tokio::select! {
-                _ = there => false,
-                _ = back => false,
+                _ = upward => false,
+                _ = downward => false,
                 _ = resets.changed() => true,
             }
         };
         if is_reset {
-            for (rx, tx) in [(near_rx, near_tx), (far_rx, far_tx)] {
-                reset(rx.reunite(tx).expect("the halves of one connection"));
+            for (rx, tx) in [(client_rx, client_tx), (upstream_rx, upstream_tx)] {
+                reset(rx.reunite(tx).expect("halves of different connections"));
             }
         }
     }
 
-    /// Copies until one end has ended. A connection that was silenced stays so until it ends.
-    async fn copy(&self, rx: &mut tcp::OwnedReadHalf, tx: &mut tcp::OwnedWriteHalf, deaf: &[Mode]) {
+    /// Copies until either side closes. Data that was read waits while the mode is one of
+    /// `stalled_in`.
+    async fn copy(
+        &self,
+        rx: &mut tcp::OwnedReadHalf,
+        tx: &mut tcp::OwnedWriteHalf,
+        stalled_in: &[Mode],
+    ) {
         let mut buf = vec![0; 16 * 1024];
         while let Ok(n @ 1..) = rx.read(&mut buf).await {
-            if self.is(&[Mode::Delay]) {
-                sleep(DELAY).await;
+            if self.has_mode(&[Mode::Delay]) {
+                sleep(LATENCY).await;
             }
-            while self.is(deaf) {
-                sleep(POLL).await;
+            while self.has_mode(stalled_in) {
+                sleep(POLL_INTERVAL).await;
             }
             if tx.write_all(&buf[..n]).await.is_err() {
                 return;
@@ -107,6 +123,6 @@
 }
 
 fn reset(stream: TcpStream) {
-    // Without it the connection ends in order, which is a fault as well.
+    // If this fails, the connection closes cleanly, which is also a fault.
     let _ = stream.set_zero_linger();
 }
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -1,10 +1,10 @@
-//! Guards against a part of an answer, or the answer to another call, that a caller takes for the
-//! whole answer to its own.
+//! Guards against truncated responses, or responses to other calls, that a caller takes for the
+//! complete response to its own call.
 
 mod support;
 
 use serde_json::{Value, json};
-use support::{Fleet, calls::Seen};
+use support::{Fleet, calls::CallResponse};
 
 const FAULTS: [&str; 5] = ["truncate", "crossed", "silent", "crash", "late:5000"];
 
@@ -13,26 +13,26 @@
     [("engine-1", "engine", flags), ("engine-2", "engine", flags)]
 }
 
-/// A whole answer, or a refusal, or a body that fails.
-fn check(what: &str, seen: &Seen, stream: bool) {
-    let Ok(body) = &seen.body else { return };
-    if seen.status != 200 {
-        assert!(!seen.code().is_empty(), "{what}: {seen:?}");
+/// Checks that a response is complete, or is a refusal, or has a body that ends in an error.
+fn check(what: &str, response: &CallResponse, stream: bool) {
+    let Ok(body) = &response.body else { return };
+    if response.status != 200 {
+        assert!(!response.code().is_empty(), "{what}: {response:?}");
         return;
     }
     if stream {
-        assert!(body.ends_with("data: [DONE]\n\n"), "{what}: {seen:?}");
-        assert!(body.matches("data: ").count() >= 4, "{what}: {seen:?}");
+        assert!(body.ends_with("data: [DONE]\n\n"), "{what}: {response:?}");
+        assert!(body.matches("data: ").count() >= 4, "{what}: {response:?}");
     } else {
-        let body: Value = serde_json::from_str(body).expect("whole JSON");
-        assert_eq!(body["usage"]["completion_tokens"], 4, "{what}: {seen:?}");
+        let body: Value = serde_json::from_str(body).expect("incomplete JSON");
+        assert_eq!(body["usage"]["completion_tokens"], 4, "{what}: {response:?}");
     }
 }
 
-/// An answer that is cut, crossed or late is passed on as a whole one, or is kept for resends.
+/// A truncated, crossed or late response must not be passed on as complete or recorded for resends.
 #[tokio::test(flavor = "multi_thread")]
 async fn failing_answers() {
-    let fleet = Fleet::with_stand_ins(1, &engines()).await;
+    let fleet = Fleet::with_mock_endpoints(1, &engines()).await;
     for fault in FAULTS {
         for stream in [false, true] {
             for program in [false, true] {
@@ -43,46 +43,50 @@
                     let call = call.header("x-poplarspan-deadline", 1500);
                     if program { call.header("x-poplarspan-program", &id) } else { call }
                 };
-                let seen = Seen::of(call(1).header("x-standin-fault", fault)).await;
-                check(&what, &seen, stream);
-                assert!(seen.status != 200 || seen.body.is_err(), "{what}: {seen:?}");
-                let again = Seen::of(call(0).header("idempotency-key", "other")).await;
+                let response = CallResponse::fetch(call(1).header("x-standin-fault", fault)).await;
+                check(&what, &response, stream);
+                assert!(response.status != 200 || response.body.is_err(), "{what}: {response:?}");
+                let again = CallResponse::fetch(call(0).header("idempotency-key", "other")).await;
                 check(&what, &again, stream);
             }
         }
     }
 }
 
-/// A stream that is cut in its middle ends like a whole one.
+/// A truncated stream must end in an error at the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_stream() {
     let flags: &[&str] = &["--token-interval", "20ms"];
-    let mut fleet = Fleet::with_stand_ins(1, &[("engine-1", "engine", flags)]).await;
+    let mut fleet = Fleet::with_mock_endpoints(1, &[("engine-1", "engine", flags)]).await;
     for http2 in [false, true] {
         let client = reqwest::Client::builder().no_proxy();
         let client = if http2 { client.http2_prior_knowledge() } else { client };
         let url = format!("http://{}/v1/chat/completions", fleet.members[1].entry);
         let body = json!({"model": "chat-model", "max_tokens": 500, "stream": true,
             "messages": [{"role": "user", "content": format!("http2 {http2}")}]});
-        let client = client.build().expect("client");
+        let client = client.build().expect("failed to build the HTTP client");
         let call = client.post(url).bearer_auth(fleet.objects.team_key()).json(&body);
-        let mut answer = call.send().await.expect("the head of an answer");
+        let mut answer = call.send().await.expect("no response head");
         assert_eq!(answer.status(), 200);
-        answer.chunk().await.expect("a first event").expect("a first event");
-        fleet.kill_stand_in(0);
+        answer
+            .chunk()
+            .await
+            .expect("failed to read the first event")
+            .expect("failed to read the first event");
+        fleet.kill_mock_endpoint(0);
         let rest = answer.text().await;
         assert!(rest.is_err(), "http2={http2}: {rest:?}");
-        fleet.start_stand_in(0);
+        fleet.start_mock_endpoint(0);
         fleet.warm_up().await;
     }
 }
 
-/// A call that may run again is lost with the first endpoint that fails it.
+/// A call that may be repeated must be retried at another endpoint.
 #[tokio::test(flavor = "multi_thread")]
 async fn retried_call() {
-    let mut fleet = Fleet::with_stand_ins(1, &engines()).await;
+    let mut fleet = Fleet::with_mock_endpoints(1, &engines()).await;
     for killed in [0, 1] {
-        fleet.kill_stand_in(killed);
+        fleet.kill_mock_endpoint(killed);
         for program in [false, true] {
             for n in 0..4 {
                 let what = format!("killed={killed} program={program} {n}");
@@ -92,12 +96,12 @@
                 } else {
                     call
                 };
-                let seen = Seen::of(call).await;
-                assert_eq!(seen.status, 200, "{what}: {seen:?}");
-                check(&what, &seen, n % 2 == 1);
+                let response = CallResponse::fetch(call).await;
+                assert_eq!(response.status, 200, "{what}: {response:?}");
+                check(&what, &response, n % 2 == 1);
             }
         }
-        fleet.start_stand_in(killed);
+        fleet.start_mock_endpoint(killed);
         fleet.warm_up().await;
     }
 }
