--- a/crates/core/commands/dev.rs
+++ b/crates/core/commands/dev.rs
@@ -1,4 +1,4 @@
-//! Runs an instance with simulated endpoints and sample objects in one process.
+//! Runs an instance with mock endpoints and sample objects in one process.
 
 use std::{
     io::{self, Write},
@@ -65,7 +65,7 @@
     Ok(address)
 }
 
-/// Returns the sample objects with the addresses of the simulated endpoints and the digest of
+/// Returns the sample objects with the addresses of the mock endpoints and the digest of
 /// `key`.
 fn sample_objects(key: &Secret, engine: SocketAddr, orders: SocketAddr) -> Result<ObjectSet> {
     let mut document: toml::Table =
--- a/crates/core/commands/endpoint.rs
+++ b/crates/core/commands/endpoint.rs
@@ -1,4 +1,4 @@
-//! Runs a simulated endpoint.
+//! Runs a mock endpoint.
 
 use std::{process::ExitCode, sync::Arc, time::SystemTime};
 
@@ -10,8 +10,7 @@
 use tokio::net::TcpListener;
 
 use crate::flags::{
-    EndpointFlags, EndpointKind, EngineFlags, FencingFlag, RampShapeFlag, ServiceFlags,
-    StandinFlags,
+    EndpointFlags, EndpointKind, EngineFlags, FencingFlag, MockFlags, RampShapeFlag, ServiceFlags,
 };
 
 /// Exit code after a simulated crash. Differs from the codes of failures (1) and usage errors (2).
@@ -19,10 +18,10 @@
 const USAGE_EXIT_CODE: u8 = 2;
 
 pub(crate) async fn run(flags: EndpointFlags) -> Result<ExitCode> {
-    let first_run = flags.standin.first_run.map_or_else(default_first_run, Ok)?;
+    let first_run = flags.mock.first_run.map_or_else(default_first_run, Ok)?;
     match flags.kind {
         EndpointKind::Engine => {
-            let cfg = match flags.engine.config(&flags.standin, first_run) {
+            let cfg = match flags.engine.config(&flags.mock, first_run) {
                 Ok(cfg) => cfg,
                 Err(e) => return Ok(usage_error(&e)),
             };
@@ -30,7 +29,7 @@
             exit_code(engine.serve(listen(&flags).await?).await)
         }
         EndpointKind::Service => {
-            let cfg = match flags.service.config(&flags.standin, first_run) {
+            let cfg = match flags.service.config(&flags.mock, first_run) {
                 Ok(cfg) => cfg,
                 Err(e) => return Ok(usage_error(&e)),
             };
@@ -54,7 +53,7 @@
 async fn listen(flags: &EndpointFlags) -> Result<TcpListener> {
     let listener = TcpListener::bind(flags.address).await?;
     let address = listener.local_addr()?.to_string();
-    log::info!(address = address.as_str(); "simulated endpoint started");
+    log::info!(address = address.as_str(); "mock endpoint started");
     Ok(listener)
 }
 
@@ -66,19 +65,19 @@
 }
 
 impl ServiceFlags {
-    fn config(&self, standin: &StandinFlags, first_run: u64) -> Result<ServiceConfig, ConfigError> {
+    fn config(&self, mock: &MockFlags, first_run: u64) -> Result<ServiceConfig, ConfigError> {
         let cfg = ServiceConfig::builder()
             .delay(self.delay)
-            .load_lag(standin.load_lag)
+            .load_lag(mock.load_lag)
             .first_run(first_run)
-            .restart_after(standin.restart_after)
-            .exit_on_crash(standin.exit_on_crash);
+            .restart_after(mock.restart_after)
+            .exit_on_crash(mock.exit_on_crash);
         cfg.build()
     }
 }
 
 impl EngineFlags {
-    fn config(&self, standin: &StandinFlags, first_run: u64) -> Result<EngineConfig, ConfigError> {
+    fn config(&self, mock: &MockFlags, first_run: u64) -> Result<EngineConfig, ConfigError> {
         let cfg = EngineConfig::builder()
             .capacity(self.capacity)
             .max_queue(self.max_queue)
@@ -96,7 +95,7 @@
                 RampShapeFlag::Step => RampShape::Step,
                 RampShapeFlag::Linear => RampShape::Linear,
             })
-            .load_lag(standin.load_lag)
+            .load_lag(mock.load_lag)
             .event_delay(self.event_delay)
             .event_gap_rate(self.event_gap_rate)
             .fencing(match self.fencing {
@@ -108,8 +107,8 @@
             .weight_store(Arc::new(WeightStore::new(self.weight_rate)))
             .seed(self.seed)
             .first_run(first_run)
-            .restart_after(standin.restart_after)
-            .exit_on_crash(standin.exit_on_crash);
+            .restart_after(mock.restart_after)
+            .exit_on_crash(mock.exit_on_crash);
         cfg.build()
     }
 }
--- a/crates/core/flags.rs
+++ b/crates/core/flags.rs
@@ -51,7 +51,7 @@
     Certs(CertsFlags),
     /// Run a complete system in one process, to try it out.
     Dev(DevFlags),
-    /// Run a simulated endpoint, for tests.
+    /// Run a mock endpoint, for tests.
     Endpoint(EndpointFlags),
     /// Print a shell completion script.
     Completions {
@@ -340,21 +340,21 @@
 
 #[derive(Args, Debug)]
 pub(crate) struct EndpointFlags {
-    /// Kind of endpoint to simulate.
+    /// Kind of mock endpoint.
     #[arg(long, value_enum, default_value = "engine", env = "POPLARSPAN_ENDPOINT_KIND")]
     pub(crate) kind: EndpointKind,
     /// TCP address to listen on.
     #[arg(long, value_name = "IP:PORT", env = "POPLARSPAN_ENDPOINT_ADDRESS")]
     pub(crate) address: SocketAddr,
     #[command(flatten)]
-    pub(crate) standin: StandinFlags,
+    pub(crate) mock: MockFlags,
     #[command(flatten)]
     pub(crate) engine: Box<EngineFlags>,
     #[command(flatten)]
     pub(crate) service: ServiceFlags,
 }
 
-/// Kinds of simulated endpoints.
+/// Kinds of mock endpoints.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 pub(crate) enum EndpointKind {
     /// Model engine.
@@ -363,9 +363,9 @@
     Service,
 }
 
-/// Flags of all simulated endpoints.
+/// Flags of all mock endpoints.
 #[derive(Args, Debug)]
-pub(crate) struct StandinFlags {
+pub(crate) struct MockFlags {
     /// Age of the load that is reported.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_LOAD_LAG")]
     pub(crate) load_lag: Duration,
@@ -380,7 +380,7 @@
     pub(crate) first_run: Option<u64>,
 }
 
-/// Flags of simulated plain services.
+/// Flags of mock plain services.
 #[derive(Args, Debug)]
 #[command(next_help_heading = "Plain service")]
 pub(crate) struct ServiceFlags {
@@ -389,7 +389,7 @@
     pub(crate) delay: Duration,
 }
 
-/// Flags of simulated model engines.
+/// Flags of mock model engines.
 #[derive(Args, Debug)]
 #[command(next_help_heading = "Model engine")]
 pub(crate) struct EngineFlags {
