--- a/crates/core/commands/dev.rs
+++ b/crates/core/commands/dev.rs
@@ -1,4 +1,4 @@
-//! Runs an instance with simulated endpoints and sample objects in one process.
+//! Runs an instance with mock endpoints and sample objects in one process.
 
 use std::{
     io::{self, Write},
@@ -31,7 +31,6 @@
 /// Maximum time until the published objects are in force.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// `dev`
 pub(crate) async fn run(flags: DevFlags) -> Result<ExitCode> {
     let folder = tempfile::tempdir().context("cannot create a temporary folder")?;
     let engine = start_engine().await?;
@@ -66,7 +65,7 @@
     Ok(address)
 }
 
-/// Returns the sample objects with the addresses of the simulated endpoints and the digest of
+/// Returns the sample objects with the addresses of the mock endpoints and the digest of
 /// `key`.
 fn sample_objects(key: &Secret, engine: SocketAddr, orders: SocketAddr) -> Result<ObjectSet> {
     let mut document: toml::Table =
--- a/crates/core/flags.rs
+++ b/crates/core/flags.rs
@@ -51,7 +51,7 @@
     Certs(CertsFlags),
     /// Run a complete system in one process, to try it out.
     Dev(DevFlags),
-    /// Run a simulated endpoint, for tests.
+    /// Run a mock endpoint, for tests.
     Endpoint(EndpointFlags),
     /// Print a shell completion script.
     Completions {
@@ -60,7 +60,6 @@
     },
 }
 
-/// Flags of `node`.
 #[derive(Args, Clone, Debug)]
 pub(crate) struct NodeFlags {
     /// Settings file in the platform's format.
@@ -105,7 +104,6 @@
     }
 }
 
-/// Flags of `serve`.
 #[derive(Args, Debug)]
 pub(crate) struct ServeFlags {
     /// Name of the instance; must be unique in the fleet.
@@ -218,7 +216,6 @@
     pub(crate) timeout: Duration,
 }
 
-/// Flags of `diff`.
 #[derive(Args, Debug)]
 pub(crate) struct DiffFlags {
     #[command(flatten)]
@@ -260,7 +257,6 @@
     }
 }
 
-/// Flags of `publish`.
 #[derive(Args, Debug)]
 pub(crate) struct PublishFlags {
     #[command(flatten)]
@@ -280,7 +276,6 @@
     pub(crate) no_wait: bool,
 }
 
-/// Flags of `status`.
 #[derive(Args, Debug)]
 pub(crate) struct StatusFlags {
     #[command(flatten)]
@@ -290,7 +285,6 @@
     pub(crate) json: bool,
 }
 
-/// Flags of `init`.
 #[derive(Args, Debug)]
 pub(crate) struct InitFlags {
     /// Folder to create; if it exists, it must be empty.
@@ -307,7 +301,6 @@
     pub(crate) join: bool,
 }
 
-/// Flags of `replace-voter`.
 #[derive(Args, Debug)]
 pub(crate) struct ReplaceVoterFlags {
     /// Number of the replica to replace.
@@ -323,7 +316,6 @@
     pub(crate) operator: OperatorFlags,
 }
 
-/// Flags of `certs`.
 #[derive(Args, Debug)]
 pub(crate) struct CertsFlags {
     /// Output folder, created if missing. Existing files are not overwritten.
@@ -334,7 +326,6 @@
     pub(crate) keep: bool,
 }
 
-/// Flags of `dev`.
 #[derive(Args, Debug)]
 pub(crate) struct DevFlags {
     /// TCP address to listen on for callers; port 0 selects a free port.
@@ -347,24 +338,23 @@
     pub(crate) entry_address: SocketAddr,
 }
 
-/// Flags of `endpoint`.
 #[derive(Args, Debug)]
 pub(crate) struct EndpointFlags {
-    /// Kind of endpoint to simulate.
+    /// Kind of mock endpoint.
     #[arg(long, value_enum, default_value = "engine", env = "POPLARSPAN_ENDPOINT_KIND")]
     pub(crate) kind: EndpointKind,
     /// TCP address to listen on.
     #[arg(long, value_name = "IP:PORT", env = "POPLARSPAN_ENDPOINT_ADDRESS")]
     pub(crate) address: SocketAddr,
     #[command(flatten)]
-    pub(crate) standin: StandinFlags,
+    pub(crate) mock: MockFlags,
     #[command(flatten)]
     pub(crate) engine: Box<EngineFlags>,
     #[command(flatten)]
     pub(crate) service: ServiceFlags,
 }
 
-/// Kinds of simulated endpoints.
+/// Kinds of mock endpoints.
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 pub(crate) enum EndpointKind {
     /// Model engine.
@@ -373,9 +363,9 @@
     Service,
 }
 
-/// Flags of all simulated endpoints.
+/// Flags of all mock endpoints.
 #[derive(Args, Debug)]
-pub(crate) struct StandinFlags {
+pub(crate) struct MockFlags {
     /// Age of the load that is reported.
     #[arg(long, default_value = "0s", value_parser = humantime::parse_duration, env = "POPLARSPAN_ENDPOINT_LOAD_LAG")]
     pub(crate) load_lag: Duration,
@@ -390,7 +380,7 @@
     pub(crate) first_run: Option<u64>,
 }
 
-/// Flags of simulated plain services.
+/// Flags of mock plain services.
 #[derive(Args, Debug)]
 #[command(next_help_heading = "Plain service")]
 pub(crate) struct ServiceFlags {
@@ -399,7 +389,7 @@
     pub(crate) delay: Duration,
 }
 
-/// Flags of simulated model engines.
+/// Flags of mock model engines.
 #[derive(Args, Debug)]
 #[command(next_help_heading = "Model engine")]
 pub(crate) struct EngineFlags {
