--- a/crates/policy/src/cold_start.rs
+++ b/crates/policy/src/cold_start.rs
@@ -5,7 +5,8 @@
 //! are more instances than calls per second, only some of them may use a cold endpoint, and which
 //! ones differs between endpoints.
 //!
-//! Each instance keeps its own state.
+//! Each instance keeps its own state. A [`StartLimiter`] starts with an empty window, so an
+//! instance that has just started may use its whole share at once.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/relay/src/front/endpoints.rs
+++ b/crates/relay/src/front/endpoints.rs
@@ -1,5 +1,8 @@
 //! State of the endpoints as seen by a front: load, cached prompts, failures and cold starts.
 //!
+//! The front needs this state to handle uneven load and shared prompts in normal operation, and
+//! crashes, restarts and releases otherwise.
+//!
 //! Each front keeps its own state. After a restart it is rebuilt from the endpoint list and from
 //! responses.
 
